--- a/dragonflyglade/decision/allotment.cc
+++ b/dragonflyglade/decision/allotment.cc
@@ -6,47 +6,47 @@
 namespace dragonflyglade {
 namespace {
 
-std::int64_t Assumed(const HolderShare& holder) {
-  return std::max(holder.share, holder.held);
+std::int64_t MaxInUse(const HolderShare& owner) {
+  return std::max(owner.share, owner.held);
 }
 
-bool HasConfirmed(const HolderShare& holder, std::int64_t epoch,
+bool HasConfirmed(const HolderShare& owner, std::int64_t epoch,
                   const AllotmentView& view) {
-  const auto confirmed = view.confirmed.find(holder.instance);
+  const auto confirmed = view.confirmed.find(owner.instance);
   if (confirmed == view.confirmed.end() || confirmed->second < epoch) {
     return false;
   }
-  const auto answering = view.answering.find(holder.instance);
+  const auto answering = view.answering.find(owner.instance);
   return answering != view.answering.end() &&
-         answering->second == holder.incarnation;
+         answering->second == owner.incarnation;
 }
 
-std::vector<HolderShare> SurvivingHolders(const Allotment& current,
-                                          const AllotmentView& view) {
+std::vector<HolderShare> RetainedOwners(const Allotment& current,
+                                        const AllotmentView& view) {
   std::vector<HolderShare> holders;
-  for (HolderShare holder : current.holders) {
-    const bool settled =
-        view.settled.count({holder.instance, holder.incarnation}) > 0;
-    if (settled && IsGone(holder, view)) continue;
-    if (HasConfirmed(holder, current.epoch, view)) holder.held = holder.share;
-    holders.push_back(holder);
+  for (HolderShare owner : current.holders) {
+    const bool reclaimable =
+        view.settled.count({owner.instance, owner.incarnation}) > 0;
+    if (reclaimable && IsGone(owner, view)) continue;
+    if (HasConfirmed(owner, current.epoch, view)) owner.held = owner.share;
+    holders.push_back(owner);
   }
   return holders;
 }
 
-HolderShare* Find(std::vector<HolderShare>& holders,
-                  const HolderCandidate& candidate) {
-  for (HolderShare& holder : holders) {
-    if (holder.instance == candidate.instance &&
-        holder.incarnation == candidate.incarnation) {
-      return &holder;
+HolderShare* FindOwner(std::vector<HolderShare>& holders,
+                       const HolderCandidate& candidate) {
+  for (HolderShare& owner : holders) {
+    if (owner.instance == candidate.instance &&
+        owner.incarnation == candidate.incarnation) {
+      return &owner;
     }
   }
   return nullptr;
 }
 
-// What each wanted candidate should have in the end: equal parts, the
-// remainder on the first by name, so that every planner computes the same.
+// The final share of each candidate: equal shares, with the remainder added to
+// the first by name, so that every instance computes the same result.
 std::map<std::string, std::int64_t> DesiredShares(
     std::vector<HolderCandidate> wanted) {
   std::map<std::string, std::int64_t> desired;
@@ -64,84 +64,89 @@
   return desired;
 }
 
-void Shrink(std::vector<HolderShare>& holders,
-            const std::map<std::string, std::int64_t>& desired) {
-  for (HolderShare& holder : holders) {
-    const auto want = desired.find(holder.instance);
-    const std::int64_t target = want == desired.end() ? 0 : want->second;
-    if (target >= holder.share) continue;
-    holder.held = Assumed(holder);
-    holder.share = target;
+void ShrinkShares(std::vector<HolderShare>& holders,
+                  const std::map<std::string, std::int64_t>& desired) {
+  for (HolderShare& owner : holders) {
+    const auto entry = desired.find(owner.instance);
+    const std::int64_t desired_share =
+        entry == desired.end() ? 0 : entry->second;
+    if (desired_share >= owner.share) continue;
+    owner.held = MaxInUse(owner);
+    owner.share = desired_share;
   }
 }
 
-void Grow(std::vector<HolderShare>& holders, const AllotmentView& view,
-          const std::map<std::string, std::int64_t>& desired) {
-  std::int64_t free = kWholeShare;
-  for (const HolderShare& holder : holders) free -= Assumed(holder);
+void GrowShares(std::vector<HolderShare>& holders, const AllotmentView& view,
+                const std::map<std::string, std::int64_t>& desired) {
+  std::int64_t unassigned = kWholeShare;
+  for (const HolderShare& owner : holders) unassigned -= MaxInUse(owner);
   for (const HolderCandidate& candidate : view.wanted) {
-    HolderShare* holder = Find(holders, candidate);
-    if (holder == nullptr) {
+    HolderShare* owner = FindOwner(holders, candidate);
+    if (owner == nullptr) {
       holders.push_back(HolderShare{candidate.instance, candidate.incarnation,
                                     0, 0, view.list_version});
-      holder = &holders.back();
+      owner = &holders.back();
     }
-    const std::int64_t missing =
-        desired.at(candidate.instance) - Assumed(*holder);
-    const std::int64_t added = std::clamp<std::int64_t>(missing, 0, free);
-    if (added == 0) continue;
-    holder->share = Assumed(*holder) + added;
-    holder->held = holder->share;
-    free -= added;
+    const std::int64_t shortfall =
+        desired.at(candidate.instance) - MaxInUse(*owner);
+    const std::int64_t granted =
+        std::clamp<std::int64_t>(shortfall, 0, unassigned);
+    if (granted == 0) continue;
+    owner->share = MaxInUse(*owner) + granted;
+    owner->held = owner->share;
+    unassigned -= granted;
   }
 }
 
-void DropEmpty(std::vector<HolderShare>& holders) {
+void RemoveEmptyShares(std::vector<HolderShare>& holders) {
   holders.erase(
       std::remove_if(holders.begin(), holders.end(),
-                     [](const HolderShare& h) { return Assumed(h) == 0; }),
+                     [](const HolderShare& h) { return MaxInUse(h) == 0; }),
       holders.end());
 }
 
 }  // namespace
 
-// Failure: a holder is judged dead although it only pauses, its share goes to
-// others, and on waking it spends the same share again. Neither silence nor
-// time can tell the two apart. The platform's list names an instance until it
-// is gone, and a new incarnation at the same address can only start when the
-// old process has ended, so these two are the only proofs accepted here. A
-// list older than the grant proves nothing: it may not have the instance yet.
-bool IsGone(const HolderShare& holder, const AllotmentView& view) {
-  const auto answering = view.answering.find(holder.instance);
+// Failure: a paused owner is taken for terminated and its share goes to other
+// instances; when it resumes, it spends the same share again. Missing
+// heartbeats cannot tell a paused process from a terminated one, however long
+// they are missing. Only two facts prove termination: the platform's list,
+// which names an instance until it has terminated, no longer has it; or a newer
+// incarnation responds at its address, which can start only after the old
+// process has ended. A list that is older than the grant proves nothing, since
+// it may not have the instance yet.
+bool IsGone(const HolderShare& owner, const AllotmentView& view) {
+  const auto answering = view.answering.find(owner.instance);
   if (answering != view.answering.end() &&
-      answering->second > holder.incarnation) {
+      answering->second > owner.incarnation) {
     return true;
   }
-  return view.list_version > holder.listed_at &&
-         view.listed.count(holder.instance) == 0;
+  return view.list_version > owner.listed_at &&
+         view.listed.count(owner.instance) == 0;
 }
 
-GoneHolders::GoneHolders(absl::Duration settle, Clock clock)
-    : settle(settle), clock(clock) {}
+GoneHolders::GoneHolders(absl::Duration settle_time, Clock clock)
+    : settle_time(settle_time), clock(clock) {}
 
-// Failure: a holder dies with promises that its borrowers still spend, its
-// share passes on at once, and the same seconds' tokens are spent twice. What
-// a holder lent is void soon after; its share waits for that.
+// Failure: an owner terminates while borrowers may still spend tokens that it
+// lent. If its share is reassigned at once, the same tokens are spent twice.
+// The loans expire within the settle time, so the share is reassigned only
+// after that.
 std::set<std::pair<std::string, std::int64_t>> GoneHolders::Settled(
     const Allotment& allotment, const AllotmentView& view) {
   const Instant now = this->clock.Now();
-  std::set<std::pair<std::string, std::int64_t>> settled;
-  for (const HolderShare& holder : allotment.holders) {
-    const std::pair<std::string, std::int64_t> name = {holder.instance,
-                                                       holder.incarnation};
-    if (!IsGone(holder, view)) {
-      this->since.erase(name);
+  std::set<std::pair<std::string, std::int64_t>> reclaimable;
+  for (const HolderShare& owner : allotment.holders) {
+    const std::pair<std::string, std::int64_t> process = {owner.instance,
+                                                          owner.incarnation};
+    if (!IsGone(owner, view)) {
+      this->first_seen.erase(process);
       continue;
     }
-    const Instant first = this->since.emplace(name, now).first->second;
-    if (now - first >= this->settle) settled.insert(name);
+    const Instant first = this->first_seen.emplace(process, now).first->second;
+    if (now - first >= this->settle_time) reclaimable.insert(process);
   }
-  return settled;
+  return reclaimable;
 }
 
 bool HolderShare::operator==(const HolderShare& other) const {
@@ -157,12 +162,12 @@
 std::optional<Allotment> NextAllotment(const Allotment& current,
                                        const AllotmentView& view) {
   Allotment next = current;
-  next.holders = SurvivingHolders(current, view);
+  next.holders = RetainedOwners(current, view);
   const std::map<std::string, std::int64_t> desired =
       DesiredShares(view.wanted);
-  Shrink(next.holders, desired);
-  Grow(next.holders, view, desired);
-  DropEmpty(next.holders);
+  ShrinkShares(next.holders, desired);
+  GrowShares(next.holders, view, desired);
+  RemoveEmptyShares(next.holders);
   if (next.holders == current.holders) return std::nullopt;
   next.epoch = current.epoch + 1;
   return next;
@@ -170,9 +175,9 @@
 
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation) {
-  for (const HolderShare& holder : allotment.holders) {
-    if (holder.instance == instance && holder.incarnation == incarnation) {
-      return holder.share;
+  for (const HolderShare& owner : allotment.holders) {
+    if (owner.instance == instance && owner.incarnation == incarnation) {
+      return owner.share;
     }
   }
   return 0;
@@ -180,7 +185,7 @@
 
 std::int64_t AssumedTotal(const Allotment& allotment) {
   std::int64_t total = 0;
-  for (const HolderShare& holder : allotment.holders) total += Assumed(holder);
+  for (const HolderShare& owner : allotment.holders) total += MaxInUse(owner);
   return total;
 }
 
--- a/dragonflyglade/decision/allotment.h
+++ b/dragonflyglade/decision/allotment.h
@@ -16,22 +16,24 @@
 
 namespace dragonflyglade {
 
-/// Shares are counted in millionths of a workspace's rate and burst.
+/// The whole of a workspace's rate and burst. Shares are counted in millionths
+/// of it.
 inline constexpr std::int64_t kWholeShare = 1'000'000;
 
-/// One holder's part of a workspace's rate.
+/// The share of a workspace's rate that one instance owns.
 struct HolderShare {
   std::string instance;
-  std::int64_t incarnation = 0;  ///< the process start that holds the share
+  std::int64_t incarnation = 0;  ///< of the process that owns the share
   std::int64_t share = 0;        ///< millionths that it may use from now on
   std::int64_t held = 0;         ///< millionths that it may still be using
-  std::int64_t listed_at = 0;    ///< list version that named the instance
+  std::int64_t listed_at = 0;    ///< list version when the share was granted
 
   bool operator==(const HolderShare& other) const;
 };
 
-/// Who may use which part of a workspace's rate. Kept in the key-value
-/// service; it never expires, so an outage changes nothing.
+/// How a workspace's rate is divided among instances. Stored in the key-value
+/// service without an expiry, so it stays in force during an outage of that
+/// service.
 struct Allotment {
   std::string workspace;
   std::int64_t epoch = 0;
@@ -40,60 +42,65 @@
   bool operator==(const Allotment& other) const;
 };
 
-/// An instance as the platform's list and its heartbeats show it.
+/// An instance that may own a share.
 struct HolderCandidate {
   std::string instance;
   std::int64_t incarnation = 0;
 };
 
-/// What a step of the allotment is decided from.
+/// The inputs from which the next allotment is computed.
 struct AllotmentView {
-  /// Instances that should hold shares: live, listed and not leaving.
+  /// Instances that should own shares: alive, listed and not leaving.
   std::vector<HolderCandidate> wanted;
-  /// Names on the platform's list, leaving ones included.
+  /// Names on the platform's list, including instances that are leaving.
   std::set<std::string> listed;
   std::int64_t list_version = 0;
-  /// For each holder, the incarnation that answers at its address now.
+  /// By owner, the incarnation that responds at its address now.
   std::map<std::string, std::int64_t> answering;
-  /// For each holder, the epoch that it said it follows.
+  /// By owner, the newest epoch that it has confirmed.
   std::map<std::string, std::int64_t> confirmed;
-  /// Holders that have been gone for long enough; see GoneHolders.
+  /// Owners (name, incarnation) that terminated long enough ago for their
+  /// shares to be reassigned; see GoneHolders.
   std::set<std::pair<std::string, std::int64_t>> settled;
 };
 
-/// Whether a holder's process has certainly ended.
-bool IsGone(const HolderShare& holder, const AllotmentView& view);
+/// Whether the process that owns a share has certainly terminated.
+bool IsGone(const HolderShare& owner, const AllotmentView& view);
 
-/// Knows for how long holders have been gone. Not synchronised.
+/// Tracks how long ago owners of shares terminated. Not synchronised.
 class GoneHolders {
  public:
-  /// @param settle how long after its end a holder's loans may be spent
-  GoneHolders(absl::Duration settle, Clock clock);
+  /// @param settle_time for how long tokens that an owner lent may still be
+  ///   spent after it terminated
+  GoneHolders(absl::Duration settle_time, Clock clock);
 
-  /// Takes note of who is gone by a view.
-  /// @return the holders, with their incarnations, gone for the settle time
+  /// Records which owners have terminated.
+  /// @return the owners (name, incarnation) that terminated at least the settle
+  ///   time ago, whose shares may be reassigned
   std::set<std::pair<std::string, std::int64_t>> Settled(
       const Allotment& allotment, const AllotmentView& view);
 
  private:
-  const absl::Duration settle;
+  const absl::Duration settle_time;
   const Clock clock;
-  std::map<std::pair<std::string, std::int64_t>, Instant> since;
+  /// When the termination of an owner (name, incarnation) was first seen.
+  std::map<std::pair<std::string, std::int64_t>, Instant> first_seen;
 };
 
-/// The next allotment, or nothing when the current one stands.
+/// Computes the next allotment; nothing if the current one needs no change.
 ///
-/// The sum over holders of max(share, held) never exceeds kWholeShare: shares
-/// shrink first, and grow only by what confirmed or gone holders gave up.
-/// Complexity: O(n log n) in the holders and candidates.
+/// The sum over owners of max(share, held) never exceeds kWholeShare: shares
+/// shrink first, and others grow only by what an owner has confirmed to have
+/// given up or what a terminated owner left.
+/// Complexity: O(n log n) in the owners and candidates.
 std::optional<Allotment> NextAllotment(const Allotment& current,
                                        const AllotmentView& view);
 
-/// The part that one process may use under an allotment, in millionths.
+/// The share that one process may use under an allotment, in millionths.
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation);
 
-/// The part that holders may be using at the most, in millionths.
+/// An upper bound on what all owners together may be using, in millionths.
 std::int64_t AssumedTotal(const Allotment& allotment);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/claim.cc
+++ b/dragonflyglade/decision/claim.cc
@@ -13,7 +13,7 @@
 constexpr const char* kDoneName = "done";
 constexpr const char* kUnknownName = "unknown";
 
-const char* NameOf(ClaimState state) {
+const char* StateName(ClaimState state) {
   switch (state) {
     case ClaimState::kRunning:
       return kRunningName;
@@ -25,20 +25,21 @@
   return kUnknownName;
 }
 
-ClaimState StateOf(std::string_view name) {
+ClaimState ParseState(std::string_view name) {
   if (name == kRunningName) return ClaimState::kRunning;
   if (name == kDoneName) return ClaimState::kDone;
   return ClaimState::kUnknown;
 }
 
-ClaimStep AfterExisting(const Claim& own, const ClaimExists& existing) {
+ClaimStep StepForExistingClaim(const Claim& own, const ClaimExists& existing) {
   const Result<Claim> decoded = DecodeClaim(existing.value);
   if (!decoded.Ok()) return InDoubt{};
   const Claim& other = decoded.Value();
-  // Failure: the answer to the first write is lost after it took effect; the
-  // second attempt finds a claim and would report the caller's own call as
-  // somebody else's. The nonce tells them apart, and since the call is only
-  // dispatched after this answer, it has not been sent before.
+  // Failure: the first write takes effect but its response is lost. The second
+  // attempt finds that claim and, without the nonce, would take the caller's
+  // own call for another one. An equal nonce means that this process wrote the
+  // claim; it sends the call only after this step, so the call has not been
+  // sent yet.
   if (other.nonce == own.nonce) return Dispatch{existing.revision};
   if (other.digest != own.digest) return KeyReused{};
   if (other.state == ClaimState::kDone) return Replay{other.answer};
@@ -50,7 +51,7 @@
 std::string EncodeClaim(const Claim& claim) {
   json document = {{"nonce", claim.nonce},
                    {"digest", claim.digest},
-                   {"state", NameOf(claim.state)}};
+                   {"state", StateName(claim.state)}};
   if (claim.state == ClaimState::kDone) {
     document["answer"] = {
         {"status", claim.answer.status},
@@ -62,33 +63,33 @@
 
 Result<Claim> DecodeClaim(std::string_view text) {
   const json document = json::parse(text, nullptr, false);
-  const auto broken = [](std::string_view why) {
-    return MakeFailure(Errc::kBadAnswer, "decode claim", "kv", why);
+  const auto malformed = [](std::string_view detail) {
+    return MakeFailure(Errc::kBadAnswer, "decode claim", "kv", detail);
   };
-  if (!document.is_object()) return broken("not a JSON object");
+  if (!document.is_object()) return malformed("not a JSON object");
   try {
     Claim claim;
     claim.nonce = document.at("nonce").get<std::string>();
     claim.digest = document.at("digest").get<std::string>();
-    claim.state = StateOf(document.at("state").get<std::string>());
+    claim.state = ParseState(document.at("state").get<std::string>());
     if (claim.state == ClaimState::kDone) {
       const json& answer = document.at("answer");
       claim.answer.status = answer.at("status").get<int>();
       claim.answer.content_type = answer.at("content_type").get<std::string>();
       const auto encoded = answer.at("body_base64").get<std::string>();
       if (!absl::Base64Unescape(encoded, &claim.answer.body)) {
-        return broken("body is not base64");
+        return malformed("body is not base64");
       }
     }
     return claim;
   } catch (const json::exception& error) {
-    return broken(error.what());
+    return malformed(error.what());
   }
 }
 
 ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
                           bool may_retry) {
-  struct Decide {
+  struct StepVisitor {
     const Claim& own;
     bool may_retry;
 
@@ -96,19 +97,21 @@
       return Dispatch{created.revision};
     }
     ClaimStep operator()(const ClaimExists& existing) const {
-      return AfterExisting(this->own, existing);
+      return StepForExistingClaim(this->own, existing);
     }
     ClaimStep operator()(const ClaimOutcomeUnknown&) const {
-      return this->Again();
+      return this->RetryOrGiveUp();
+    }
+    ClaimStep operator()(const ClaimNotWritten&) const {
+      return this->RetryOrGiveUp();
     }
-    ClaimStep operator()(const ClaimNotWritten&) const { return this->Again(); }
 
-    ClaimStep Again() const {
+    ClaimStep RetryOrGiveUp() const {
       if (this->may_retry) return TryAgain{};
       return NotDispatched{};
     }
   };
-  return std::visit(Decide{own, may_retry}, write);
+  return std::visit(StepVisitor{own, may_retry}, write);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/claim.h
+++ b/dragonflyglade/decision/claim.h
@@ -11,72 +11,75 @@
 
 namespace dragonflyglade {
 
-/// How far the call behind a claim has come.
+/// State of the call that a claim stands for.
 enum class ClaimState {
   kRunning,  ///< claimed; the call may or may not have been sent
-  kDone,     ///< the answer is stored
-  kUnknown,  ///< sent, and nobody knows whether it ran
+  kDone,     ///< completed; the response is stored
+  kUnknown,  ///< sent, but whether it ran is not known
 };
 
-/// An answer kept with its claim.
+/// The response of the call, stored with its claim.
 struct StoredAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
 };
 
-/// The record that lets one caller's call run at most once.
+/// The record in the key-value service by which a call with an idempotency key
+/// runs at most once.
 struct Claim {
-  std::string nonce;   ///< drawn by the claimant; tells its own write
-  std::string digest;  ///< of method, path and body
+  std::string nonce;   ///< random; identifies the writer of the claim
+  std::string digest;  ///< of the request's method, path and body
   ClaimState state = ClaimState::kRunning;
-  StoredAnswer answer;  ///< meaningful when done
+  StoredAnswer answer;  ///< only set in kDone
 };
 
 /// Writes a claim as JSON.
 std::string EncodeClaim(const Claim& claim);
 /// Reads a claim from JSON.
-/// Errors: kBadAnswer for anything else.
+/// Errors: kBadAnswer if the text is not a claim.
 Result<Claim> DecodeClaim(std::string_view text);
 
-/// What the key-value service said to the attempt to create a claim.
+/// Result of writing a claim: it was created at this revision.
 struct ClaimCreated {
   std::int64_t revision = 0;
 };
-/// A claim is there already.
+/// Result of writing a claim: one exists already under this key.
 struct ClaimExists {
   std::string value;
   std::int64_t revision = 0;
 };
-/// No answer: it may or may not have been written.
+/// Result of writing a claim: the service did not respond, so the claim may or
+/// may not have been written.
 struct ClaimOutcomeUnknown {};
-/// It was certainly not written.
+/// Result of writing a claim: it was certainly not written.
 struct ClaimNotWritten {};
 using ClaimWrite = std::variant<ClaimCreated, ClaimExists, ClaimOutcomeUnknown,
                                 ClaimNotWritten>;
 
-/// The claim is this caller's; dispatch the call.
+/// Next step: send the call; this process owns the claim.
 struct Dispatch {
   std::int64_t revision = 0;
 };
-/// Give the caller the stored answer.
+/// Next step: return the stored response to the caller.
 struct Replay {
   StoredAnswer answer;
 };
-/// Another call with this key is under way or its fate is unknown.
+/// Next step: refuse; another call with this key is in progress, or its outcome
+/// is unknown.
 struct InDoubt {};
-/// The same key came with another request.
+/// Next step: refuse; the key was used before with a different request.
 struct KeyReused {};
-/// Try the same write again, with the same nonce.
+/// Next step: retry the same write with the same nonce.
 struct TryAgain {};
-/// Give up; nothing was dispatched.
+/// Next step: give up; the call was not sent.
 struct NotDispatched {};
 using ClaimStep =
     std::variant<Dispatch, Replay, InDoubt, KeyReused, TryAgain, NotDispatched>;
 
-/// Decides what follows an attempt to create a claim.
-/// @param own the claim that was written
-/// @param write what came of it
+/// Decides the next step after an attempt to create a claim.
+/// @param own the claim that this process tried to write
+/// @param write the result of the attempt
 /// @param may_retry whether there is time for another attempt
 ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
                           bool may_retry);
--- a/dragonflyglade/decision/clock.cc
+++ b/dragonflyglade/decision/clock.cc
@@ -22,13 +22,13 @@
     : source(source) {}
 
 Instant Clock::Now() const {
-  struct Read {
+  struct ReadNow {
     Instant operator()(const SteadyClock& steady) const { return steady.Now(); }
     Instant operator()(const ManualClock* manual) const {
       return manual->Now();
     }
   };
-  return std::visit(Read{}, this->source);
+  return std::visit(ReadNow{}, this->source);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/clock.h
+++ b/dragonflyglade/decision/clock.h
@@ -8,7 +8,7 @@
 
 namespace dragonflyglade {
 
-/// A point on a clock that never goes back, as the time since its start.
+/// A point in time on a monotonic clock, as the time since the clock's start.
 using Instant = absl::Duration;
 
 /// The machine's monotonic clock.
@@ -16,7 +16,8 @@
   Instant Now() const;
 };
 
-/// A clock that moves only when told to, for tests and measurements.
+/// A clock that advances only when Advance is called, for tests and
+/// simulations.
 class ManualClock {
  public:
   Instant Now() const;
@@ -28,7 +29,7 @@
   Instant now ABSL_GUARDED_BY(mutex) = absl::ZeroDuration();
 };
 
-/// The clock that a decision reads. A ManualClock must outlive it.
+/// Reads the steady clock or a ManualClock, which must outlive this object.
 class Clock {
  public:
   explicit Clock(std::variant<SteadyClock, const ManualClock*> source);
--- a/dragonflyglade/decision/demand_book.cc
+++ b/dragonflyglade/decision/demand_book.cc
@@ -5,16 +5,16 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr double kForgottenRate = 0.01;
+constexpr double kNegligibleTokensPerSecond = 0.01;
 
 }  // namespace
 
-DemandBook::DemandBook(absl::Duration memory, Clock clock)
-    : memory(memory), clock(clock) {}
+DemandBook::DemandBook(absl::Duration time_constant, Clock clock)
+    : time_constant(time_constant), clock(clock) {}
 
-double DemandBook::Faded(const Average& average, Instant now) const {
+double DemandBook::Decayed(const Average& average, Instant now) const {
   return average.rate *
-         std::exp(-absl::FDivDuration(now - average.at, this->memory));
+         std::exp(-absl::FDivDuration(now - average.updated, this->time_constant));
 }
 
 void DemandBook::Add(std::string_view model, double tokens) {
@@ -24,9 +24,9 @@
   Average& average = found != this->averages.end()
                          ? found->second
                          : this->averages[std::string(model)];
-  average.rate =
-      this->Faded(average, now) + tokens / absl::ToDoubleSeconds(this->memory);
-  average.at = now;
+  average.rate = this->Decayed(average, now) +
+                 tokens / absl::ToDoubleSeconds(this->time_constant);
+  average.updated = now;
 }
 
 std::map<std::string, double> DemandBook::Rates() {
@@ -34,8 +34,8 @@
   const Instant now = this->clock.Now();
   std::map<std::string, double> rates;
   for (auto it = this->averages.begin(); it != this->averages.end();) {
-    const double rate = this->Faded(it->second, now);
-    if (rate < kForgottenRate) {
+    const double rate = this->Decayed(it->second, now);
+    if (rate < kNegligibleTokensPerSecond) {
       it = this->averages.erase(it);
       continue;
     }
--- a/dragonflyglade/decision/demand_book.h
+++ b/dragonflyglade/decision/demand_book.h
@@ -10,28 +10,28 @@
 
 namespace dragonflyglade {
 
-/// How many tokens a second this instance's callers ask of each model, as an
-/// average that fades. Thread-safe.
+/// The rate, in tokens per second, at which callers of this instance request
+/// each model, as an exponentially decaying average. Thread-safe.
 class DemandBook {
  public:
-  /// @param memory time after which old demand counts for a third
-  DemandBook(absl::Duration memory, Clock clock);
+  /// @param time_constant time in which past demand decays to 1/e
+  DemandBook(absl::Duration time_constant, Clock clock);
 
-  /// Callers asked for tokens of a model.
+  /// Adds tokens that a caller requested of a model.
   void Add(std::string_view model, double tokens);
 
-  /// Models with demand, in tokens a second.
+  /// The rate of each model with demand, in tokens per second.
   std::map<std::string, double> Rates();
 
  private:
   struct Average {
     double rate = 0;
-    Instant at;
+    Instant updated;
   };
 
-  double Faded(const Average& average, Instant now) const;
+  double Decayed(const Average& average, Instant now) const;
 
-  const absl::Duration memory;
+  const absl::Duration time_constant;
   const Clock clock;
   absl::Mutex mutex;
   std::map<std::string, Average, std::less<>> averages ABSL_GUARDED_BY(mutex);
--- a/dragonflyglade/decision/failure.cc
+++ b/dragonflyglade/decision/failure.cc
@@ -5,7 +5,7 @@
 namespace dragonflyglade {
 namespace {
 
-class Category : public std::error_category {
+class ErrcCategory : public std::error_category {
  public:
   const char* name() const noexcept override { return "dragonflyglade"; }
 
@@ -49,7 +49,7 @@
 }  // namespace
 
 const std::error_category& DragonflygladeCategory() {
-  static const Category kCategory;
+  static const ErrcCategory kCategory;
   return kCategory;
 }
 
--- a/dragonflyglade/decision/failure.h
+++ b/dragonflyglade/decision/failure.h
@@ -9,7 +9,7 @@
 
 namespace dragonflyglade {
 
-/// What went wrong, in the terms that callers and operators act upon.
+/// Error codes, as fine as callers and operators need to tell errors apart.
 enum class Errc {
   kInvalidArgument = 1,
   kInvalidSettings,
@@ -28,17 +28,17 @@
   kNotHeld,
 };
 
-/// The category of Errc; its messages are whole phrases.
+/// The error category of Errc.
 const std::error_category& DragonflygladeCategory();
 
 std::error_code make_error_code(Errc code);  // NOLINT: the name is std's.
 
-/// An error together with the step and the peer at which it arose.
+/// An error with the step that failed and the peer it concerns.
 struct Failure {
   std::error_code code;
-  std::string step;    ///< what was being done, e.g. "txn"
-  std::string peer;    ///< with whom, e.g. "kv 127.0.0.1:2379"
-  std::string detail;  ///< what was found; may be empty
+  std::string step;    ///< operation that failed, e.g. "txn"
+  std::string peer;    ///< other side of it, e.g. "kv 127.0.0.1:2379"
+  std::string detail;  ///< cause or value that was found; may be empty
 
   /// One line for logs and messages: "step at peer: message (detail)".
   std::string ToString() const;
@@ -48,7 +48,7 @@
 Failure MakeFailure(Errc code, std::string_view step, std::string_view peer,
                     std::string_view detail = {});
 
-/// A value or the failure that took its place.
+/// Either a value or the failure for which there is none.
 template <typename T>
 class Result {
  public:
@@ -68,7 +68,7 @@
   std::variant<T, Failure> state;
 };
 
-/// The result of a step that yields nothing.
+/// The result of a step that has no value.
 struct Done {};
 using Status = Result<Done>;
 
--- a/dragonflyglade/decision/freshness.cc
+++ b/dragonflyglade/decision/freshness.cc
@@ -17,20 +17,22 @@
   return this->clock.Now() - this->confirmed;
 }
 
-// Failure: an instance that lost the key-value service goes on while others
-// still have it, and a key withdrawn there still works here. A stale instance
-// cannot tell an outage from its own isolation, but every other instance
-// passes freshness on by heartbeat: if all that the platform lists are in
-// contact and it is still stale, none of them reaches the service. Then no
-// withdrawal can be in force anywhere, and serving on is safe. If one of them
-// is out of contact, that one may know more, so new work is refused.
+// Failure: an instance that lost the key-value service goes on serving while
+// others still reach the service, so a key that was withdrawn there still works
+// here. By its own age a stale instance cannot tell an outage of the service
+// from its own isolation. But heartbeats pass on how fresh the configuration of
+// each instance is: if all instances that the platform lists are reachable and
+// this one is still stale, none of them reaches the service. Then no withdrawal
+// can have taken effect anywhere, and it is safe to go on serving. If one of
+// them is unreachable, it may have a newer configuration, so new work is
+// refused.
 AdmissionRight Freshness::Right(const Reach& reach) const {
   const absl::Duration age = this->Age();
   if (age == absl::InfiniteDuration()) return AdmissionRight::kNeverReady;
   if (age <= this->bound) return AdmissionRight::kFresh;
-  const bool alone = reach.listed_others == 0;
-  const bool whole = reach.reachable_others >= reach.listed_others;
-  if (!alone && whole) return AdmissionRight::kOutage;
+  const bool has_no_peers = reach.listed_others == 0;
+  const bool all_reachable = reach.reachable_others >= reach.listed_others;
+  if (!has_no_peers && all_reachable) return AdmissionRight::kOutage;
   return AdmissionRight::kCutOff;
 }
 
--- a/dragonflyglade/decision/freshness.h
+++ b/dragonflyglade/decision/freshness.h
@@ -6,35 +6,36 @@
 
 namespace dragonflyglade {
 
-/// Whether new work may be admitted under the configuration at hand.
+/// How current the local configuration is, which decides whether new work is
+/// admitted.
 enum class AdmissionRight {
-  kFresh,       ///< confirmed against the key-value service within the bound
-  kOutage,      ///< nobody reaches the key-value service; serve the last one
-  kCutOff,      ///< others may follow a newer configuration; refuse new work
-  kNeverReady,  ///< no configuration was ever complete here
+  kFresh,       ///< known to be current within the bound; admit
+  kOutage,      ///< no instance reaches the key-value service; admit
+  kCutOff,      ///< other instances may have a newer one; refuse new work
+  kNeverReady,  ///< no complete configuration was ever received; refuse
 };
 
-/// How the instance stands among those that the platform lists.
+/// How many of the instances that the platform lists this instance reaches.
 struct Reach {
-  int listed_others = 0;     ///< listed, not leaving, other than self
-  int reachable_others = 0;  ///< of those, how many answer heartbeats
+  int listed_others = 0;     ///< listed, not leaving, other than this instance
+  int reachable_others = 0;  ///< of those, how many respond to heartbeats
 };
 
-/// Tracks when the configuration was last known to be the newest.
+/// Tracks when the configuration was last known to be current.
 /// Thread-safe.
 class Freshness {
  public:
   /// @param bound age up to which the configuration counts as fresh
   Freshness(absl::Duration bound, Clock clock);
 
-  /// The configuration was the newest at this instant.
+  /// Records that the configuration was current at this time.
   void ConfirmedAt(Instant at);
 
-  /// Time since the configuration was last known to be the newest; infinite
-  /// if it never was.
+  /// Time since the configuration was last known to be current; infinite if it
+  /// never was.
   absl::Duration Age() const;
 
-  /// Decides whether to admit new work.
+  /// Decides whether new work may be admitted.
   AdmissionRight Right(const Reach& reach) const;
 
  private:
--- a/dragonflyglade/decision/leaky_bucket.cc
+++ b/dragonflyglade/decision/leaky_bucket.cc
@@ -6,12 +6,12 @@
 
 void LeakyBucket::Add(double amount, Instant now) {
   this->amount = this->Level(now) + amount;
-  this->at = now;
+  this->updated = now;
 }
 
 double LeakyBucket::Level(Instant now) const {
   const double drained =
-      this->per_ms * absl::ToDoubleMilliseconds(now - this->at);
+      this->drained_per_ms * absl::ToDoubleMilliseconds(now - this->updated);
   return std::max(0.0, this->amount - drained);
 }
 
--- a/dragonflyglade/decision/leaky_bucket.h
+++ b/dragonflyglade/decision/leaky_bucket.h
@@ -5,22 +5,23 @@
 
 namespace dragonflyglade {
 
-/// An amount that grows when something is added and drains at a steady rate:
-/// work that waits where nobody tells when it is done. Not synchronised.
+/// An amount that additions increase and that drains at a constant rate.
+/// Estimates the backlog where no completion is reported. Not synchronised.
 class LeakyBucket {
  public:
-  /// @param per_ms what drains in a millisecond
-  explicit LeakyBucket(double per_ms) : per_ms(per_ms) {}
+  /// @param drained_per_ms amount that drains in a millisecond
+  explicit LeakyBucket(double drained_per_ms)
+      : drained_per_ms(drained_per_ms) {}
 
   void Add(double amount, Instant now);
 
-  /// What has not drained yet.
+  /// The amount that has not drained yet.
   double Level(Instant now) const;
 
  private:
-  double per_ms;
+  double drained_per_ms;
   double amount = 0;
-  Instant at;
+  Instant updated;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/load_ceiling.cc
+++ b/dragonflyglade/decision/load_ceiling.cc
@@ -6,23 +6,24 @@
 namespace dragonflyglade {
 namespace {
 
-// Loads that may begin beside what the rate allows in a window.
-constexpr int kBeside = 3;
-// Kept back for an order of an earlier holder that is carried out late.
-constexpr int kInReserve = 2;
+// Loads that may begin in a window in addition to what the rate allows.
+constexpr int kExtraLoads = 3;
+// Loads kept in reserve for orders of an earlier leader that engines carry out
+// late.
+constexpr int kReservedLoads = 2;
 
 }  // namespace
 
 LoadCeiling::LoadCeiling(LoadCeilingOptions options, Clock clock)
     : options(options), clock(std::move(clock)) {}
 
-int LoadCeiling::Allowed(double loads_per_second) const {
+int LoadCeiling::AllowedPerWindow(double loads_per_second) const {
   const double window = absl::ToDoubleSeconds(this->options.window);
-  const double rate = loads_per_second * window * this->options.overage;
-  return static_cast<int>(rate) + kBeside - kInReserve;
+  const double by_rate = loads_per_second * window * this->options.overage;
+  return static_cast<int>(by_rate) + kExtraLoads - kReservedLoads;
 }
 
-int LoadCeiling::Since(absl::Duration span) const {
+int LoadCeiling::CountSince(absl::Duration span) const {
   const Instant from = this->clock.Now() - span;
   return static_cast<int>(
       std::count_if(this->begun.begin(), this->begun.end(),
@@ -30,10 +31,11 @@
 }
 
 void LoadCeiling::TakenOver(double loads_per_second) {
-  // The last moment at which the holder before can have begun them.
-  const Instant then = this->clock.Now() - this->options.quiet_between_holders;
-  const int half = (this->Allowed(loads_per_second) + 1) / 2;
-  this->begun.assign(static_cast<std::size_t>(half), then);
+  // The latest time at which the previous leader can have begun loads.
+  const Instant latest =
+      this->clock.Now() - this->options.quiet_between_holders;
+  const int half = (this->AllowedPerWindow(loads_per_second) + 1) / 2;
+  this->begun.assign(static_cast<std::size_t>(half), latest);
 }
 
 void LoadCeiling::Began() { this->begun.push_back(this->clock.Now()); }
@@ -43,12 +45,12 @@
   while (!this->begun.empty() && this->begun.front() < oldest) {
     this->begun.pop_front();
   }
-  const int allowed = this->Allowed(loads_per_second);
-  const int in_window = allowed - static_cast<int>(this->begun.size());
-  const absl::Duration unseen =
+  const int allowed = this->AllowedPerWindow(loads_per_second);
+  const int left_in_window = allowed - static_cast<int>(this->begun.size());
+  const absl::Duration remainder =
       this->options.window - this->options.quiet_between_holders;
-  const int at_once = (allowed + 1) / 2 - this->Since(unseen);
-  return std::max(0, std::min(in_window, at_once));
+  const int left_in_remainder = (allowed + 1) / 2 - this->CountSince(remainder);
+  return std::max(0, std::min(left_in_window, left_in_remainder));
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/load_ceiling.h
+++ b/dragonflyglade/decision/load_ceiling.h
@@ -8,37 +8,38 @@
 
 namespace dragonflyglade {
 
-/// How many loads the weight store takes.
+/// How many model loads the weight store accepts.
 struct LoadCeilingOptions {
   absl::Duration window = absl::Seconds(5);
-  double overage = 1;  ///< times the rate in a window
-  /// A holder's orders come at least this long after those of the one before.
+  double overage = 1;  ///< factor on the rate over a window
+  /// Least time between the last order of one leader and the first of the next.
   absl::Duration quiet_between_holders = absl::Seconds(3);
 };
 
-/// Keeps the loads that begin in any window below what the weight store
-/// allows, also while the duty of placing passes on. Not synchronised.
+/// Limits how many model loads begin in any window to what the weight store
+/// allows, also across a change of leader. Not synchronised.
 ///
-/// A new holder does not know what the one before began. Of a window that is
-/// longer than the quiet time between them, the first part is the other's. So
-/// no holder begins more than half of a window's loads within a time of that
-/// length, and each new one takes that half as used.
+/// A new leader does not know which loads its predecessor began. A window is
+/// longer than the handover delay between them by some remainder, and the
+/// predecessor may have begun loads in that remainder. So no leader begins more
+/// than half of a window's loads within a time as long as the remainder, and
+/// each new leader counts that half as begun already.
 class LoadCeiling {
  public:
   LoadCeiling(LoadCeilingOptions options, Clock clock);
 
-  /// The duty was just taken over; orders may go out from now on.
+  /// To be called when this instance has become leader and may give orders.
   void TakenOver(double loads_per_second);
 
-  /// A load begins, or may begin.
+  /// Counts a load that begins or may have begun.
   void Began();
 
-  /// How many may begin now.
+  /// How many loads may begin now.
   int Left(double loads_per_second);
 
  private:
-  int Allowed(double loads_per_second) const;
-  int Since(absl::Duration span) const;
+  int AllowedPerWindow(double loads_per_second) const;
+  int CountSince(absl::Duration span) const;
 
   const LoadCeilingOptions options;
   const Clock clock;
--- a/dragonflyglade/decision/membership.cc
+++ b/dragonflyglade/decision/membership.cc
@@ -8,12 +8,13 @@
 namespace dragonflyglade {
 namespace {
 
-// A fleet of eight has doubled this often.
-constexpr double kSmallDoublings = 3;
+// log2 of the fleet size up to which the suspicion timeout does not grow.
+constexpr double kSmallFleetLog2 = 3;
 
+// Number of other members from which the large fleet's period applies.
 constexpr std::size_t kLargeFleet = 16;
-// How often a statement that changes nothing for callers is passed on.
-constexpr int kCalmSends = 3;
+// How often an update is sent that does not affect where callers are sent.
+constexpr int kMaxRoutineSends = 3;
 
 bool IsNewer(const MemberStatement& a, const MemberStatement& b) {
   return std::tie(a.incarnation, a.sequence, a.state) >
@@ -34,7 +35,8 @@
     if (listed.info.name == this->self.info.name) continue;
     const auto found = this->members.find(listed.info.name);
     if (found == this->members.end()) {
-      // Nothing was heard of it yet: incarnation 0 yields to any heartbeat.
+      // No heartbeat came from it yet. Every incarnation that a heartbeat
+      // carries is newer than 0.
       MemberStatement statement;
       statement.info = listed.info;
       statement.leaving = listed.leaving;
@@ -48,8 +50,8 @@
 
 std::optional<MemberStatement> Membership::NextToProbe() {
   absl::MutexLock lock(&this->mutex);
-  // A shuffled round visits everybody before anybody twice, which bounds the
-  // time until a failure is noticed.
+  // A shuffled round probes every member once before any of them again, which
+  // bounds the time until a failure is detected.
   for (int attempt = 0; attempt < 2; ++attempt) {
     while (!this->round.empty()) {
       const std::string name = std::move(this->round.back());
@@ -57,8 +59,8 @@
       const auto found = this->members.find(name);
       if (found == this->members.end()) continue;
       const MemberStatement& statement = found->second.statement;
-      // The dead are still asked while the list names them: a false death
-      // ends when they answer.
+      // Dead members are still probed while the list names them: if one was
+      // declared dead by mistake, its response makes it alive again.
       if (statement.state != MemberState::kDead || this->IsListed(name)) {
         return statement;
       }
@@ -86,23 +88,24 @@
   return live;
 }
 
-// Failure: a fleet that starts has hundreds of statements to pass on; news of
-// a death waits behind them, and meanwhile callers are sent to the dead. What
-// was sent least often goes first, so news overtakes what is nearly known.
+// Failure: a starting fleet has hundreds of updates to send. If the update that
+// an instance is dead waits behind them, callers are sent to that instance
+// meanwhile. So urgent updates are sent first, then those that were sent least
+// often: new updates overtake those that most instances have already.
 std::vector<MemberStatement> Membership::Updates(std::string_view to) {
   absl::MutexLock lock(&this->mutex);
   const std::size_t count =
-      std::min(this->options.updates_per_message, this->pending.size());
-  std::partial_sort(this->pending.begin(),
-                    this->pending.begin() + static_cast<std::ptrdiff_t>(count),
-                    this->pending.end(),
-                    [](const Pending& a, const Pending& b) {
+      std::min(this->options.updates_per_message, this->queue.size());
+  std::partial_sort(this->queue.begin(),
+                    this->queue.begin() + static_cast<std::ptrdiff_t>(count),
+                    this->queue.end(),
+                    [](const QueuedUpdate& a, const QueuedUpdate& b) {
                       return std::make_pair(!a.urgent, a.times_sent) <
                              std::make_pair(!b.urgent, b.times_sent);
                     });
   std::vector<MemberStatement> updates;
   for (std::size_t i = 0; i < count; ++i) {
-    Pending& next = this->pending[i];
+    QueuedUpdate& next = this->queue[i];
     ++next.times_sent;
     const auto found = this->members.find(next.name);
     if (found != this->members.end()) {
@@ -110,20 +113,22 @@
     }
   }
   const double fleet = static_cast<double>(this->members.size() + 1);
-  const int most = this->options.spread_factor *
-                   static_cast<int>(std::ceil(std::log2(fleet + 1)));
-  this->pending.erase(std::remove_if(this->pending.begin(), this->pending.end(),
-                                     [most](const Pending& sent) {
-                                       const int limit =
-                                           sent.urgent ? most : kCalmSends;
-                                       return sent.times_sent >= limit;
-                                     }),
-                      this->pending.end());
-  // Whoever is judged suspect or dead is told so, and can refute.
-  const auto receiver = this->members.find(to);
-  if (receiver != this->members.end() &&
-      receiver->second.statement.state != MemberState::kAlive) {
-    updates.push_back(receiver->second.statement);
+  const int max_urgent_sends =
+      this->options.spread_factor *
+      static_cast<int>(std::ceil(std::log2(fleet + 1)));
+  this->queue.erase(
+      std::remove_if(this->queue.begin(), this->queue.end(),
+                     [max_urgent_sends](const QueuedUpdate& sent) {
+                       const int limit =
+                           sent.urgent ? max_urgent_sends : kMaxRoutineSends;
+                       return sent.times_sent >= limit;
+                     }),
+      this->queue.end());
+  // A recipient that is suspect or dead learns of it and can refute.
+  const auto recipient = this->members.find(to);
+  if (recipient != this->members.end() &&
+      recipient->second.statement.state != MemberState::kAlive) {
+    updates.push_back(recipient->second.statement);
   }
   return updates;
 }
@@ -136,18 +141,19 @@
                            std::tie(found->second.statement.incarnation,
                                     found->second.statement.sequence) ==
                                std::tie(sender.incarnation, sender.sequence);
-  if (!this->TakeStatement(sender) && was_current) {
-    // Heard directly: it lives, whatever was suspected, and its load is new.
+  if (!this->Apply(sender) && was_current) {
+    // Its own heartbeat proves that it is alive, whatever was suspected, and
+    // brings its current load.
     Member& member = found->second;
     member.statement.load_permille = sender.load_permille;
     if (member.statement.state != MemberState::kAlive) {
-      this->Judge(member, MemberState::kAlive);
+      this->SetState(member, MemberState::kAlive);
     }
   }
-  for (const MemberStatement& update : updates) this->TakeStatement(update);
+  for (const MemberStatement& update : updates) this->Apply(update);
 }
 
-bool Membership::TakeStatement(const MemberStatement& statement) {
+bool Membership::Apply(const MemberStatement& statement) {
   if (statement.info.name.empty()) return false;
   if (statement.info.name == this->self.info.name) {
     this->Refute(statement);
@@ -164,7 +170,7 @@
   Member& member = found->second;
   if (!IsNewer(statement, member.statement)) return false;
   if (statement.state != member.statement.state) {
-    member.since = this->clock.Now();
+    member.state_since = this->clock.Now();
   }
   member.statement = statement;
   this->Queue(statement);
@@ -172,13 +178,15 @@
 }
 
 // Failure: a few lost datagrams make others suspect a healthy instance, and
-// callers are steered away from it. A statement with a higher sequence can
-// only come from the instance itself, so it overrules every suspicion.
+// callers are sent elsewhere. Only the instance itself increases its sequence,
+// so an update with a higher sequence proves that it is alive and overrules
+// every suspicion.
 void Membership::Refute(const MemberStatement& statement) {
   if (statement.incarnation > this->self.incarnation) return;
   if (statement.state == MemberState::kAlive) return;
-  // Whoever knew this instance only from the list suspects incarnation 0; a
-  // raised sequence makes the news that it lives travel as a refutation.
+  // An instance that knew this one only from the list suspects incarnation 0.
+  // Increasing the sequence for that too makes the update that this instance is
+  // alive an urgent one.
   const bool is_of_this_process =
       statement.incarnation == this->self.incarnation;
   const std::int64_t refuted = is_of_this_process ? statement.sequence : 0;
@@ -190,11 +198,12 @@
   const auto found = this->members.find(name);
   if (found == this->members.end()) return;
   if (found->second.statement.state != MemberState::kAlive) return;
-  this->Judge(found->second, MemberState::kSuspect);
+  this->SetState(found->second, MemberState::kSuspect);
 }
 
-// In a small fleet each member is heard often, and the balances of its buckets
-// stay current; in a large one the bytes count.
+// Heartbeats also carry the balances of token buckets. A small fleet can afford
+// frequent heartbeats, which keep the balances current; a large one has to
+// limit the bytes sent.
 absl::Duration Membership::Period() const {
   absl::MutexLock lock(&this->mutex);
   if (this->members.size() < kLargeFleet) return this->options.period;
@@ -204,28 +213,28 @@
 void Membership::Tick() {
   absl::MutexLock lock(&this->mutex);
   const Instant now = this->clock.Now();
-  const absl::Duration suspicion = this->Suspicion();
+  const absl::Duration suspicion = this->SuspicionTimeout();
   for (auto it = this->members.begin(); it != this->members.end();) {
     Member& member = it->second;
-    const absl::Duration lasted = now - member.since;
+    const absl::Duration time_in_state = now - member.state_since;
     if (member.statement.state == MemberState::kSuspect &&
-        lasted >= suspicion) {
-      this->Judge(member, MemberState::kDead);
+        time_in_state >= suspicion) {
+      this->SetState(member, MemberState::kDead);
     }
     const bool forgotten = member.statement.state == MemberState::kDead &&
-                           lasted >= this->options.forget_after &&
+                           time_in_state >= this->options.forget_after &&
                            !this->IsListed(it->first);
     it = forgotten ? this->members.erase(it) : std::next(it);
   }
 }
 
-// Failure: in a large fleet a suspect's refutation is still on its way when
-// the suspicion runs out, and a healthy instance is taken for dead by hundreds
-// of others at once.
-absl::Duration Membership::Suspicion() const {
-  const double doublings =
+// Failure: in a large fleet the suspicion timeout passes while the refutation
+// is still on its way, and hundreds of instances declare a healthy one dead at
+// once. So the timeout grows with the time that an update takes to spread.
+absl::Duration Membership::SuspicionTimeout() const {
+  const double fleet_log2 =
       std::ceil(std::log2(static_cast<double>(this->members.size() + 2)));
-  return this->options.suspicion * std::max(1.0, doublings / kSmallDoublings);
+  return this->options.suspicion * std::max(1.0, fleet_log2 / kSmallFleetLog2);
 }
 
 void Membership::Leave() {
@@ -305,21 +314,21 @@
 }
 
 void Membership::Queue(const MemberStatement& statement) {
-  Pending entry;
+  QueuedUpdate entry;
   entry.name = statement.info.name;
   entry.urgent = statement.state != MemberState::kAlive || statement.leaving ||
                  statement.sequence > 0;
-  for (Pending& waiting : this->pending) {
-    if (waiting.name != entry.name) continue;
-    waiting = std::move(entry);
+  for (QueuedUpdate& queued : this->queue) {
+    if (queued.name != entry.name) continue;
+    queued = std::move(entry);
     return;
   }
-  this->pending.push_back(std::move(entry));
+  this->queue.push_back(std::move(entry));
 }
 
-void Membership::Judge(Member& member, MemberState state) {
+void Membership::SetState(Member& member, MemberState state) {
   member.statement.state = state;
-  member.since = this->clock.Now();
+  member.state_since = this->clock.Now();
   this->Queue(member.statement);
 }
 
--- a/dragonflyglade/decision/membership.h
+++ b/dragonflyglade/decision/membership.h
@@ -15,14 +15,14 @@
 
 namespace dragonflyglade {
 
-/// How an instance is judged.
+/// State of an instance in the failure detector.
 enum class MemberState {
   kAlive = 0,
-  kSuspect = 1,  ///< missed heartbeats; may still refute
-  kDead = 2,
+  kSuspect = 1,  ///< did not respond; can still refute the suspicion
+  kDead = 2,     ///< did not refute within the suspicion timeout
 };
 
-/// How to reach an instance and where it stands.
+/// Name, addresses and location of an instance.
 struct MemberInfo {
   std::string name;
   std::string address;  ///< IP number
@@ -31,15 +31,15 @@
   std::string zone;  ///< availability zone
 };
 
-/// One statement about an instance. The one with the higher
-/// (incarnation, sequence, state) holds.
+/// What is known of one instance, as heartbeats carry it. Of two for the same
+/// instance, the one with the higher (incarnation, sequence, state) is newer.
 struct MemberStatement {
   MemberInfo info;
-  std::int64_t incarnation = 0;  ///< the process start, in microseconds
-  std::int64_t sequence = 0;     ///< raised by the instance itself only
+  std::int64_t incarnation = 0;  ///< start time of its process, in µs
+  std::int64_t sequence = 0;     ///< increased by the instance itself only
   MemberState state = MemberState::kAlive;
-  bool leaving = false;   ///< finishing its work before it exits
-  int load_permille = 0;  ///< of its request slots in use
+  bool leaving = false;   ///< finishes its requests and then exits
+  int load_permille = 0;  ///< share of its request slots in use
 };
 
 /// One instance on the platform's list.
@@ -54,57 +54,68 @@
   std::vector<ListedInstance> instances;
 };
 
-/// Paces of the failure detector.
+/// Intervals and fan-out of the failure detector.
 struct MembershipOptions {
-  /// How often an instance sends a heartbeat; a large fleet's at least.
+  /// Interval between the heartbeats that an instance sends.
   absl::Duration period = absl::Milliseconds(300);
+  /// Lower bound of that interval in a large fleet.
   absl::Duration large_fleet_period = absl::Milliseconds(500);
-  /// How long a suspect of a small fleet has to refute before it counts as
-  /// dead; it grows with log2 of the fleet, as the time that news takes.
+  /// Time that a suspect has in a small fleet to refute before it is declared
+  /// dead. Grows with log2 of the fleet's size, as does the time that an update
+  /// takes to reach all instances.
   absl::Duration suspicion = absl::Seconds(3);
-  /// How long a dead instance that the list lacks is remembered.
+  /// How long a dead instance that is not on the platform's list is remembered.
   absl::Duration forget_after = absl::Seconds(60);
-  /// How many statements go with one heartbeat.
+  /// Most updates that one heartbeat carries.
   std::size_t updates_per_message = 4;
-  /// How often each statement is passed on, times log2 of the fleet.
+  /// An update is sent this many times log2 of the fleet's size.
   int spread_factor = 2;
 };
 
-/// Who is in the fleet, from the platform's list and heartbeats.
+/// The instances of the fleet, known from the platform's list and from
+/// heartbeats, and a failure detector in the manner of SWIM.
 ///
-/// Each round asks one instance in random order; one that does not answer is
-/// asked by others before it is suspected, and a suspect that hears of it
-/// refutes. The cost an instance does not grow with the fleet.
+/// Each period, an instance probes one other in random order. If that does not
+/// respond, other instances probe it before it is suspected; a suspect that
+/// hears of the suspicion refutes it. The cost per instance does not grow with
+/// the fleet.
 /// Thread-safe.
 class Membership {
  public:
   Membership(MemberStatement self, MembershipOptions options, Clock clock,
              std::uint64_t seed);
 
-  /// Takes the platform's list unless a newer one was taken.
+  /// Applies the platform's list of instances, unless it is older than the
+  /// current one.
   void TakeList(const InstanceList& list);
 
-  /// The instance to send the next heartbeat to, if there is any other.
+  /// The instance to send the next heartbeat to; nothing if no other instance
+  /// is known.
   std::optional<MemberStatement> NextToProbe();
 
-  /// Up to count random live instances other than self and except.
+  /// Up to count instances that are alive, chosen at random, without this one
+  /// and the one named except.
   std::vector<MemberStatement> RandomLive(std::size_t count,
                                           std::string_view except);
 
-  /// The statements to send with a heartbeat to an instance.
+  /// The updates to send with the next heartbeat to an instance, and counts
+  /// them as sent.
   std::vector<MemberStatement> Updates(std::string_view to);
 
-  /// Takes statements from a heartbeat. The sender itself was heard.
+  /// Applies a heartbeat: what its sender says of itself, and the updates that
+  /// it passes on.
   void Receive(const MemberStatement& sender,
                absl::Span<const MemberStatement> updates);
 
-  /// An instance answered neither directly nor through others.
+  /// Suspects an instance that responded neither to this instance's probe nor
+  /// to those of others.
   void Missed(std::string_view name);
 
-  /// The time until the next heartbeat is due.
+  /// The interval between heartbeats at the fleet's present size.
   absl::Duration Period() const;
 
-  /// Turns suspects whose time is up into dead and forgets old dead.
+  /// Declares suspects dead whose suspicion timeout has passed, and forgets
+  /// instances that have been dead for long and are not listed.
   void Tick();
 
   /// Announces that this instance is leaving.
@@ -116,47 +127,53 @@
   /// Sets the load that this instance announces, in permille.
   void SetLoad(int load_permille);
 
-  /// What this instance says of itself.
+  /// What this instance announces of itself.
   MemberStatement Self() const;
 
-  /// All instances known, self included.
+  /// All known instances, including this one.
   std::vector<MemberStatement> All() const;
 
-  /// Names of instances that are not dead and not leaving, self included.
-  /// Those that the list names count before they are heard of, so that all
-  /// instances soon agree on who is there.
+  /// Names of the instances, including this one, that are neither dead nor
+  /// leaving. Listed instances count before their first heartbeat, so that all
+  /// instances soon agree on the names.
   std::vector<std::string> Active() const;
 
   /// An instance by name.
   std::optional<MemberStatement> Find(std::string_view name) const;
 
-  /// The newest platform list taken.
+  /// The newest platform list received.
   InstanceList List() const;
 
-  /// How many instances the list names besides self (leaving ones aside),
-  /// and how many of them are alive.
+  /// How many instances the list names, without this one and those that are
+  /// leaving, and how many of these are alive.
   std::pair<int, int> ListedAndAlive() const;
 
  private:
   struct Member {
     MemberStatement statement;
-    Instant since;  ///< of its present state
+    Instant state_since;  ///< when it entered its present state
   };
-  struct Pending {
+  /// An update that still has to be sent to other instances.
+  struct QueuedUpdate {
     std::string name;
     int times_sent = 0;
-    bool urgent = false;  ///< a suspicion, a death, a refutation, a departure
+    bool urgent = false;  ///< a suspicion, failure, refutation or departure
   };
 
-  bool TakeStatement(const MemberStatement& statement)
+  /// Applies an update if it is newer than what is known.
+  /// @return whether it was applied
+  bool Apply(const MemberStatement& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  /// Overrules an update that says this instance is suspect or dead.
   void Refute(const MemberStatement& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  /// Queues an update to be sent to other instances.
   void Queue(const MemberStatement& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void Judge(Member& member, MemberState state)
+  void SetState(Member& member, MemberState state)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  absl::Duration Suspicion() const ABSL_SHARED_LOCKS_REQUIRED(mutex);
+  /// The suspicion timeout at the fleet's present size.
+  absl::Duration SuspicionTimeout() const ABSL_SHARED_LOCKS_REQUIRED(mutex);
   bool IsListed(std::string_view name) const
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
@@ -166,7 +183,8 @@
   MemberStatement self ABSL_GUARDED_BY(mutex);
   std::map<std::string, Member, std::less<>> members ABSL_GUARDED_BY(mutex);
   InstanceList list ABSL_GUARDED_BY(mutex);
-  std::vector<Pending> pending ABSL_GUARDED_BY(mutex);
+  std::vector<QueuedUpdate> queue ABSL_GUARDED_BY(mutex);
+  /// Instances to be probed in the current round, the last one first.
   std::vector<std::string> round ABSL_GUARDED_BY(mutex);
   std::mt19937_64 random ABSL_GUARDED_BY(mutex);
 };
--- a/dragonflyglade/decision/quota_ledger.cc
+++ b/dragonflyglade/decision/quota_ledger.cc
@@ -27,14 +27,14 @@
   if (found->second.empty()) this->grants.erase(found);
 }
 
-// A process that ended before it reported a grant may have spent it, so the
-// grant counts until its window is over.
+// A process that terminated before it reported a grant may have spent it, so
+// the grant counts for a whole window.
 double QuotaLedger::Open(std::string_view workspace) {
   const Instant now = this->clock.Now();
   double open = 0;
   for (auto item = this->grants.begin(); item != this->grants.end();) {
     std::erase_if(item->second, [&](const Grant& grant) {
-      return now - grant.at > this->window;
+      return now - grant.granted_at > this->window;
     });
     for (const Grant& grant : item->second) {
       if (grant.workspace == workspace) open += grant.tokens;
--- a/dragonflyglade/decision/quota_ledger.h
+++ b/dragonflyglade/decision/quota_ledger.h
@@ -12,24 +12,27 @@
 
 namespace dragonflyglade {
 
-/// What was granted of quotas and is not yet among what instances report as
-/// spent. Kept where the fleet's spending is summed up. Not synchronised.
+/// The quota grants that the leader has made and that the instances' reports of
+/// spending do not cover yet. Not synchronised.
 class QuotaLedger {
  public:
-  /// @param window after which a grant counts no longer in any case
+  /// @param window time after which a grant is dropped even if unreported
   QuotaLedger(absl::Duration window, Clock clock);
 
-  /// Books a grant. The same number of a process again is the same grant.
-  /// @param process that asked; numbers grow within it
-  /// @return whether it is new
+  /// Records a grant. Idempotent: a number that the process has used already
+  /// denotes the same grant.
+  /// @param process the process that asked for the grant
+  /// @param number of the grant; increases within a process
+  /// @return whether the grant is new
   bool Add(std::string_view process, std::int64_t number,
            std::string_view workspace, double tokens);
 
-  /// The process's report counts all its grants up to this number.
+  /// Drops the grants of a process up to a number, since its report covers
+  /// them.
   void Reported(std::string_view process, std::int64_t through);
 
-  /// Tokens granted and not yet reported.
-  /// Complexity: linear in the open grants.
+  /// Tokens that were granted to a workspace and are not reported yet.
+  /// Complexity: linear in the unreported grants of all workspaces.
   double Open(std::string_view workspace);
 
   void Clear() { this->grants.clear(); }
@@ -39,12 +42,13 @@
     std::int64_t number = 0;
     std::string workspace;
     double tokens = 0;
-    Instant at;
+    Instant granted_at;
   };
 
   const absl::Duration window;
   const Clock clock;
-  std::map<std::string, std::vector<Grant>, std::less<>> grants;
+  std::map<std::string, std::vector<Grant>, std::less<>>
+      grants;  ///< by process
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/quota_owners.cc
+++ b/dragonflyglade/decision/quota_owners.cc
@@ -10,56 +10,61 @@
 QuotaOwners::QuotaOwners(absl::Duration window, Clock clock)
     : window(window), clock(std::move(clock)), started(this->clock.Now()) {}
 
-Instant QuotaOwners::Oldest() const {
+Instant QuotaOwners::OldestRelevant() const {
   return this->clock.Now() - (kCutOff + this->window);
 }
 
 void QuotaOwners::Follow(absl::Span<const std::string_view> listed) {
   const Instant now = this->clock.Now();
-  this->DropOld();
+  this->RemoveExpired();
   if (listed.empty()) return;
-  this->counts[listed.size()] = now;
+  this->listed_counts[listed.size()] = now;
   for (const std::string_view name : listed) {
-    auto owner = this->owners.find(name);
-    if (owner == this->owners.end()) {
+    auto participant = this->participants.find(name);
+    if (participant == this->participants.end()) {
       const bool from_start = now - this->started < kFleetStarts;
-      owner =
-          this->owners.emplace(std::string(name), Owner{from_start, now, now})
+      participant =
+          this->participants
+              .emplace(std::string(name), Participant{from_start, now, now})
               .first;
     }
-    owner->second.last = now;
+    participant->second.last_listed = now;
   }
 }
 
-// Those that were there from the start are remembered: back in the list, they
-// take their own part up again.
-void QuotaOwners::DropOld() {
-  const Instant oldest = this->Oldest();
-  std::erase_if(this->owners, [&](const auto& item) {
-    return !item.second.from_start && item.second.last < oldest;
+// Participants from the fleet's start are kept: when they are listed again,
+// they have their own share again at once.
+void QuotaOwners::RemoveExpired() {
+  const Instant oldest = this->OldestRelevant();
+  std::erase_if(this->participants, [&](const auto& item) {
+    return !item.second.from_start && item.second.last_listed < oldest;
   });
-  std::erase_if(this->counts,
+  std::erase_if(this->listed_counts,
                 [&](const auto& item) { return item.second < oldest; });
 }
 
-// One that was listed in another's place may spend nothing by itself at first.
-double QuotaOwners::PartOf(const Owner& owner) const {
-  if (owner.from_start) return 1;
-  return JoinedPart(this->clock.Now() - owner.since, this->window);
+// An instance that is listed in the place of another one may spend nothing on
+// its own at first.
+double QuotaOwners::SpendableFraction(const Participant& participant) const {
+  if (participant.from_start) return 1;
+  return JoinedPart(this->clock.Now() - participant.listed_since, this->window);
 }
 
-// Whoever is missed divides the quotas by the instances that it knew last, at
-// the least by the smallest number that was listed lately.
-double QuotaOwners::MissingPart(const std::set<std::string_view>& heard) const {
-  if (this->counts.empty()) return 0;
-  double missing = 0;
-  const Instant oldest = this->Oldest();
-  for (const auto& [name, owner] : this->owners) {
-    if (owner.last < oldest || heard.count(name) > 0) continue;
-    missing += this->PartOf(owner);
+// An instance that does not report divides the quotas by the number of listed
+// instances that it last knew. To withhold enough, this assumes the smallest
+// number of instances that was recently listed.
+double QuotaOwners::MissingPart(
+    const std::set<std::string_view>& reporting) const {
+  if (this->listed_counts.empty()) return 0;
+  double unreported_shares = 0;
+  const Instant oldest = this->OldestRelevant();
+  for (const auto& [name, participant] : this->participants) {
+    if (participant.last_listed < oldest || reporting.count(name) > 0) continue;
+    unreported_shares += this->SpendableFraction(participant);
   }
-  const auto sharing = static_cast<double>(this->counts.begin()->first);
-  return std::min(1.0, missing / sharing);
+  const auto participant_count =
+      static_cast<double>(this->listed_counts.begin()->first);
+  return std::min(1.0, unreported_shares / participant_count);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/quota_owners.h
+++ b/dragonflyglade/decision/quota_owners.h
@@ -13,43 +13,49 @@
 
 namespace dragonflyglade {
 
-/// Which instances may spend a part of the quotas by themselves, and how much
-/// of each quota has to be kept for those that nobody hears.
+/// Tracks which instances may spend a share of the quotas on their own, and how
+/// much of each quota to withhold for those that do not report their spending.
 ///
-/// An instance that left the store's list may live on beyond a partition and
-/// spend its part there. It is told apart from one that the store alone turns
-/// away, which goes on reporting what it spends: nothing is kept for that, nor
-/// for those that are listed in its place. Not synchronised.
+/// An instance that is no longer listed in the store may be running on the
+/// other side of a network partition and spending its share there. An instance
+/// that lost only the store goes on reporting its spending; nothing is withheld
+/// for it, nor for the instances that are listed in its place.
+/// Not synchronised.
 class QuotaOwners {
  public:
-  /// @param window over which quotas are counted
+  /// @param window length of the window in which quotas are counted
   QuotaOwners(absl::Duration window, Clock clock);
 
-  /// Follows which instances callers are sent to; to be told often.
+  /// Updates the instances that callers are sent to. To be called several times
+  /// a window, also when the list has not changed.
   void Follow(absl::Span<const std::string_view> listed);
 
-  /// The part of each quota that instances may be spending unheard, 0 to 1.
-  /// @param heard the instances that report what they spend
-  double MissingPart(const std::set<std::string_view>& heard) const;
+  /// The fraction of each quota, 0 to 1, that instances which do not report may
+  /// be spending.
+  /// @param reporting the instances that report their spending
+  double MissingPart(const std::set<std::string_view>& reporting) const;
 
  private:
-  struct Owner {
-    bool from_start = false;  ///< and not in another's place
-    Instant since;            ///< it was listed, without a long pause
-    Instant last;             ///< seen listed
+  struct Participant {
+    /// Listed since the fleet's start, so not in the place of another one.
+    bool from_start = false;
+    Instant listed_since;  ///< disregarding short absences
+    Instant last_listed;
   };
 
-  /// Whoever was listed last before this cannot be spending any more.
-  Instant Oldest() const;
-  double PartOf(const Owner& owner) const;
-  void DropOld();
+  /// An instance that was last listed before this time has no spending left in
+  /// the window.
+  Instant OldestRelevant() const;
+  /// The fraction of its share that a participant may be spending.
+  double SpendableFraction(const Participant& participant) const;
+  void RemoveExpired();
 
   const absl::Duration window;
   const Clock clock;
   const Instant started;
-  std::map<std::string, Owner, std::less<>> owners;
-  /// How many were listed at once, and when that was last so.
-  std::map<std::size_t, Instant> counts;
+  std::map<std::string, Participant, std::less<>> participants;
+  /// By number of listed instances, when that number was last seen.
+  std::map<std::size_t, Instant> listed_counts;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/quota_window.cc
+++ b/dragonflyglade/decision/quota_window.cc
@@ -7,37 +7,39 @@
 namespace dragonflyglade {
 namespace {
 
-// The window slides in steps of this length; a step counts whole until it is
-// wholly out of the window.
-constexpr absl::Duration kSlice = absl::Milliseconds(100);
-// The part of the overage and slack that is used. The rest covers requests
-// that reach a target later than they are counted here, and the moment in
-// which an instance falls back from the fleet's count to its own.
-constexpr double kUsedExcess = 0.5;
-// See EarnedPart. With 1, a flood of 3 s before a restart of the whole fleet
-// exceeded the window by 0.6 %.
-constexpr double kRestartGrowth = 1.5;
-// The part of its share that an instance spends without asking.
-constexpr double kPartWithoutAsking = 0.5;
-// Summaries come several times a second; after this the instance that sends
-// them is gone, and others may spend unheard.
-constexpr absl::Duration kSummaryHolds = absl::Milliseconds(1200);
+// The window slides in steps of this length. A slice counts in full until all
+// of it has left the window.
+constexpr absl::Duration kSliceLength = absl::Milliseconds(100);
+// The fraction of the overage and slack that admission uses. The rest covers
+// requests that reach a target later than they are counted here, and the moment
+// in which an instance falls back from the fleet's spending to its own.
+constexpr double kUsedExcessFraction = 0.5;
+// See EarnedPart. With 1, a workspace that floods the fleet for 3 s before a
+// restart of all instances exceeds its limit in a window by 0.6 %.
+constexpr double kRestartGrowthExponent = 1.5;
+// The fraction of its share that an instance spends without asking the leader
+// for a grant.
+constexpr double kFractionWithoutGrant = 0.5;
+// Summaries come several times a second. When none has come for this long, the
+// leader that sends them is unreachable, and other instances may spend tokens
+// that this one does not learn of.
+constexpr absl::Duration kSummaryLifetime = absl::Milliseconds(1200);
 
 }  // namespace
 
-// It grows slower at first, since a workspace that floods spends most of its
-// window in a few seconds.
+// Grows slowly at first, since a flooding workspace spends most of a window's
+// quota within a few seconds.
 double EarnedPart(absl::Duration age, absl::Duration window) {
   return std::pow(std::min(1.0, absl::FDivDuration(age, window)),
-                  kRestartGrowth);
+                  kRestartGrowthExponent);
 }
 
-// A fifth counts until the window is over: it covers a workspace that began to
-// flood after its spending was last written down.
+// A fifth counts until the window has passed. It covers a workspace that began
+// to flood after its spending was last recorded.
 double CountedPart(absl::Duration age, absl::Duration window) {
-  constexpr double kCountedToTheEnd = 0.2;
+  constexpr double kMinCountedFraction = 0.2;
   if (age >= window) return 0;
-  return 1 - (1 - kCountedToTheEnd) * EarnedPart(age, window);
+  return 1 - (1 - kMinCountedFraction) * EarnedPart(age, window);
 }
 
 double JoinedPart(absl::Duration listed_for, absl::Duration window) {
@@ -55,56 +57,58 @@
 
 void QuotaWindows::SetInstances(int count) {
   const Instant now = this->clock.Now();
-  const bool stood =
+  const bool lasted =
       now - this->instances_at > kCutOff + this->allowance.window;
-  if (count < this->instances && !stood) return;
+  if (count < this->instances && !lasted) return;
   this->instances = std::max(1, count);
   this->instances_at = now;
 }
 
-// After a restart, what may be spent of a window grows from nothing: the
-// process before may have spent up to its limit, and that leaves the window
-// only with time.
-double QuotaWindows::EarnedAfterStart(std::string_view workspace,
-                                      double whole) const {
-  if (this->nothing_spent_before) return whole;
+// After a restart, the spendable amount grows from 0: the previous process may
+// have spent up to its limit, and that spending leaves the window only with
+// time.
+double QuotaWindows::SpendableAfterRestart(std::string_view workspace,
+                                           double allowed) const {
+  if (this->nothing_spent_before) return allowed;
   const absl::Duration age = this->clock.Now() - this->started;
   const auto spent = this->spent_before.find(workspace);
   if (spent == this->spent_before.end()) {
-    return whole * EarnedPart(age, this->allowance.window);
+    return allowed * EarnedPart(age, this->allowance.window);
   }
   const double counted =
       spent->second * CountedPart(age, this->allowance.window);
-  return std::max(0.0, whole - counted);
+  return std::max(0.0, allowed - counted);
 }
 
-double QuotaWindows::Earned(std::string_view workspace, double whole) const {
+double QuotaWindows::Spendable(std::string_view workspace,
+                               double allowed) const {
   if (!this->listed) return 0;
   const Instant now = this->clock.Now();
-  whole = this->EarnedAfterStart(workspace, whole);
+  allowed = this->SpendableAfterRestart(workspace, allowed);
   if (this->listed_since.has_value()) {
-    whole *= JoinedPart(now - *this->listed_since, this->allowance.window);
+    allowed *= JoinedPart(now - *this->listed_since, this->allowance.window);
   }
-  return whole;
+  return allowed;
 }
 
-// An instance that was listed before it was killed is back in its own place.
+// An instance that was listed before its process was killed gets its own share
+// again.
 void QuotaWindows::SetBefore(std::map<std::string, double, std::less<>> spent,
-                             bool owned_part) {
+                             bool owned_share) {
   if (!this->spent_before.empty()) return;
   this->spent_before = std::move(spent);
-  this->owns_part = this->owns_part || owned_part;
+  this->owns_share = this->owns_share || owned_share;
 }
 
 void QuotaWindows::SetListed(bool listed) {
   if (listed == this->listed) return;
   const Instant now = this->clock.Now();
-  const bool settled = now - this->listed_at >= kFleetStarts;
-  if (!listed && settled && !this->listed_since.has_value()) {
-    this->owns_part = true;
+  const bool after_startup = now - this->listed_at >= kFleetStarts;
+  if (!listed && after_startup && !this->listed_since.has_value()) {
+    this->owns_share = true;
   }
   if (listed) this->listed_at = now;
-  if (listed && !this->owns_part) this->listed_since = now;
+  if (listed && !this->owns_share) this->listed_since = now;
   this->listed = listed;
 }
 
@@ -113,8 +117,8 @@
   return this->clock.Now() - *this->listed_since;
 }
 
-std::int64_t QuotaWindows::SliceNow() const {
-  return this->clock.Now() / kSlice;
+std::int64_t QuotaWindows::CurrentSlice() const {
+  return this->clock.Now() / kSliceLength;
 }
 
 QuotaWindows::Spending& QuotaWindows::Current(std::string_view workspace) {
@@ -124,7 +128,7 @@
   }
   Spending& spending = found->second;
   const std::int64_t oldest =
-      this->SliceNow() - this->allowance.window / kSlice;
+      this->CurrentSlice() - this->allowance.window / kSliceLength;
   while (!spending.slices.empty() && spending.slices.front().number < oldest) {
     spending.sum -= spending.slices.front().tokens;
     spending.slices.pop_front();
@@ -140,71 +144,78 @@
 
 double QuotaWindows::FleetAllowance(const QuotaLimit& limit) const {
   const double seconds = absl::ToDoubleSeconds(this->allowance.window);
-  const double owed = limit.rate * seconds + limit.burst;
-  return owed * (1 + kUsedExcess * this->allowance.overage) +
-         kUsedExcess * this->allowance.slack;
+  const double limit_tokens = limit.rate * seconds + limit.burst;
+  return limit_tokens * (1 + kUsedExcessFraction * this->allowance.overage) +
+         kUsedExcessFraction * this->allowance.slack;
 }
 
-bool QuotaWindows::IsFresh(const Spending& spending) const {
+bool QuotaWindows::HasRecentSummary(const Spending& spending) const {
   return spending.fleet_at.has_value() &&
-         this->clock.Now() - *spending.fleet_at < kSummaryHolds;
+         this->clock.Now() - *spending.fleet_at < kSummaryLifetime;
 }
 
-int QuotaWindows::Sharing(const FleetSpend& spend) const {
+int QuotaWindows::SharingInstances(const FleetSpend& spend) const {
   return std::max(this->instances, spend.instances);
 }
 
-// Below zero, the fleet must wait until as much has left the window.
-double QuotaWindows::FleetLeft(double whole, const FleetSpend& spend) const {
-  // A process that was started anew may have spent its part before.
-  const double unknown = spend.unknown_shares * whole / this->Sharing(spend);
-  return whole * (1 - spend.missing_part) - spend.total - unknown;
+// If negative, the fleet must wait until that much spending has left the
+// window.
+double QuotaWindows::FleetLeft(double allowed, const FleetSpend& spend) const {
+  // A restarted process may have spent its share before the restart.
+  const double unknown_spending =
+      spend.unknown_shares * allowed / this->SharingInstances(spend);
+  return allowed * (1 - spend.missing_part) - spend.total - unknown_spending;
 }
 
-QuotaWindows::Part QuotaWindows::OwnPart(std::string_view workspace,
-                                         const Spending& spending,
-                                         const QuotaLimit& limit) const {
-  const double whole = this->FleetAllowance(limit);
-  if (!this->IsFresh(spending))
-    return this->UnheardPart(workspace, spending, whole);
+QuotaWindows::Share QuotaWindows::OwnShare(std::string_view workspace,
+                                           const Spending& spending,
+                                           const QuotaLimit& limit) const {
+  const double allowed = this->FleetAllowance(limit);
+  if (!this->HasRecentSummary(spending))
+    return this->ShareWithoutSummary(workspace, spending, allowed);
   if (!this->listed) return {};
-  const double left = std::max(0.0, this->FleetLeft(whole, spending.fleet));
-  const double since = std::max(0.0, spending.sum - spending.fleet.own);
-  return {left / this->Sharing(spending.fleet), since, this->allowance.at_once};
+  const double left = std::max(0.0, this->FleetLeft(allowed, spending.fleet));
+  const double spent_since = std::max(0.0, spending.sum - spending.fleet.own);
+  return {left / this->SharingInstances(spending.fleet), spent_since,
+          this->allowance.at_once};
 }
 
-// With nobody to sum up, an equal part of the limit. Until the window of the
-// last summary is over, no more than what was left by it: some instances may
-// have been granted more than their part, and if all others then spent theirs,
-// the fleet would exceed the limit by what those have too much.
-QuotaWindows::Part QuotaWindows::UnheardPart(std::string_view workspace,
-                                             const Spending& spending,
-                                             double whole) const {
-  double tokens = this->Earned(workspace, whole) / this->instances;
-  const bool known =
+// Without a recent summary, each instance has an equal share of the limit. For
+// one window after the last summary, it may not spend more than that summary
+// left: some instances may have been granted more than their share, and if all
+// others then spent theirs in full, the fleet would exceed the limit by those
+// grants.
+QuotaWindows::Share QuotaWindows::ShareWithoutSummary(
+    std::string_view workspace, const Spending& spending,
+    double allowed) const {
+  double tokens = this->Spendable(workspace, allowed) / this->instances;
+  const bool summary_in_window =
       spending.fleet_at.has_value() &&
       this->clock.Now() - *spending.fleet_at < this->allowance.window;
-  if (known) {
-    const double left = std::max(0.0, this->FleetLeft(whole, spending.fleet));
-    tokens = std::min(
-        tokens, spending.fleet.own + left / this->Sharing(spending.fleet));
+  if (summary_in_window) {
+    const double left = std::max(0.0, this->FleetLeft(allowed, spending.fleet));
+    tokens =
+        std::min(tokens, spending.fleet.own +
+                             left / this->SharingInstances(spending.fleet));
   }
   return {tokens, spending.sum, 1};
 }
 
-// Equal parts of a large fleet are smaller than a request, so most requests
-// there are decided where the sums are. Half of what is left is kept for that:
-// parts and grants together stay inside it between two summaries.
+// In a large fleet an equal share is smaller than a request, so the leader
+// decides most requests there. Half of what the fleet has left is kept for its
+// grants: between two summaries, spending without a grant and grants together
+// stay within what is left.
 QuotaVerdict QuotaWindows::TakePart(std::string_view workspace,
                                     const QuotaLimit& limit, double tokens) {
   if (limit.rate <= 0 && limit.burst <= 0) return {};
   Spending& spending = this->Current(workspace);
-  if (!this->IsFresh(spending)) return this->Take(workspace, limit, tokens);
-  const Part part = this->OwnPart(workspace, spending, limit);
+  if (!this->HasRecentSummary(spending))
+    return this->Take(workspace, limit, tokens);
+  const Share share = this->OwnShare(workspace, spending, limit);
   QuotaVerdict verdict;
-  verdict.left = kPartWithoutAsking * part.tokens - part.spent;
+  verdict.left = kFractionWithoutGrant * share.tokens - share.spent;
   verdict.admitted = tokens <= verdict.left;
-  if (verdict.admitted) this->Spend(spending, tokens);
+  if (verdict.admitted) this->Count(spending, tokens);
   return verdict;
 }
 
@@ -213,17 +224,17 @@
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   verdict.left = this->FleetLeft(this->FleetAllowance(limit), spend);
-  const double needed = tokens / (1 - kPartWithoutAsking);
+  const double needed = tokens / (1 - kFractionWithoutGrant);
   verdict.admitted = needed <= verdict.left;
   if (verdict.admitted) return verdict;
-  // What was spent leaves the window at about the rate.
+  // Spending leaves the window at about the workspace's rate.
   verdict.retry_after =
       absl::Seconds((needed - verdict.left) / std::max(1.0, limit.rate));
   return verdict;
 }
 
 void QuotaWindows::Granted(std::string_view workspace, double tokens) {
-  this->Spend(this->Current(workspace), tokens);
+  this->Count(this->Current(workspace), tokens);
 }
 
 QuotaVerdict QuotaWindows::Take(std::string_view workspace,
@@ -231,24 +242,25 @@
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   Spending& spending = this->Current(workspace);
-  const Part part = this->OwnPart(workspace, spending, limit);
-  verdict.left = part.tokens - part.spent;
+  const Share share = this->OwnShare(workspace, spending, limit);
+  verdict.left = share.tokens - share.spent;
   const bool fits =
-      verdict.left > 0 && part.spent + tokens <= part.at_once * part.tokens;
+      verdict.left > 0 && share.spent + tokens <= share.at_once * share.tokens;
   if (!fits) {
     verdict.admitted = false;
-    // The fleet's window empties at the rate; this instance gets its part.
+    // Spending leaves the fleet's window at the workspace's rate, of which this
+    // instance gets an equal share.
     const double rate = std::max(1.0, limit.rate / this->instances);
     verdict.retry_after =
         absl::Seconds(std::max(0.0, tokens - verdict.left) / rate);
     return verdict;
   }
-  this->Spend(spending, tokens);
+  this->Count(spending, tokens);
   return verdict;
 }
 
-void QuotaWindows::Spend(Spending& spending, double tokens) {
-  const std::int64_t now = this->SliceNow();
+void QuotaWindows::Count(Spending& spending, double tokens) {
+  const std::int64_t now = this->CurrentSlice();
   if (spending.slices.empty() || spending.slices.back().number != now) {
     spending.slices.push_back({now, 0});
   }
@@ -258,14 +270,14 @@
 
 void QuotaWindows::GiveBack(std::string_view workspace, double tokens) {
   Spending& spending = this->Current(workspace);
-  // Back into the newest slices, so that what is given back is counted out of
-  // the window no earlier than what it was taken for.
+  // Taken out of the newest slices, so that no spending leaves the window
+  // earlier than it would without the refund.
   for (auto slice = spending.slices.rbegin();
        slice != spending.slices.rend() && tokens > 0; ++slice) {
-    const double part = std::min(tokens, slice->tokens);
-    slice->tokens -= part;
-    spending.sum -= part;
-    tokens -= part;
+    const double refunded = std::min(tokens, slice->tokens);
+    slice->tokens -= refunded;
+    spending.sum -= refunded;
+    tokens -= refunded;
   }
 }
 
--- a/dragonflyglade/decision/quota_window.h
+++ b/dragonflyglade/decision/quota_window.h
@@ -13,26 +13,26 @@
 
 namespace dragonflyglade {
 
-/// What a workspace may spend over all instances.
+/// The quota of a workspace over all instances.
 struct QuotaLimit {
-  double rate = 0;   ///< tokens a second; 0 with burst 0: no limit
+  double rate = 0;   ///< tokens per second; no limit if burst is 0, too
   double burst = 0;  ///< tokens
 };
 
-/// Over which span a limit is counted, and by how much the fleet may exceed
-/// it. The excess covers what instances cannot know of each other.
+/// The window in which limits are counted, and by how much the fleet may exceed
+/// them. The excess covers spending that instances do not know of each other.
 struct QuotaAllowance {
   absl::Duration window = absl::Seconds(8);
-  double overage = 0;  ///< part of the limit
+  double overage = 0;  ///< fraction of the limit
   double slack = 0;    ///< tokens in a window
-  /// How much of its equal part of what is left an instance may spend until
-  /// the next summary, in parts. Above 1 a large request need not be refused
-  /// while nobody can be asked for more; instances that do so in the same
-  /// moment spend the slack.
+  /// How much an instance may spend until the next summary, as a multiple of
+  /// its equal share of what is left. Above 1, a large request need not be
+  /// refused while there is no leader to ask for a grant; what instances spend
+  /// above their shares at the same time comes out of the slack.
   double at_once = 1;
 };
 
-/// Whether a request is admitted, and if not, when to come back.
+/// Whether a request is admitted, and if not, when to retry.
 struct QuotaVerdict {
   bool admitted = true;
   absl::Duration retry_after = absl::ZeroDuration();
@@ -41,152 +41,162 @@
 
 /// What the whole fleet spent in the window, by the newest summary.
 struct FleetSpend {
-  double total = 0;   ///< of all instances, this one among them
-  double own = 0;     ///< what the total counts of this instance
-  int instances = 1;  ///< that the total counts
-  /// Instances that were started anew and whose spending before is not in the
-  /// total, each weighted by the part of the window that is not known.
+  double total = 0;   ///< tokens spent by all instances, including this one
+  double own = 0;     ///< tokens of the total that this instance spent
+  int instances = 1;  ///< number of instances that the total covers
+  /// Number of instances that restarted and whose earlier spending is not in
+  /// the total, each weighted by the fraction of the window that is not known.
   double unknown_shares = 0;
-  /// The part of the quota that instances may be spending which the total does
-  /// not hear; see QuotaOwners.
+  /// Fraction of the quota that instances may be spending which do not report;
+  /// see QuotaOwners.
   double missing_part = 0;
 };
 
-/// How long instances may be cut off from the store and from others and go on.
-/// Two sides of a cut of twelve seconds ran more than the limit where this was
-/// shorter. A share that lies idle for so long is a small loss: workspaces are
-/// mostly well inside their limits.
+/// The longest network partition, from the store and from other instances,
+/// during which the limits hold for both sides together. With a shorter value,
+/// the two sides of a 12 s partition together exceed the limit. A share that
+/// stays unused for this long costs little, since workspaces mostly stay well
+/// below their limits.
 inline constexpr absl::Duration kCutOff = absl::Seconds(20);
-/// While a fleet starts, instances are listed that later make way for stronger
-/// ones. Listed for longer than this, an instance is one of those that the
-/// quotas were divided by, and its part waits for it when it is back.
+/// While a fleet starts, weaker instances are listed until stronger ones
+/// replace them. An instance that was listed for longer than this is one that
+/// the quotas were divided by, so it gets its own share again when it is back.
 inline constexpr absl::Duration kFleetStarts = absl::Seconds(5);
 
-/// The part of a window that a process may spend again after a restart, when
-/// what was spent before it is not known.
-/// @param age of the process
+/// The fraction of a window's quota that a restarted process may spend when the
+/// spending before the restart is unknown. Grows from 0 to 1.
+/// @param age time since the process started
 double EarnedPart(absl::Duration age, absl::Duration window);
 
-/// The part that still counts of what is known to have been spent before a
-/// process started, although not when within the window.
-/// @param age of the process
+/// The fraction of the known spending before a restart that still counts. The
+/// amount is known, but not when it was spent within the window.
+/// @param age time since the process started
 double CountedPart(absl::Duration age, absl::Duration window);
 
-/// The part of its share that an instance may spend which joined those that
-/// callers are sent to. It takes the place of one that left the store's list,
-/// and that one may be alive beyond a partition and spend the same share.
-/// @param listed_for since it joined
+/// The fraction of its share that an instance may spend after it was newly
+/// listed. It takes the place of an instance that is no longer listed, but that
+/// may be running on the other side of a partition and spending the same share.
+/// @param listed_for time since it was listed
 double JoinedPart(absl::Duration listed_for, absl::Duration window);
 
-/// Counts what this instance spends of each workspace's quota in a sliding
+/// Counts this instance's spending of each workspace's quota in a sliding
 /// window, and decides how much more it may spend. Not synchronised.
 ///
-/// With a fresh summary of the fleet each instance may spend an equal part of
-/// what the fleet has left; what it spent since the summary counts against its
-/// part, so all parts together stay inside the limit. Without one, each may
-/// spend an equal part of the whole limit, which holds whatever happens to
-/// messages.
+/// With a recent summary of the fleet, each instance may spend an equal share
+/// of what the fleet has left. Its spending since the summary counts against
+/// that share, so all shares together stay within the limit. Without a summary,
+/// each instance may spend an equal share of the whole limit, which is safe
+/// whichever messages are lost.
 class QuotaWindows {
  public:
-  /// @param nothing_spent_before false after a restart: what the process
-  ///   before spent is not known, and counts until its window is over
+  /// @param nothing_spent_before false after a restart, when the spending of
+  ///   the previous process is unknown and counts for a whole window
   QuotaWindows(QuotaAllowance allowance, bool nothing_spent_before,
                Clock clock);
 
-  /// The instances that share the quotas: those that callers are sent to. A
-  /// lower count holds only once it has stood for longer than partitions last:
-  /// instances that vanish from the store may spend on beyond one, or be back.
+  /// Sets how many instances share the quotas: those that callers are sent to.
+  /// A lower count takes effect only after it has lasted longer than network
+  /// partitions do, since an instance that is no longer listed in the store may
+  /// go on spending during a partition or may come back.
   void SetInstances(int count);
 
-  /// The operator changed how far the fleet may exceed limits.
+  /// Sets by how much the fleet may exceed limits, when the settings change.
   void SetAllowance(const QuotaAllowance& newer) { this->allowance = newer; }
 
-  /// What the fleet had spent when this process started, by workspace, and
-  /// whether the process before it had a part of its own. Counts until a window
-  /// is over. What is set first stays.
+  /// Sets what the fleet had spent by workspace when this process started, and
+  /// whether the previous process of this instance owned a share. The spending
+  /// counts for one window. Only the first call has an effect.
   void SetBefore(std::map<std::string, double, std::less<>> spent,
-                 bool owned_part);
+                 bool owned_share);
 
-  /// A summary of the fleet came.
+  /// Sets the fleet's spending of a workspace by a summary just received.
   void SetFleetSpend(std::string_view workspace, FleetSpend spend);
 
-  /// Whether callers are sent to this instance. Others have no part of their
-  /// own. One that joins gets its part late, since the one that it replaces may
-  /// spend that part; one that was cut off and is back has its own.
+  /// Sets whether callers are sent to this instance; if not, it has no share of
+  /// its own. A newly listed instance gets its share with a delay, since the
+  /// instance that it replaces may still spend that share. An instance that was
+  /// partitioned and is back has its own share at once.
   void SetListed(bool listed);
 
-  /// For how long; unlimited if from the start of the process.
+  /// How long ago this instance was newly listed; infinite if it has had its
+  /// share since the process started.
   absl::Duration ListedFor() const;
 
-  /// Counts the tokens of a request if they fit into what this instance may
-  /// spend while all others may ask for more, too: half of its part.
+  /// Admits a request if it fits into the part of this instance's share that
+  /// may be spent without asking the leader for a grant, and counts its tokens.
   QuotaVerdict TakePart(std::string_view workspace, const QuotaLimit& limit,
                         double tokens);
 
-  /// Whether an instance may spend tokens beyond its part, by the sums of the
-  /// fleet. Decided where the sums are; the instance counts them by Granted.
+  /// Decides, at the leader, whether an instance may spend tokens beyond its
+  /// share. The instance then counts them with Granted.
   QuotaVerdict Grant(const QuotaLimit& limit, double tokens,
                      const FleetSpend& spend) const;
 
-  /// Counts tokens that were granted.
+  /// Counts tokens that the leader granted to this instance.
   void Granted(std::string_view workspace, double tokens);
 
-  /// Counts the tokens of a request, or says when they will fit.
+  /// Admits a request if it fits into this instance's share and counts its
+  /// tokens; else returns when they will fit.
   QuotaVerdict Take(std::string_view workspace, const QuotaLimit& limit,
                     double tokens);
 
-  /// A request that was counted did not run.
+  /// Refunds the tokens of a request that was counted but did not run.
   void GiveBack(std::string_view workspace, double tokens);
 
-  /// What this instance spent in the window, by workspace.
+  /// The tokens that this instance spent in the window, by workspace.
   std::map<std::string, double> Spent();
 
-  /// What all instances together may spend in a window.
+  /// The tokens that all instances together may spend in a window.
   double FleetAllowance(const QuotaLimit& limit) const;
 
  private:
   struct Slice {
-    std::int64_t number = 0;
+    std::int64_t number = 0;  ///< slices since the start of the clock
     double tokens = 0;
   };
+  /// Spending of one workspace in the window.
   struct Spending {
-    std::deque<Slice> slices;
-    double sum = 0;
+    std::deque<Slice> slices;  ///< of this instance, the oldest first
+    double sum = 0;            ///< of the slices
     FleetSpend fleet;
-    std::optional<Instant> fleet_at;
+    std::optional<Instant> fleet_at;  ///< when the summary came
   };
 
+  /// The spending of a workspace without the slices that left the window.
   Spending& Current(std::string_view workspace);
-  /// What this instance may spend of the window, and has.
-  struct Part {
+  /// How much this instance may spend in the window, and has spent.
+  struct Share {
     double tokens = 0;
     double spent = 0;
-    double at_once = 1;
+    double at_once = 1;  ///< see QuotaAllowance
   };
 
-  bool IsFresh(const Spending& spending) const;
-  /// How many share what the fleet has left.
-  int Sharing(const FleetSpend& spend) const;
-  double FleetLeft(double whole, const FleetSpend& spend) const;
-  void Spend(Spending& spending, double tokens);
-  Part UnheardPart(std::string_view workspace, const Spending& spending,
-                   double whole) const;
-  Part OwnPart(std::string_view workspace, const Spending& spending,
-               const QuotaLimit& limit) const;
-  std::int64_t SliceNow() const;
-  double EarnedAfterStart(std::string_view workspace, double whole) const;
-  double Earned(std::string_view workspace, double whole) const;
+  bool HasRecentSummary(const Spending& spending) const;
+  /// How many instances share what the fleet has left.
+  int SharingInstances(const FleetSpend& spend) const;
+  /// Tokens that the fleet has left in the window; may be negative.
+  double FleetLeft(double allowed, const FleetSpend& spend) const;
+  void Count(Spending& spending, double tokens);
+  Share ShareWithoutSummary(std::string_view workspace,
+                            const Spending& spending, double allowed) const;
+  Share OwnShare(std::string_view workspace, const Spending& spending,
+                 const QuotaLimit& limit) const;
+  std::int64_t CurrentSlice() const;
+  double SpendableAfterRestart(std::string_view workspace,
+                               double allowed) const;
+  double Spendable(std::string_view workspace, double allowed) const;
 
   QuotaAllowance allowance;
   const Clock clock;
   const bool nothing_spent_before;
   const Instant started;
-  int instances = 1;
-  Instant instances_at;
+  int instances = 1;     ///< that share the quotas
+  Instant instances_at;  ///< when the count was last set or confirmed
   bool listed = true;
-  Instant listed_at;       ///< when that began
-  bool owns_part = false;  ///< was listed before, and not in another's place
-  std::optional<Instant> listed_since;  ///< nothing: from the start
+  Instant listed_at;        ///< when listed last became true
+  bool owns_share = false;  ///< was listed before, not in another's place
+  /// When this instance was newly listed in another's place, if it was.
+  std::optional<Instant> listed_since;
   std::map<std::string, double, std::less<>> spent_before;
   std::map<std::string, Spending, std::less<>> spendings;
 };
--- a/dragonflyglade/decision/record_store.cc
+++ b/dragonflyglade/decision/record_store.cc
@@ -15,44 +15,44 @@
 RecordStore::RecordStore(Validator validator)
     : validator(std::move(validator)) {}
 
-// Failure: a re-read answered by a lagging replica, or a peer that restarted
-// from an older copy, offers yesterday's record, and a withdrawn key works
-// again. Comparing the record's own revision refuses it on every path, since
-// the key-value service never gives a revision twice.
+// Failure: a re-read served by a lagging replica, or a peer that restarted from
+// an older copy, delivers an old version of a record, and a withdrawn key works
+// again. Comparing the record's own revision refuses old versions on every
+// path, since the key-value service never assigns a revision twice.
 RecordFate RecordStore::Offer(const RecordVersion& version) {
   std::optional<std::string> reason;
   if (!version.deleted) reason = this->validator(version);
   absl::MutexLock lock(&this->mutex);
   Entry& entry = this->entries[version.key];
-  const std::int64_t good = RevisionOf(entry.good);
-  const std::int64_t bad = RevisionOf(entry.bad);
-  if (version.revision <= good) return RecordFate::kOld;
+  const std::int64_t valid = RevisionOf(entry.valid);
+  const std::int64_t rejected = RevisionOf(entry.rejected);
+  if (version.revision <= valid) return RecordFate::kOld;
   if (reason.has_value()) {
-    if (version.revision <= bad) return RecordFate::kOld;
-    entry.bad = version;
+    if (version.revision <= rejected) return RecordFate::kOld;
+    entry.rejected = version;
     entry.reason = *reason;
     return RecordFate::kRejected;
   }
-  entry.good = version;
-  if (bad < version.revision) entry.bad.reset();
+  entry.valid = version;
+  if (rejected < version.revision) entry.rejected.reset();
   return RecordFate::kInForce;
 }
 
 void RecordStore::CompleteUpTo(std::int64_t revision) {
   absl::MutexLock lock(&this->mutex);
-  this->complete = std::max(this->complete, revision);
+  this->complete_revision = std::max(this->complete_revision, revision);
 }
 
 std::int64_t RecordStore::CompleteRevision() const {
   absl::MutexLock lock(&this->mutex);
-  return this->complete;
+  return this->complete_revision;
 }
 
 std::vector<RecordVersion> RecordStore::Good() const {
   absl::MutexLock lock(&this->mutex);
   std::vector<RecordVersion> records;
   for (const auto& [key, entry] : this->entries) {
-    if (entry.good.has_value()) records.push_back(*entry.good);
+    if (entry.valid.has_value()) records.push_back(*entry.valid);
   }
   return records;
 }
@@ -62,13 +62,14 @@
   {
     absl::MutexLock lock(&this->mutex);
     for (const auto& [key, entry] : this->entries) {
-      if (RevisionOf(entry.good) > revision) records.push_back(*entry.good);
-      if (RevisionOf(entry.bad) <= revision) continue;
-      // The receiver may lack the good version that stays in force.
-      if (entry.good.has_value() && entry.good->revision <= revision) {
-        records.push_back(*entry.good);
+      if (RevisionOf(entry.valid) > revision) records.push_back(*entry.valid);
+      if (RevisionOf(entry.rejected) <= revision) continue;
+      // The valid version stays in force, and the receiver may lack it even
+      // though it is older than the given revision.
+      if (entry.valid.has_value() && entry.valid->revision <= revision) {
+        records.push_back(*entry.valid);
       }
-      records.push_back(*entry.bad);
+      records.push_back(*entry.rejected);
     }
   }
   std::sort(records.begin(), records.end(),
@@ -82,8 +83,9 @@
   absl::MutexLock lock(&this->mutex);
   std::vector<Rejection> rejections;
   for (const auto& [key, entry] : this->entries) {
-    if (!entry.bad.has_value()) continue;
-    rejections.push_back(Rejection{key, entry.bad->revision, entry.reason});
+    if (!entry.rejected.has_value()) continue;
+    rejections.push_back(
+        Rejection{key, entry.rejected->revision, entry.reason});
   }
   return rejections;
 }
@@ -91,7 +93,7 @@
 bool RecordStore::HasGood(std::string_view key) const {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->entries.find(key);
-  return found != this->entries.end() && found->second.good.has_value();
+  return found != this->entries.end() && found->second.valid.has_value();
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/record_store.h
+++ b/dragonflyglade/decision/record_store.h
@@ -13,7 +13,8 @@
 
 namespace dragonflyglade {
 
-/// One version of one record, as the key-value service numbered it.
+/// One version of a configuration record. The revision is the one that the
+/// key-value service assigned.
 struct RecordVersion {
   std::string key;
   std::int64_t revision = 0;
@@ -21,66 +22,69 @@
   bool deleted = false;
 };
 
-/// What became of a record version that was offered.
+/// The outcome of offering a record version to the store.
 enum class RecordFate {
-  kInForce,   ///< it is the record now
-  kOld,       ///< a version at least as new was there already
-  kRejected,  ///< it is invalid; the last good version stays in force
+  kInForce,   ///< applied; it replaces the previous version
+  kOld,       ///< ignored; a version at least as new is stored already
+  kRejected,  ///< invalid; the last valid version stays in force
 };
 
-/// A record that was not taken, and why.
+/// A record version that the validator rejected, and why.
 struct Rejection {
   std::string key;
   std::int64_t revision = 0;
   std::string reason;
 };
 
-/// The records of the configuration, which never go back.
+/// The records of the configuration. A record is never replaced by an older
+/// version.
 ///
-/// Each record is guarded by its revision, whichever way it arrives: watch,
-/// re-read, restart or peer. An invalid version replaces nothing.
+/// The revision of each record is compared in the same way whether the record
+/// comes from a watch, a re-read, a restart or a peer. An invalid version
+/// replaces nothing.
 /// Thread-safe.
 class RecordStore {
  public:
-  /// Says why a version cannot be taken, or nothing if it can.
+  /// Returns why a version is invalid; nothing if it is valid.
   using Validator =
       std::function<std::optional<std::string>(const RecordVersion&)>;
 
   explicit RecordStore(Validator validator);
 
-  /// Offers a version of a record.
+  /// Applies a version of a record if it is valid and newer.
   RecordFate Offer(const RecordVersion& version);
 
-  /// Says that every record up to a revision was offered.
+  /// Records that every change up to a revision has been offered.
   void CompleteUpTo(std::int64_t revision);
 
-  /// The revision up to which nothing is missing.
+  /// The revision up to which no change is missing.
   std::int64_t CompleteRevision() const;
 
-  /// The newest good version of every record, deletions included, by key.
+  /// The newest valid version of every record, ordered by key. Includes
+  /// deletions.
   std::vector<RecordVersion> Good() const;
 
-  /// What a follower at a revision lacks, oldest first: good versions and,
-  /// where newer, the rejected ones.
+  /// The versions that an instance which is complete up to a revision lacks,
+  /// the oldest first: valid ones and the rejected ones that are newer.
   std::vector<RecordVersion> Since(std::int64_t revision) const;
 
-  /// Records whose newest version is rejected.
+  /// The records whose newest version was rejected.
   std::vector<Rejection> Rejected() const;
 
-  /// Whether a good version of the key was ever seen.
+  /// Whether a valid version of the key was ever applied.
   bool HasGood(std::string_view key) const;
 
  private:
   struct Entry {
-    std::optional<RecordVersion> good;
-    std::optional<RecordVersion> bad;  ///< newer than good
-    std::string reason;
+    std::optional<RecordVersion> valid;
+    std::optional<RecordVersion> rejected;  ///< newer than the valid one
+    std::string reason;                     ///< of the rejection
   };
 
   const Validator validator;
   mutable absl::Mutex mutex;
   std::map<std::string, Entry, std::less<>> entries ABSL_GUARDED_BY(mutex);
-  std::int64_t complete ABSL_GUARDED_BY(mutex) = 0;
+  std::int64_t complete_revision ABSL_GUARDED_BY(mutex) = 0;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/share_book.cc
+++ b/dragonflyglade/decision/share_book.cc
@@ -8,17 +8,18 @@
 namespace dragonflyglade {
 namespace {
 
-// How long a peer that did not answer is not asked again.
-constexpr absl::Duration kSilence = absl::Seconds(1);
-constexpr absl::Duration kSilentPause = absl::Milliseconds(20);
-constexpr int kMostAsks = 12;
-constexpr absl::Duration kShortestRetryAfter = absl::Milliseconds(100);
-
-double PartOf(std::int64_t share) {
+// How long a peer that did not respond is not asked for loans.
+constexpr absl::Duration kPeerSkipTime = absl::Seconds(1);
+// Wait before unresponsive peers are asked again for the same request.
+constexpr absl::Duration kPeerRetryPause = absl::Milliseconds(20);
+constexpr int kMaxLoanRequests = 12;
+constexpr absl::Duration kMinRetryAfter = absl::Milliseconds(100);
+
+double FractionOf(std::int64_t share) {
   return static_cast<double>(share) / static_cast<double>(kWholeShare);
 }
 
-absl::Duration TimeFor(double tokens, double rate) {
+absl::Duration TimeToAccrue(double tokens, double rate) {
   if (rate <= 0) return absl::InfiniteDuration();
   return absl::Seconds(std::max(tokens, 0.0) / rate);
 }
@@ -40,78 +41,82 @@
   return this->shards[StableHash(workspace) % kShards];
 }
 
-ShareBook::Book& ShareBook::BookOf(Shard& shard,
-                                   std::string_view workspace) const {
-  const auto found = shard.books.find(workspace);
-  if (found != shard.books.end()) return found->second;
-  return shard.books.emplace(std::string(workspace), Book(this->clock.Now()))
+ShareBook::WorkspaceState& ShareBook::StateOf(
+    Shard& shard, std::string_view workspace) const {
+  const auto found = shard.workspaces.find(workspace);
+  if (found != shard.workspaces.end()) return found->second;
+  return shard.workspaces
+      .emplace(std::string(workspace), WorkspaceState(this->clock.Now()))
       .first->second;
 }
 
-void ShareBook::Reconfigure(Book& book, Instant now) const {
-  if (!book.rate.has_value() || !book.allotment.has_value()) {
-    book.bucket.Configure(0, 0, now);
-    book.share = 0;
+void ShareBook::ConfigureBucket(WorkspaceState& state, Instant now) const {
+  if (!state.rate.has_value() || !state.allotment.has_value()) {
+    state.bucket.Configure(0, 0, now);
+    state.share = 0;
     return;
   }
   const std::int64_t share =
-      ShareOf(*book.allotment, this->instance, this->incarnation);
-  const double rate = book.rate->tokens_per_second;
-  const double part = PartOf(share);
-  book.bucket.Configure(part * rate, part * book.rate->burst_tokens, now);
-  book.share = share;
+      ShareOf(*state.allotment, this->instance, this->incarnation);
+  const double rate = state.rate->tokens_per_second;
+  const double fraction = FractionOf(share);
+  state.bucket.Configure(fraction * rate, fraction * state.rate->burst_tokens,
+                         now);
+  state.share = share;
 }
 
 void ShareBook::SetRate(std::string_view workspace,
                         std::optional<RateLimit> rate) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  Book& book = this->BookOf(shard, workspace);
-  book.rate = rate;
-  this->Reconfigure(book, this->clock.Now());
+  WorkspaceState& state = this->StateOf(shard, workspace);
+  state.rate = rate;
+  this->ConfigureBucket(state, this->clock.Now());
 }
 
 void ShareBook::Adopt(const Allotment& allotment) {
   Shard& shard = this->ShardOf(allotment.workspace);
   absl::MutexLock lock(&shard.mutex);
-  Book& book = this->BookOf(shard, allotment.workspace);
-  if (book.allotment.has_value() && book.allotment->epoch >= allotment.epoch) {
+  WorkspaceState& state = this->StateOf(shard, allotment.workspace);
+  if (state.allotment.has_value() &&
+      state.allotment->epoch >= allotment.epoch) {
     return;
   }
   const Instant now = this->clock.Now();
   const bool shrinks =
-      ShareOf(allotment, this->instance, this->incarnation) < book.share;
-  const bool owes = book.bucket.Level(now) < 0 || book.bucket.Reserved(now) > 0;
-  book.allotment = allotment;
-  this->Reconfigure(book, now);
-  if (shrinks && owes) {
-    book.confirm_from =
+      ShareOf(allotment, this->instance, this->incarnation) < state.share;
+  const bool has_reservations =
+      state.bucket.Level(now) < 0 || state.bucket.Reserved(now) > 0;
+  state.allotment = allotment;
+  this->ConfigureBucket(state, now);
+  if (shrinks && has_reservations) {
+    state.confirm_from =
         now + this->options.longest_promise + this->options.hold_limit;
   }
 }
 
-// Failure: a holder shrinks while tokens that it lent or promised are yet to
-// be spent; others use the part that it gave up meanwhile, and the borrowers
-// spend it as well. The holder goes by the smaller share at once, but confirms
-// it only when everything lent before is spent or void; until then the keeper
-// counts the larger share as held.
+// Failure: an instance's share shrinks while tokens that it lent or reserved
+// are still to be spent. If other instances get the difference at once, both
+// they and the borrowers spend it. So the instance uses the smaller share at
+// once, but confirms the epoch only after all earlier loans have been spent or
+// have expired; until then the allotment counts the larger share as in use.
 std::int64_t ShareBook::ConfirmedEpoch(std::string_view workspace) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(workspace);
-  if (found == shard.books.end()) return 0;
-  Book& book = found->second;
-  if (book.allotment.has_value() && this->clock.Now() >= book.confirm_from) {
-    book.confirmed_epoch = book.allotment->epoch;
+  const auto found = shard.workspaces.find(workspace);
+  if (found == shard.workspaces.end()) return 0;
+  WorkspaceState& state = found->second;
+  if (state.allotment.has_value() && this->clock.Now() >= state.confirm_from) {
+    state.confirmed_epoch = state.allotment->epoch;
   }
-  return book.confirmed_epoch;
+  return state.confirmed_epoch;
 }
 
 std::optional<Allotment> ShareBook::Followed(std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(workspace);
-  if (found == shard.books.end()) return std::nullopt;
+  const auto found = shard.workspaces.find(workspace);
+  if (found == shard.workspaces.end()) return std::nullopt;
   return found->second.allotment;
 }
 
@@ -128,31 +133,31 @@
 AdmissionStep ShareBook::Next(Admission& admission) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(admission.workspace);
-  if (found == shard.books.end()) return NoRate{};
+  const auto found = shard.workspaces.find(admission.workspace);
+  if (found == shard.workspaces.end()) return NoRate{};
   const Instant now = this->clock.Now();
   found->second.last_demand = now;
-  return this->NextInBook(found->second, admission, now);
+  return this->NextStep(found->second, admission, now);
 }
 
-AdmissionStep ShareBook::NextInBook(Book& book, Admission& admission,
-                                    Instant now) const {
-  if (!book.rate.has_value()) return NoRate{};
-  const double burst = book.rate->burst_tokens;
+AdmissionStep ShareBook::NextStep(WorkspaceState& state, Admission& admission,
+                                  Instant now) const {
+  if (!state.rate.has_value()) return NoRate{};
+  const double burst = state.rate->burst_tokens;
   if (admission.cost > burst) return CostAboveBurst{burst};
-  if (!book.allotment.has_value()) return NoShare{};
-  DropStale(admission, now);
+  if (!state.allotment.has_value()) return NoShare{};
+  DropExpired(admission, now);
   double missing = admission.cost;
-  for (const TokensInHand& part : admission.in_hand) missing -= part.tokens;
-  if (missing <= 0) return Spend(admission, now);
-  return this->GatherMore(book, admission, missing, now);
+  for (const TokensInHand& taken : admission.in_hand) missing -= taken.tokens;
+  if (missing <= 0) return WaitOrAdmit(admission, now);
+  return this->CollectTokens(state, admission, missing, now);
 }
 
-// Failure: a borrower is paused with tokens in hand and spends them on
-// waking, when the lender has stopped counting them. Past their use-by time
-// they are lost, on the borrower's own clock from its own asking, which is no
-// later than the lender's debit.
-void ShareBook::DropStale(Admission& admission, Instant now) {
+// Failure: a borrower's process is paused and spends borrowed tokens after it
+// resumes, when the lender no longer counts them. So tokens are dropped after
+// their use-by time. The borrower measures it on its own clock from its request
+// for the loan, which is no later than the lender's debit.
+void ShareBook::DropExpired(Admission& admission, Instant now) {
   auto& parts = admission.in_hand;
   parts.erase(
       std::remove_if(parts.begin(), parts.end(),
@@ -160,10 +165,10 @@
       parts.end());
 }
 
-AdmissionStep ShareBook::Spend(Admission& admission, Instant now) {
+AdmissionStep ShareBook::WaitOrAdmit(Admission& admission, Instant now) {
   Instant ready = now;
-  for (const TokensInHand& part : admission.in_hand) {
-    ready = std::max(ready, part.spend_from);
+  for (const TokensInHand& taken : admission.in_hand) {
+    ready = std::max(ready, taken.spend_from);
   }
   if (ready > now) return WaitFor{ready - now};
   admission.charged = now;
@@ -171,41 +176,43 @@
   return Admitted{};
 }
 
-std::vector<ShareBook::Source> ShareBook::Sources(const Book& book,
+std::vector<ShareBook::Source> ShareBook::Sources(const WorkspaceState& state,
                                                   const Admission& admission,
-                                                  bool with_silent,
+                                                  bool with_skipped,
                                                   Instant now) const {
   std::vector<Source> sources;
-  if (book.share > 0) {
-    sources.push_back(Source{"", book.bucket.Level(now), book.bucket.Rate(),
-                             book.bucket.Cap()});
+  if (state.share > 0) {
+    sources.push_back(Source{"", state.bucket.Level(now), state.bucket.Rate(),
+                             state.bucket.Cap()});
   }
-  const double burst = book.rate->burst_tokens;
-  for (const HolderShare& holder : book.allotment->holders) {
-    if (holder.instance == this->instance || holder.share == 0) continue;
-    if (admission.silent.count(holder.instance) > 0) continue;
-    const double part = PartOf(holder.share);
-    Source source{holder.instance, part * burst,
-                  part * book.rate->tokens_per_second, part * burst};
-    const auto hint = book.hints.find(holder.instance);
-    if (hint != book.hints.end()) {
-      if (!with_silent && now < hint->second.silent_until) continue;
-      const double seconds = absl::ToDoubleSeconds(now - hint->second.at);
-      source.level =
-          std::min(source.cap, hint->second.level + source.rate * seconds);
+  const double burst = state.rate->burst_tokens;
+  for (const HolderShare& owner : state.allotment->holders) {
+    if (owner.instance == this->instance || owner.share == 0) continue;
+    if (admission.silent.count(owner.instance) > 0) continue;
+    const double fraction = FractionOf(owner.share);
+    Source source{owner.instance, fraction * burst,
+                  fraction * state.rate->tokens_per_second, fraction * burst};
+    const auto peer_bucket = state.peers.find(owner.instance);
+    if (peer_bucket != state.peers.end()) {
+      if (!with_skipped && now < peer_bucket->second.skipped_until) continue;
+      const double seconds =
+          absl::ToDoubleSeconds(now - peer_bucket->second.updated);
+      source.level = std::min(
+          source.cap, peer_bucket->second.level + source.rate * seconds);
     }
     sources.push_back(source);
   }
   return sources;
 }
 
-// Draws on the fewest buckets that give the tokens soon. Of k buckets that
-// are left equally far from empty, all are ready after the same wait:
+// Takes the tokens from the fewest buckets that can give them soon. Each of k
+// buckets gives its level and what it accrues during the wait, which is the
+// same for all of them:
 //   wait = (tokens - sum of levels) / sum of rates.
-// More buckets mean a shorter wait and more messages; the ask price weighs
-// one against the other.
-std::optional<ShareBook::Draw> ShareBook::ChooseDraw(
-    std::vector<Source> sources, double tokens, absl::Duration longest) const {
+// More buckets mean a shorter wait but more messages; ask_price weighs one
+// against the other.
+std::optional<ShareBook::Plan> ShareBook::ChoosePlan(
+    std::vector<Source> sources, double tokens, absl::Duration max_wait) const {
   const auto time_to_empty = [this, tokens](const Source& source) {
     const bool is_own = source.peer.empty();
     const double left = source.level - tokens;
@@ -217,132 +224,137 @@
             [&](const Source& a, const Source& b) {
               return time_to_empty(a) > time_to_empty(b);
             });
-  std::optional<Draw> best;
-  absl::Duration best_price = absl::InfiniteDuration();
+  std::optional<Plan> best;
+  absl::Duration best_cost = absl::InfiniteDuration();
   double level = 0;
   double rate = 0;
-  int asked = 0;
+  int peers_asked = 0;
   for (std::size_t k = 0; k < sources.size(); ++k) {
     level += sources[k].level;
     rate += sources[k].rate;
-    if (!sources[k].peer.empty()) ++asked;
+    if (!sources[k].peer.empty()) ++peers_asked;
     const double wait = (tokens - level) / rate;
     const absl::Duration delay = absl::Seconds(std::max(0.0, wait));
-    const absl::Duration price = delay + asked * this->options.ask_price;
-    if (delay > longest || price >= best_price) continue;
-    Draw draw;
-    draw.wait = delay;
-    bool possible = true;
+    const absl::Duration cost = delay + peers_asked * this->options.ask_price;
+    if (delay > max_wait || cost >= best_cost) continue;
+    Plan plan;
+    plan.wait = delay;
+    bool within_caps = true;
     for (std::size_t i = 0; i <= k; ++i) {
       const double part = sources[i].level + sources[i].rate * wait;
-      possible = possible && part <= sources[i].cap;
-      if (part > 0) draw.parts.emplace_back(sources[i], part);
+      within_caps = within_caps && part <= sources[i].cap;
+      if (part > 0) plan.parts.emplace_back(sources[i], part);
     }
-    if (!possible || draw.parts.empty()) continue;
-    best = std::move(draw);
-    best_price = price;
+    if (!within_caps || plan.parts.empty()) continue;
+    best = std::move(plan);
+    best_cost = cost;
   }
   return best;
 }
 
-// Failure: on a busy machine two peers answer a little late, are left out for
-// a second, and an instance that holds no share itself refuses everybody as
-// over the rate. Peers that were silent are asked again before a request is
-// given up, for as long as it may wait; and if nobody answers at all, that is
-// what the caller is told.
-AdmissionStep ShareBook::WithoutDraw(Book& book, Admission& admission,
-                                     double missing, Instant now) const {
+// Failure: on a busy machine two peers respond a little late and are skipped
+// for kPeerSkipTime. Meanwhile an instance that owns no share refuses all
+// requests as over the rate. So unresponsive peers are asked again before a
+// request is refused, for as long as it may wait; and if no peer responds, the
+// caller is told this reason instead.
+AdmissionStep ShareBook::RetryOrRefuse(WorkspaceState& state,
+                                       Admission& admission, double missing,
+                                       Instant now) const {
   const bool may_wait =
-      now + kSilentPause < admission.started + admission.max_wait;
+      now + kPeerRetryPause < admission.started + admission.max_wait;
   if (!admission.silent.empty() && may_wait) {
     admission.silent.clear();
-    return WaitFor{kSilentPause};
+    return WaitFor{kPeerRetryPause};
   }
-  const std::vector<Source> sources = this->Sources(book, admission, true, now);
+  const std::vector<Source> sources =
+      this->Sources(state, admission, true, now);
   double level = 0;
   for (const Source& source : sources) level += source.level;
-  return this->GiveUp(book, admission,
-                      TimeFor(missing - level, book.rate->tokens_per_second),
-                      now);
+  return this->Refuse(
+      state, admission,
+      TimeToAccrue(missing - level, state.rate->tokens_per_second), now);
 }
 
-AdmissionStep ShareBook::GatherMore(Book& book, Admission& admission,
-                                    double missing, Instant now) const {
-  const absl::Duration patience = admission.started + admission.max_wait - now;
-  const absl::Duration longest =
-      std::min(patience, this->options.longest_promise);
-  std::optional<Draw> draw = this->ChooseDraw(
-      this->Sources(book, admission, false, now), missing, longest);
-  if (!draw.has_value()) {
-    draw = this->ChooseDraw(this->Sources(book, admission, true, now), missing,
-                            longest);
+AdmissionStep ShareBook::CollectTokens(WorkspaceState& state,
+                                       Admission& admission, double missing,
+                                       Instant now) const {
+  const absl::Duration remaining_wait =
+      admission.started + admission.max_wait - now;
+  const absl::Duration max_wait =
+      std::min(remaining_wait, this->options.longest_promise);
+  std::optional<Plan> plan = this->ChoosePlan(
+      this->Sources(state, admission, false, now), missing, max_wait);
+  if (!plan.has_value()) {
+    plan = this->ChoosePlan(this->Sources(state, admission, true, now), missing,
+                            max_wait);
   }
-  if (!draw.has_value()) {
-    return this->WithoutDraw(book, admission, missing, now);
+  if (!plan.has_value()) {
+    return this->RetryOrRefuse(state, admission, missing, now);
   }
-  // Peers are asked first: what they say may change the plan, and the own
-  // bucket then gives the rest.
-  for (const auto& [source, tokens] : draw->parts) {
+  // Peers are asked first, since their responses may change the plan. This
+  // instance's bucket then gives the rest.
+  for (const auto& [source, tokens] : plan->parts) {
     if (source.peer.empty()) continue;
-    // A peer that had less than was thought is asked for less the next time,
-    // but not for ever.
-    if (++admission.asks > kMostAsks) break;
+    // A peer that has fewer tokens than expected is asked for fewer the next
+    // time; the number of requests is bounded.
+    if (++admission.asks > kMaxLoanRequests) break;
     admission.asked_at = now;
-    const double whole = std::min(std::ceil(tokens), std::floor(source.cap));
-    return BorrowFrom{source.peer, static_cast<std::int64_t>(whole), longest};
+    const double rounded = std::min(std::ceil(tokens), std::floor(source.cap));
+    return BorrowFrom{source.peer, static_cast<std::int64_t>(rounded),
+                      max_wait};
   }
-  // What is spent at once needs no reservation.
-  if (admission.in_hand.empty() && book.bucket.Withdraw(missing, now)) {
+  // Tokens that are spent at once need no reservation.
+  if (admission.in_hand.empty() && state.bucket.Withdraw(missing, now)) {
     admission.charged = now;
     return Admitted{};
   }
   std::optional<Reservation> reserved;
-  if (admission.asks <= kMostAsks) {
+  if (admission.asks <= kMaxLoanRequests) {
     reserved =
-        book.bucket.Reserve(missing, longest, this->options.hold_limit, now);
+        state.bucket.Reserve(missing, max_wait, this->options.hold_limit, now);
   }
   if (!reserved.has_value()) {
-    return this->GiveUp(book, admission, draw->wait, now);
+    return this->Refuse(state, admission, plan->wait, now);
   }
   admission.in_hand.push_back(TokensInHand{"", missing, 0, now + reserved->wait,
                                            now + reserved->use_by});
-  return Spend(admission, now);
+  return WaitOrAdmit(admission, now);
 }
 
-AdmissionStep ShareBook::GiveUp(Book& book, Admission& admission,
-                                absl::Duration missing, Instant now) const {
-  if (book.share == 0 && !admission.answered) return NoShare{};
-  OverRate over;
-  over.retry_after = std::max(missing, kShortestRetryAfter);
-  for (const TokensInHand& part : admission.in_hand) {
-    if (part.peer.empty()) {
-      book.bucket.Refund(part.tokens, admission.started, now);
+AdmissionStep ShareBook::Refuse(WorkspaceState& state, Admission& admission,
+                                absl::Duration retry_after, Instant now) const {
+  if (state.share == 0 && !admission.answered) return NoShare{};
+  OverRate refusal;
+  refusal.retry_after = std::max(retry_after, kMinRetryAfter);
+  for (const TokensInHand& taken : admission.in_hand) {
+    if (taken.peer.empty()) {
+      state.bucket.Refund(taken.tokens, admission.started, now);
     } else {
-      over.returns.push_back(LoanReturn{
-          part.peer, static_cast<std::int64_t>(part.tokens), part.stamp});
+      refusal.returns.push_back(LoanReturn{
+          taken.peer, static_cast<std::int64_t>(taken.tokens), taken.stamp});
     }
   }
   admission.in_hand.clear();
-  return over;
+  return refusal;
 }
 
 void ShareBook::FinishLoan(Admission& admission, std::string_view peer,
                            const std::optional<Loan>& loan) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
-  Book& book = this->BookOf(shard, admission.workspace);
+  WorkspaceState& state = this->StateOf(shard, admission.workspace);
   const Instant now = this->clock.Now();
-  Hint& hint = book.hints[std::string(peer)];
-  hint.at = now;
+  PeerBucket& peer_bucket = state.peers[std::string(peer)];
+  peer_bucket.updated = now;
   if (!loan.has_value()) {
     admission.silent.insert(std::string(peer));
-    // The next requests must not wait for a silent peer too.
-    hint.level = 0;
-    hint.silent_until = now + kSilence;
+    // The next requests must not wait for this peer, too.
+    peer_bucket.level = 0;
+    peer_bucket.skipped_until = now + kPeerSkipTime;
     return;
   }
   admission.answered = true;
-  hint.level = static_cast<double>(loan->level);
+  peer_bucket.level = static_cast<double>(loan->level);
   if (loan->granted == 0) return;
   admission.in_hand.push_back(TokensInHand{
       std::string(peer), static_cast<double>(loan->granted), loan->stamp,
@@ -353,45 +365,46 @@
   if (!admission.charged.has_value()) return;
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
-  Book& book = this->BookOf(shard, admission.workspace);
-  const double unused = std::max(0.0, admission.cost - std::max(0.0, used));
-  book.bucket.Refund(unused, *admission.charged, this->clock.Now());
+  WorkspaceState& state = this->StateOf(shard, admission.workspace);
+  const double refundable = std::max(0.0, admission.cost - std::max(0.0, used));
+  state.bucket.Refund(refundable, *admission.charged, this->clock.Now());
 }
 
 Loan ShareBook::Lend(std::string_view workspace, std::int64_t tokens,
-                     absl::Duration longest) {
+                     absl::Duration max_wait) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(workspace);
-  if (found == shard.books.end() || tokens <= 0) return Loan{};
-  Book& book = found->second;
+  const auto found = shard.workspaces.find(workspace);
+  if (found == shard.workspaces.end() || tokens <= 0) return Loan{};
+  WorkspaceState& state = found->second;
   const Instant now = this->clock.Now();
-  book.last_demand = now;
+  state.last_demand = now;
   Loan loan;
   const std::optional<Reservation> reserved =
-      book.bucket.Reserve(static_cast<double>(tokens),
-                          std::min(longest, this->options.longest_promise),
-                          this->options.hold_limit, now);
+      state.bucket.Reserve(static_cast<double>(tokens),
+                           std::min(max_wait, this->options.longest_promise),
+                           this->options.hold_limit, now);
   if (reserved.has_value()) {
     loan.granted = tokens;
     loan.wait = reserved->wait;
     loan.use_by = reserved->use_by;
     loan.stamp = absl::ToInt64Nanoseconds(now);
   }
-  loan.level = static_cast<std::int64_t>(book.bucket.Level(now));
-  loan.cap = static_cast<std::int64_t>(book.bucket.Cap());
+  loan.level = static_cast<std::int64_t>(state.bucket.Level(now));
+  loan.cap = static_cast<std::int64_t>(state.bucket.Cap());
   return loan;
 }
 
-// A return may come late, or from a process that thinks it is somebody else's
-// borrower; the bucket never takes more than it would hold by itself today.
+// A return may be late, or may come from a process that borrowed from another
+// lender. The refund never adds more tokens than the bucket would hold now
+// without the loan.
 void ShareBook::TakeBack(std::string_view workspace, std::int64_t tokens,
                          std::int64_t stamp) {
   if (tokens <= 0) return;
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(workspace);
-  if (found == shard.books.end()) return;
+  const auto found = shard.workspaces.find(workspace);
+  if (found == shard.workspaces.end()) return;
   const Instant now = this->clock.Now();
   const Instant lent_at = absl::Nanoseconds(stamp);
   if (lent_at > now) return;
@@ -403,13 +416,13 @@
   const Instant now = this->clock.Now();
   for (const Shard& shard : this->shards) {
     absl::MutexLock lock(&shard.mutex);
-    for (const auto& [workspace, book] : shard.books) {
+    for (const auto& [workspace, state] : shard.workspaces) {
       if (balances.size() == limit) return balances;
-      if (now - book.last_demand > this->options.demand_memory) continue;
-      if (book.bucket.Cap() == 0) continue;
+      if (now - state.last_demand > this->options.demand_memory) continue;
+      if (state.bucket.Cap() == 0) continue;
       balances.push_back(WorkspaceBalance{
-          workspace, static_cast<std::int64_t>(book.bucket.Level(now)),
-          static_cast<std::int64_t>(book.bucket.Cap())});
+          workspace, static_cast<std::int64_t>(state.bucket.Level(now)),
+          static_cast<std::int64_t>(state.bucket.Cap())});
     }
   }
   return balances;
@@ -419,8 +432,8 @@
     std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(workspace);
-  if (found == shard.books.end()) return std::nullopt;
+  const auto found = shard.workspaces.find(workspace);
+  if (found == shard.workspaces.end()) return std::nullopt;
   const TokenBucket& bucket = found->second.bucket;
   return WorkspaceBalance{
       std::string(workspace),
@@ -431,12 +444,12 @@
 void ShareBook::Learn(std::string_view peer, const WorkspaceBalance& balance) {
   Shard& shard = this->ShardOf(balance.workspace);
   absl::MutexLock lock(&shard.mutex);
-  const auto found = shard.books.find(balance.workspace);
-  if (found == shard.books.end()) return;
-  Hint& hint = found->second.hints[std::string(peer)];
-  hint.level = static_cast<double>(balance.level);
-  hint.silent_until = -absl::InfiniteDuration();
-  hint.at = this->clock.Now();
+  const auto found = shard.workspaces.find(balance.workspace);
+  if (found == shard.workspaces.end()) return;
+  PeerBucket& peer_bucket = found->second.peers[std::string(peer)];
+  peer_bucket.level = static_cast<double>(balance.level);
+  peer_bucket.skipped_until = -absl::InfiniteDuration();
+  peer_bucket.updated = this->clock.Now();
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/share_book.h
+++ b/dragonflyglade/decision/share_book.h
@@ -18,196 +18,205 @@
 
 namespace dragonflyglade {
 
-/// A workspace's rate over the whole fleet.
+/// A workspace's rate limit over the whole fleet.
 struct RateLimit {
   double tokens_per_second = 0;
   double burst_tokens = 0;
 };
 
-/// Limits on how tokens move between instances.
+/// How tokens move between the buckets of instances.
 struct ShareOptions {
-  /// How long tokens that could be spent may be held at least before they
-  /// count as lost.
+  /// How long reserved tokens can be spent at least, once they have accrued.
   absl::Duration hold_limit = absl::Milliseconds(100);
-  /// Longest time ahead for which tokens are promised.
+  /// Longest time ahead for which tokens are reserved.
   absl::Duration longest_promise = absl::Milliseconds(500);
-  /// What asking one more peer is worth in waiting time.
+  /// How much shorter the wait has to be for each additional peer that is
+  /// asked for tokens.
   absl::Duration ask_price = absl::Milliseconds(10);
-  /// Part of its cap down to which the own bucket is drawn on alone. Below
-  /// it, those furthest from empty give first, own and others alike: a bucket
-  /// that sits at its cap accrues nothing.
+  /// Fraction of its cap down to which only the instance's own bucket is used.
+  /// Below it, the buckets that take longest to become empty are used first,
+  /// whether own or a peer's, since a bucket at its cap accrues nothing.
   double own_until = 0.85;
-  /// Workspaces without demand for this long leave the balances.
+  /// Workspaces without a request for this long are left out of the balances.
   absl::Duration demand_memory = absl::Seconds(10);
 };
 
-/// Tokens taken for an admission, from a peer or from the own bucket.
+/// Tokens taken for an admission, from a peer's bucket or from this instance's.
 struct TokensInHand {
-  std::string peer;  ///< empty for the own bucket
+  std::string peer;  ///< lender; empty for this instance's bucket
   double tokens = 0;
-  std::int64_t stamp = 0;  ///< the giver's; goes back with returned tokens
-  Instant spend_from;      ///< not before this
-  Instant use_by;          ///< and not after this
+  std::int64_t stamp = 0;  ///< set by the lender; sent back with a return
+  Instant spend_from;      ///< earliest time to spend them
+  Instant use_by;          ///< latest time to spend them
 };
 
-/// One request's way to its tokens. Made by ShareBook::Begin.
+/// The state of one request's admission. Created by ShareBook::Begin.
 struct Admission {
   std::string workspace;
-  double cost = 0;
+  double cost = 0;  ///< tokens
   Instant started;
   absl::Duration max_wait;
   std::vector<TokensInHand> in_hand;
-  std::set<std::string> silent;    ///< peers that did not answer
-  int asks = 0;                    ///< loans asked for so far
-  bool answered = false;           ///< whether any peer answered
-  Instant asked_at;                ///< of the loan under way
+  std::set<std::string> silent;    ///< peers that did not respond
+  int asks = 0;                    ///< number of loans requested
+  bool answered = false;           ///< whether any peer responded
+  Instant asked_at;                ///< when the current loan was requested
   std::optional<Instant> charged;  ///< when it was admitted
 };
 
-/// The tokens are taken; the request may go on.
+/// Next step: proceed with the request; its tokens are taken.
 struct Admitted {};
-/// Ask this peer for tokens, then report by ShareBook::FinishLoan.
+/// Next step: ask this peer for a loan, then call ShareBook::FinishLoan.
 struct BorrowFrom {
   std::string peer;
   std::int64_t tokens = 0;
-  absl::Duration longest;  ///< the longest promise that is of use
+  absl::Duration longest;  ///< longest acceptable wait for the tokens
 };
-/// Come back after this time.
+/// Next step: call ShareBook::Next again after this time.
 struct WaitFor {
   absl::Duration delay;
 };
-/// Tokens to give back to a lender.
+/// Tokens to return to a lender.
 struct LoanReturn {
   std::string peer;
   std::int64_t tokens = 0;
   std::int64_t stamp = 0;
 };
-/// The workspace is over its rate.
+/// Next step: refuse; the workspace is over its rate.
 struct OverRate {
   absl::Duration retry_after;
-  std::vector<LoanReturn> returns;  ///< loans that were of no use
+  std::vector<LoanReturn> returns;  ///< borrowed tokens that were not spent
 };
-/// The request alone costs more than the burst; it can never be admitted.
+/// Next step: refuse; the request alone costs more than the workspace's burst,
+/// so it can never be admitted.
 struct CostAboveBurst {
   double limit = 0;
 };
-/// The workspace has no rate record.
+/// Next step: refuse; the workspace has no rate limit configured.
 struct NoRate {};
-/// Nobody that holds a share of this workspace could be asked.
+/// Next step: refuse; this instance has no share of the workspace's rate, and
+/// no owner of a share responded.
 struct NoShare {};
 
 using AdmissionStep = std::variant<Admitted, BorrowFrom, WaitFor, OverRate,
                                    CostAboveBurst, NoRate, NoShare>;
 
-/// A lender's answer, with what is left in its bucket.
+/// A lender's response, with the state of its bucket afterwards.
 struct Loan {
-  std::int64_t granted = 0;  ///< all that was asked for, or nothing
-  absl::Duration wait;       ///< they may be spent after this
-  absl::Duration use_by;     ///< and not after this, from the asking on
-  std::int64_t stamp = 0;    ///< to be shown when they are returned
-  std::int64_t level = 0;
-  std::int64_t cap = 0;
+  std::int64_t granted = 0;  ///< tokens: all that were asked for, or 0
+  absl::Duration wait;       ///< earliest time to spend them, from now
+  absl::Duration use_by;     ///< latest time, from the request for the loan
+  std::int64_t stamp = 0;    ///< identifies the loan when tokens are returned
+  std::int64_t level = 0;    ///< tokens left in the lender's bucket
+  std::int64_t cap = 0;      ///< tokens
 };
 
-/// A bucket's state as heartbeats carry it.
+/// The state of one workspace's bucket, as heartbeats carry it.
 struct WorkspaceBalance {
   std::string workspace;
-  std::int64_t level = 0;
-  std::int64_t cap = 0;
+  std::int64_t level = 0;  ///< tokens
+  std::int64_t cap = 0;    ///< tokens
 };
 
-/// This instance's shares of all workspaces' rates.
+/// Limits the rates of workspaces over all instances. Each instance has a token
+/// bucket for its share of each workspace's rate and borrows from the buckets
+/// of its peers.
 ///
-/// Over any window of length t, all instances together admit at most
-/// burst + rate * t: shares sum to at most one, a lender debits before it
-/// answers, what it promises ahead is what its own share will accrue, and
-/// tokens on their way count towards the lender's cap until they are void.
-/// Thread-safe; workspaces are spread over shards with a lock each.
+/// In any window of length t, all instances together admit at most
+/// burst + rate * t: the shares sum to at most 1; a lender debits its bucket
+/// before it responds; it reserves ahead only what its own share will accrue;
+/// and lent tokens count towards the lender's cap until they expire.
+/// Thread-safe; workspaces are distributed over shards with a lock each.
 class ShareBook {
  public:
   ShareBook(std::string_view instance, std::int64_t incarnation,
             ShareOptions options, Clock clock);
 
-  /// Sets or removes a workspace's rate.
+  /// Sets or removes a workspace's rate limit.
   void SetRate(std::string_view workspace, std::optional<RateLimit> rate);
 
-  /// Follows an allotment unless a newer epoch is followed already.
+  /// Applies an allotment unless its epoch is older than the current one or the
+  /// same.
   void Adopt(const Allotment& allotment);
 
-  /// The epoch of which this instance surely uses no more than its share; 0
-  /// for none.
+  /// The newest epoch under which this instance certainly uses no more than its
+  /// share; 0 if there is none.
   std::int64_t ConfirmedEpoch(std::string_view workspace);
 
-  /// The allotment followed for a workspace, if any.
+  /// The allotment that was last applied for a workspace, if any.
   std::optional<Allotment> Followed(std::string_view workspace) const;
 
-  /// Starts an admission.
-  /// @param cost tokens, prompt plus the most that may be generated
-  /// @param max_wait how long it may wait for tokens
+  /// Starts the admission of a request.
+  /// @param cost tokens: the prompt's, plus the most that may be generated
+  /// @param max_wait how long the request may wait for tokens
   Admission Begin(std::string_view workspace, double cost,
                   absl::Duration max_wait) const;
 
   /// Decides the next step of an admission.
   AdmissionStep Next(Admission& admission);
 
-  /// Takes a lender's answer; nothing if it did not answer.
+  /// Records a lender's response to the loan that Next asked for.
+  /// @param loan nothing if the lender did not respond
   void FinishLoan(Admission& admission, std::string_view peer,
                   const std::optional<Loan>& loan);
 
-  /// Gives back what an admitted request did not use.
+  /// Refunds the tokens that an admitted request did not use.
   /// @param used tokens, at most the cost
   void Settle(const Admission& admission, double used);
 
   /// Lends tokens to another instance, all or none.
-  /// @param longest the longest wait that is of use to the borrower
+  /// @param max_wait longest wait that is acceptable to the borrower
   Loan Lend(std::string_view workspace, std::int64_t tokens,
-            absl::Duration longest);
+            absl::Duration max_wait);
 
-  /// Takes back lent tokens that were not spent.
-  /// @param stamp of the loan
+  /// Puts lent tokens back that the borrower did not spend.
+  /// @param stamp the loan's stamp
   void TakeBack(std::string_view workspace, std::int64_t tokens,
                 std::int64_t stamp);
 
-  /// Buckets of workspaces with recent demand, at most limit of them.
+  /// Balances of workspaces with recent demand, at most limit of them.
   std::vector<WorkspaceBalance> Balances(std::size_t limit) const;
 
-  /// The own bucket of a workspace, if it is known here.
+  /// The balance of this instance's bucket for a workspace, if it has one.
   std::optional<WorkspaceBalance> BalanceOf(std::string_view workspace) const;
 
-  /// Takes note of a peer's bucket.
+  /// Records the balance of a peer's bucket, which a heartbeat brought.
   void Learn(std::string_view peer, const WorkspaceBalance& balance);
 
  private:
-  struct Hint {
+  /// What was last learned of a peer's bucket.
+  struct PeerBucket {
     double level = 0;
-    Instant at;
-    Instant silent_until = -absl::InfiniteDuration();
+    Instant updated;
+    /// Until when the peer is not asked, because it did not respond.
+    Instant skipped_until = -absl::InfiniteDuration();
   };
-  struct Book {
-    explicit Book(Instant now) : bucket(now), last_demand(now) {}
+  struct WorkspaceState {
+    explicit WorkspaceState(Instant now) : bucket(now), last_demand(now) {}
     std::optional<RateLimit> rate;
     std::optional<Allotment> allotment;
-    /// The epoch that others may count on, and from when on the newest one is.
-    std::int64_t confirmed_epoch = 0;
-    Instant confirm_from;
+    std::int64_t confirmed_epoch = 0;  ///< last result of ConfirmedEpoch
+    Instant confirm_from;  ///< when the allotment's epoch may be confirmed
     TokenBucket bucket;
-    std::int64_t share = 0;
+    std::int64_t share = 0;  ///< millionths; see kWholeShare
     Instant last_demand;
-    std::map<std::string, Hint, std::less<>> hints;
+    std::map<std::string, PeerBucket, std::less<>> peers;
   };
   struct Shard {
     mutable absl::Mutex mutex;
-    std::map<std::string, Book, std::less<>> books ABSL_GUARDED_BY(mutex);
+    std::map<std::string, WorkspaceState, std::less<>> workspaces
+        ABSL_GUARDED_BY(mutex);
   };
-  /// A bucket that tokens may come from.
+  /// A bucket that tokens may be taken from, by what is known of it.
   struct Source {
-    std::string peer;  ///< empty for the own bucket
+    std::string peer;  ///< empty for this instance's bucket
     double level = 0;
     double rate = 0;
     double cap = 0;
   };
-  /// Which sources to draw on, and how long that takes.
-  struct Draw {
+  /// How many tokens to take from which buckets, and how long they take to
+  /// accrue.
+  struct Plan {
     std::vector<std::pair<Source, double>> parts;
     absl::Duration wait;
   };
@@ -215,22 +224,24 @@
 
   Shard& ShardOf(std::string_view workspace);
   const Shard& ShardOf(std::string_view workspace) const;
-  Book& BookOf(Shard& shard, std::string_view workspace) const
+  WorkspaceState& StateOf(Shard& shard, std::string_view workspace) const
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(shard.mutex);
-  void Reconfigure(Book& book, Instant now) const;
-  std::vector<Source> Sources(const Book& book, const Admission& admission,
-                              bool with_silent, Instant now) const;
-  AdmissionStep WithoutDraw(Book& book, Admission& admission, double missing,
-                            Instant now) const;
-  std::optional<Draw> ChooseDraw(std::vector<Source> sources, double tokens,
-                                 absl::Duration longest) const;
-  static void DropStale(Admission& admission, Instant now);
-  static AdmissionStep Spend(Admission& admission, Instant now);
-  AdmissionStep GatherMore(Book& book, Admission& admission, double missing,
-                           Instant now) const;
-  AdmissionStep GiveUp(Book& book, Admission& admission, absl::Duration missing,
-                       Instant now) const;
-  AdmissionStep NextInBook(Book& book, Admission& admission, Instant now) const;
+  void ConfigureBucket(WorkspaceState& state, Instant now) const;
+  std::vector<Source> Sources(const WorkspaceState& state,
+                              const Admission& admission, bool with_skipped,
+                              Instant now) const;
+  AdmissionStep RetryOrRefuse(WorkspaceState& state, Admission& admission,
+                              double missing, Instant now) const;
+  std::optional<Plan> ChoosePlan(std::vector<Source> sources, double tokens,
+                                 absl::Duration max_wait) const;
+  static void DropExpired(Admission& admission, Instant now);
+  static AdmissionStep WaitOrAdmit(Admission& admission, Instant now);
+  AdmissionStep CollectTokens(WorkspaceState& state, Admission& admission,
+                              double missing, Instant now) const;
+  AdmissionStep Refuse(WorkspaceState& state, Admission& admission,
+                       absl::Duration retry_after, Instant now) const;
+  AdmissionStep NextStep(WorkspaceState& state, Admission& admission,
+                         Instant now) const;
 
   const std::string instance;
   const std::int64_t incarnation;
--- a/dragonflyglade/decision/token_bucket.h
+++ b/dragonflyglade/decision/token_bucket.h
@@ -10,86 +10,93 @@
 
 namespace dragonflyglade {
 
-/// When reserved tokens may be spent, counted from the reservation.
+/// When reserved tokens may be spent, relative to the time of the reservation.
 struct Reservation {
-  absl::Duration wait;    ///< not before this
-  absl::Duration use_by;  ///< and not after this
+  absl::Duration wait;    ///< earliest time
+  absl::Duration use_by;  ///< latest time
 };
 
-/// A bucket that accrues tokens up to a cap. Not synchronised.
+/// A token bucket: accrues tokens at a rate, up to a cap. Tokens can be
+/// reserved ahead and refunded. Not synchronised.
 ///
-/// A late refund is bounded by what the bucket would hold today had the
-/// smaller amount been taken in the first place; see Refund.
+/// A refund never raises the level above what it would be now if only the used
+/// tokens had been taken in the first place; see Refund.
 class TokenBucket {
  public:
   /// An empty bucket that accrues nothing.
   explicit TokenBucket(Instant now);
 
-  /// Changes pace and cap; what lies above the new cap is lost.
-  /// @param rate tokens a second
+  /// Changes rate and cap; tokens above the new cap are lost.
+  /// @param rate tokens per second
   /// @param cap tokens
   void Configure(double rate, double cap, Instant now);
 
-  /// Tokens held at now.
+  /// Tokens in the bucket at a time; negative after a reservation ahead.
   double Level(Instant now) const;
   double Cap() const { return this->cap; }
   double Rate() const { return this->rate; }
 
-  /// Takes tokens if all of them are there.
+  /// Takes tokens if the bucket has all of them.
+  /// @return whether they were taken
   bool Withdraw(double tokens, Instant now);
 
-  /// Takes tokens that are there now or will have accrued soon, to be spent
-  /// elsewhere. The level may go below zero, which makes the next one wait
-  /// longer. Until the use-by time the tokens count towards the cap.
-  /// @param longest the longest wait that is of use
-  /// @param hold how long after the wait they can still be spent, at least
-  /// @return nothing if the wait is too long or the tokens are above the cap
-  std::optional<Reservation> Reserve(double tokens, absl::Duration longest,
-                                     absl::Duration hold, Instant now);
-
-  /// Tokens reserved whose use-by time is to come.
+  /// Takes tokens that the bucket has now or will have accrued soon, to be
+  /// spent by a borrower or later. The level may become negative, so that the
+  /// next reservation waits longer. Until the use-by time the tokens count
+  /// towards the cap.
+  /// @param max_wait longest wait that is acceptable
+  /// @param hold_time least time after the wait for which they can be spent
+  /// @return nothing if the wait would be too long or the tokens exceed the cap
+  std::optional<Reservation> Reserve(double tokens, absl::Duration max_wait,
+                                     absl::Duration hold_time, Instant now);
+
+  /// Reserved tokens whose use-by time has not passed.
   double Reserved(Instant now) const;
 
-  /// Puts tokens in, as far as the cap allows.
-  /// @return how many were kept
+  /// Adds tokens as far as the cap allows.
+  /// @return how many were added
   double Deposit(double tokens, Instant now);
 
-  /// Gives back tokens that were taken at the instant since and not used.
-  /// @return how many were kept
-  /// Complexity: linear in the remembered withdrawals, at most
-  /// kMaxRemembered.
-  double Refund(double tokens, Instant since, Instant now);
+  /// Returns tokens that were taken at a time and not used.
+  /// @param taken_at when they were taken
+  /// @return how many were added
+  /// Complexity: linear in the recorded withdrawals, at most kMaxHeadrooms.
+  double Refund(double tokens, Instant taken_at, Instant now);
 
  private:
-  // The least room under the cap at one instant.
+  // How many tokens fitted under the cap at a time.
   struct Headroom {
     Instant at;
-    double room;
+    double tokens;
   };
-  static constexpr std::size_t kMaxRemembered = 64;
+  static constexpr std::size_t kMaxHeadrooms = 64;
 
   // Reserved tokens that count towards the cap until they expire.
-  struct Outstanding {
+  struct ReservedTokens {
     Instant expires;
     double tokens;
   };
 
   struct State {
     double level = 0;
-    double reserved = 0;  ///< sum of what is outstanding
+    double reserved = 0;  ///< sum of the reservations that have not expired
     Instant updated;
   };
 
-  void Accrue(Instant now);
-  void Grow(State& state, Instant until) const;
-  double Room() const;
-  void Remember();
+  /// Brings the state up to date, with reservations that expired until then.
+  void Update(Instant now);
+  /// Adds the tokens that accrue until a time to a state.
+  void Accrue(State& state, Instant until) const;
+  /// How many tokens fit under the cap now.
+  double CurrentHeadroom() const;
+  /// Records the headroom before tokens are taken.
+  void RecordHeadroom();
 
-  double rate = 0;
+  double rate = 0;  ///< tokens per second
   double cap = 0;
   State state;
-  std::deque<Outstanding> outstanding;  ///< by expiry
-  std::deque<Headroom> headrooms;
+  std::deque<ReservedTokens> reservations;  ///< ordered by expiry
+  std::deque<Headroom> headrooms;  ///< ordered by time and increasing headroom
 };
 
 }  // namespace dragonflyglade
--- a/tests/unit/spending_by_steps.h
+++ b/tests/unit/spending_by_steps.h
@@ -8,14 +8,14 @@
 
 namespace dragonflyglade {
 
-/// A number that is drawn evenly, both ends included.
+/// A uniformly distributed random number from least to most, both included.
 inline int Between(std::mt19937& random, int least, int most) {
   return std::uniform_int_distribution<int>(least, most)(random);
 }
 
-/// The most that was spent in any span of a window.
-/// @param spent in each step
-/// @param steps of a window
+/// The highest spending in any window.
+/// @param spent spending in each step
+/// @param steps number of steps in a window
 inline double MostInAWindow(const std::vector<double>& spent,
                             std::size_t steps) {
   double most = 0;
--- a/tests/unit/unit-allotment.cc
+++ b/tests/unit/unit-allotment.cc
@@ -6,8 +6,8 @@
 namespace dragonflyglade {
 namespace {
 
-AllotmentView ViewOf(const std::vector<std::string>& names,
-                     std::int64_t version) {
+AllotmentView InputsWithAll(const std::vector<std::string>& names,
+                            std::int64_t version) {
   AllotmentView view;
   view.list_version = version;
   for (const std::string& name : names) {
@@ -18,10 +18,10 @@
   return view;
 }
 
-Allotment Settle(Allotment allotment, AllotmentView view) {
+Allotment ApplyUntilStable(Allotment allotment, AllotmentView view) {
   for (int i = 0; i < 10; ++i) {
-    for (const HolderShare& holder : allotment.holders) {
-      view.confirmed[holder.instance] = allotment.epoch;
+    for (const HolderShare& owner : allotment.holders) {
+      view.confirmed[owner.instance] = allotment.epoch;
     }
     const auto next = NextAllotment(allotment, view);
     if (!next.has_value()) return allotment;
@@ -30,41 +30,43 @@
   return allotment;
 }
 
-struct GoneCase {
+struct TerminationCase {
   const char* name;
   std::int64_t list_version;
   bool listed;
-  std::int64_t answering;  ///< incarnation; 0: silent
-  bool gone;
+  std::int64_t answering;  ///< incarnation that responds; 0: none does
+  bool terminated;
 };
 
 class AllotmentTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(AllotmentTest);
-  CPPUNIT_TEST(SharesAreEqualAndWhole);
-  CPPUNIT_TEST(AGrowingHolderWaitsForTheShrinkingOne);
-  CPPUNIT_TEST(OnlyProofEndsAHolder);
-  CPPUNIT_TEST(NeverMoreThanTheWholeIsAssumed);
+  CPPUNIT_TEST(SharesAreEqualAndSumToTheWhole);
+  CPPUNIT_TEST(GrowsOnlyAfterShrinkingOwnersConfirm);
+  CPPUNIT_TEST(TerminationNeedsProof);
+  CPPUNIT_TEST(SharesInUseNeverExceedTheWhole);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SharesAreEqualAndWhole() {
+  void SharesAreEqualAndSumToTheWhole() {
     for (const std::size_t count : {1, 2, 3, 6}) {
       std::vector<std::string> names;
       for (std::size_t i = 0; i < count; ++i) {
         names.push_back(std::string(1, static_cast<char>('a' + i)));
       }
-      const Allotment settled = Settle(Allotment{"w", 0, {}}, ViewOf(names, 1));
-      CPPUNIT_ASSERT_EQUAL(count, settled.holders.size());
-      CPPUNIT_ASSERT_EQUAL(kWholeShare, AssumedTotal(settled));
+      const Allotment stable =
+          ApplyUntilStable(Allotment{"w", 0, {}}, InputsWithAll(names, 1));
+      CPPUNIT_ASSERT_EQUAL(count, stable.holders.size());
+      CPPUNIT_ASSERT_EQUAL(kWholeShare, AssumedTotal(stable));
     }
   }
 
-  // A third instance joins two holders. It gets nothing before they confirm
-  // that they follow the smaller shares, because they may still be spending
-  // the larger ones.
-  void AGrowingHolderWaitsForTheShrinkingOne() {
-    const Allotment two = Settle(Allotment{"w", 0, {}}, ViewOf({"a", "b"}, 1));
-    AllotmentView view = ViewOf({"a", "b", "c"}, 2);
+  // Failure: a third instance joins two owners and gets a share while they
+  // still spend their larger ones, so that more than the whole is in use. It
+  // gets its share only after both have confirmed the smaller shares.
+  void GrowsOnlyAfterShrinkingOwnersConfirm() {
+    const Allotment two =
+        ApplyUntilStable(Allotment{"w", 0, {}}, InputsWithAll({"a", "b"}, 1));
+    AllotmentView view = InputsWithAll({"a", "b", "c"}, 2);
     const Allotment shrunk = *NextAllotment(two, view);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, ShareOf(shrunk, "c", 1));
     CPPUNIT_ASSERT(!NextAllotment(shrunk, view).has_value());
@@ -73,28 +75,29 @@
     CPPUNIT_ASSERT(ShareOf(*NextAllotment(shrunk, view), "c", 1) > 0);
   }
 
-  void OnlyProofEndsAHolder() {
-    const std::vector<GoneCase> cases = {
-        {"silent but listed", 9, true, 0, false},
+  void TerminationNeedsProof() {
+    const std::vector<TerminationCase> cases = {
+        {"unresponsive but listed", 9, true, 0, false},
         {"a list older than its share", 4, false, 0, false},
         {"a newer list without it", 9, false, 0, true},
         {"a newer process at its address", 4, true, 8, true},
-        {"the same process answers", 4, true, 7, false},
+        {"the same process responds", 4, true, 7, false},
     };
-    for (const GoneCase& item : cases) {
-      const HolderShare holder{"a", 7, kWholeShare, kWholeShare, 5};
+    for (const TerminationCase& item : cases) {
+      const HolderShare owner{"a", 7, kWholeShare, kWholeShare, 5};
       AllotmentView view;
       view.list_version = item.list_version;
       if (item.listed) view.listed.insert("a");
       if (item.answering != 0) view.answering["a"] = item.answering;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.gone, IsGone(holder, view));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.terminated,
+                                   IsGone(owner, view));
     }
   }
 
-  // Instances come, go, restart, confirm or stay silent at random; a keeper
-  // may act on any part of that. What holders may be using never exceeds the
-  // whole.
-  void NeverMoreThanTheWholeIsAssumed() {
+  // Instances join, terminate, restart, confirm or do not respond at random,
+  // and the next allotment is computed from any combination of that. The shares
+  // that may be in use never exceed the whole.
+  void SharesInUseNeverExceedTheWhole() {
     const bool holds = rc::check("shares are conserved", [] {
       Allotment allotment{"w", 0, {}};
       const int steps = *rc::gen::inRange(1, 40);
@@ -112,9 +115,9 @@
             view.confirmed[name] = allotment.epoch - *rc::gen::inRange(0, 2);
           }
         }
-        for (const HolderShare& holder : allotment.holders) {
+        for (const HolderShare& owner : allotment.holders) {
           if (*rc::gen::arbitrary<bool>()) {
-            view.settled.insert({holder.instance, holder.incarnation});
+            view.stable.insert({owner.instance, owner.incarnation});
           }
         }
         const auto next = NextAllotment(allotment, view);
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -7,9 +7,12 @@
 namespace dragonflyglade {
 namespace {
 
-Claim Own() { return Claim{"nonce-1", "digest-1", ClaimState::kRunning, {}}; }
+Claim OwnClaim() {
+  return Claim{"nonce-1", "digest-1", ClaimState::kRunning, {}};
+}
 
-ClaimExists Existing(const char* nonce, const char* digest, ClaimState state) {
+ClaimExists ExistingClaim(const char* nonce, const char* digest,
+                          ClaimState state) {
   Claim claim{nonce, digest, state, {}};
   claim.answer = StoredAnswer{201, "text/plain", std::string("\0\xff ok", 5)};
   return ClaimExists{EncodeClaim(claim), 7};
@@ -29,36 +32,37 @@
 
 class ClaimTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimTest);
-  CPPUNIT_TEST(DecidesWhatFollowsAWrite);
-  CPPUNIT_TEST(KeepsAnswersToTheByte);
+  CPPUNIT_TEST(DecidesTheStepAfterAWrite);
+  CPPUNIT_TEST(KeepsResponseBodiesByteForByte);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Two callers race with one key, or the service's answer to the own write
-  // is lost. Only a claim that is certainly the own one is dispatched, and
-  // nothing was dispatched before it was known.
-  void DecidesWhatFollowsAWrite() {
+  // Failure: a call runs twice, because two callers use one key at the same
+  // time or because the response to a claim's write is lost. A call is sent
+  // only when its claim is certainly this process's own, and never before that
+  // is known.
+  void DecidesTheStepAfterAWrite() {
     const std::vector<StepCase> cases = {
         {"created", ClaimCreated{3}, true, IndexOf<Dispatch>()},
-        {"lost answer, found again",
-         Existing("nonce-1", "digest-1", ClaimState::kRunning), true,
+        {"own claim found after a lost response",
+         ExistingClaim("nonce-1", "digest-1", ClaimState::kRunning), true,
          IndexOf<Dispatch>()},
         {"another caller's, running",
-         Existing("nonce-2", "digest-1", ClaimState::kRunning), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kRunning), true,
          IndexOf<InDoubt>()},
         {"another caller's, unknown",
-         Existing("nonce-2", "digest-1", ClaimState::kUnknown), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kUnknown), true,
          IndexOf<InDoubt>()},
         {"another caller's, done",
-         Existing("nonce-2", "digest-1", ClaimState::kDone), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kDone), true,
          IndexOf<Replay>()},
         {"the key of another request",
-         Existing("nonce-2", "digest-2", ClaimState::kDone), true,
+         ExistingClaim("nonce-2", "digest-2", ClaimState::kDone), true,
          IndexOf<KeyReused>()},
         {"an unreadable claim", ClaimExists{"{", 4}, true, IndexOf<InDoubt>()},
-        {"no answer, time left", ClaimOutcomeUnknown{}, true,
+        {"no response, time left", ClaimOutcomeUnknown{}, true,
          IndexOf<TryAgain>()},
-        {"no answer, no time left", ClaimOutcomeUnknown{}, false,
+        {"no response, no time left", ClaimOutcomeUnknown{}, false,
          IndexOf<NotDispatched>()},
         {"not written, no time left", ClaimNotWritten{}, false,
          IndexOf<NotDispatched>()},
@@ -66,13 +70,14 @@
     for (const StepCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
-          AfterClaimWrite(Own(), item.write, item.may_retry).index());
+          AfterClaimWrite(OwnClaim(), item.write, item.may_retry).index());
     }
   }
 
-  void KeepsAnswersToTheByte() {
+  void KeepsResponseBodiesByteForByte() {
     const ClaimStep step = AfterClaimWrite(
-        Own(), Existing("nonce-2", "digest-1", ClaimState::kDone), true);
+        OwnClaim(), ExistingClaim("nonce-2", "digest-1", ClaimState::kDone),
+        true);
     const StoredAnswer& answer = std::get<Replay>(step).answer;
     CPPUNIT_ASSERT_EQUAL(201, answer.status);
     CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), answer.body);
--- a/tests/unit/unit-freshness.cc
+++ b/tests/unit/unit-freshness.cc
@@ -10,7 +10,7 @@
 
 constexpr absl::Duration kBound = absl::Seconds(5);
 
-struct RightCase {
+struct StateCase {
   const char* name;
   std::optional<absl::Duration> age;
   Reach reach;
@@ -19,28 +19,38 @@
 
 class FreshnessTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(FreshnessTest);
-  CPPUNIT_TEST(DecidesByAgeAndReach);
-  CPPUNIT_TEST(AnOlderConfirmationChangesNothing);
+  CPPUNIT_TEST(DecidesByAgeAndReachability);
+  CPPUNIT_TEST(IgnoresAnOlderConfirmation);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // An instance that lost the key-value service must not serve a key that was
-  // withdrawn where the service still is. It may go on only if everybody the
-  // platform lists is in contact and just as stale: then the service is out
-  // for all, and nothing can have been withdrawn.
-  void DecidesByAgeAndReach() {
+  // Failure: an instance that lost the key-value service accepts a key that was
+  // withdrawn where the service is still reachable. It may go on serving only
+  // if all instances that the platform lists are reachable and as stale as
+  // itself: then none of them reaches the service, and no withdrawal can have
+  // taken effect.
+  void DecidesByAgeAndReachability() {
     const absl::Duration fresh = absl::Seconds(5);
     const absl::Duration stale = absl::Seconds(6);
-    const std::vector<RightCase> cases = {
+    const std::vector<StateCase> cases = {
         {"never complete", std::nullopt, {5, 5}, AdmissionRight::kNeverReady},
         {"fresh and alone", fresh, {0, 0}, AdmissionRight::kFresh},
-        {"fresh and cut from peers", fresh, {5, 0}, AdmissionRight::kFresh},
-        {"stale with all peers", stale, {5, 5}, AdmissionRight::kOutage},
-        {"stale and one is missing", stale, {5, 4}, AdmissionRight::kCutOff},
-        {"stale with no peer in reach", stale, {5, 0}, AdmissionRight::kCutOff},
+        {"fresh with no reachable peer", fresh, {5, 0}, AdmissionRight::kFresh},
+        {"stale with all peers reachable",
+         stale,
+         {5, 5},
+         AdmissionRight::kOutage},
+        {"stale with one peer unreachable",
+         stale,
+         {5, 4},
+         AdmissionRight::kCutOff},
+        {"stale with no reachable peer",
+         stale,
+         {5, 0},
+         AdmissionRight::kCutOff},
         {"stale and alone", stale, {0, 0}, AdmissionRight::kCutOff},
     };
-    for (const RightCase& item : cases) {
+    for (const StateCase& item : cases) {
       ManualClock manual;
       manual.Advance(absl::Hours(1));
       Freshness freshness(kBound, Clock(&manual));
@@ -52,7 +62,7 @@
     }
   }
 
-  void AnOlderConfirmationChangesNothing() {
+  void IgnoresAnOlderConfirmation() {
     ManualClock manual;
     manual.Advance(absl::Seconds(10));
     Freshness freshness(kBound, Clock(&manual));
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -9,48 +9,48 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr double kRate = 2;  // loads a second
+constexpr double kLoadsPerSecond = 2;
 const LoadCeilingOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
-constexpr int kAllowed = 13;  // of a window: the rate, and three beside it
+constexpr int kLoadsPerWindow = 13;  // by the rate, and 3 extra loads
 
 class LoadCeilingTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LoadCeilingTest);
-  CPPUNIT_TEST(BeginsNoMoreThanHalfAtOnce);
-  CPPUNIT_TEST(KeepsTheCeilingOverHolders);
+  CPPUNIT_TEST(AllowsHalfOfAWindowAtOnce);
+  CPPUNIT_TEST(KeepsTheLimitAcrossLeaders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BeginsNoMoreThanHalfAtOnce() {
+  void AllowsHalfOfAWindowAtOnce() {
     ManualClock manual;
     manual.Advance(absl::Seconds(100));
-    LoadCeiling ceiling(kOptions, Clock(&manual));
-    CPPUNIT_ASSERT_EQUAL(6, ceiling.Left(kRate));
-    for (int i = 0; i < 6; ++i) ceiling.Began();
-    CPPUNIT_ASSERT_EQUAL(0, ceiling.Left(kRate));
+    LoadCeiling limiter(kOptions, Clock(&manual));
+    CPPUNIT_ASSERT_EQUAL(6, limiter.Left(kLoadsPerSecond));
+    for (int i = 0; i < 6; ++i) limiter.Began();
+    CPPUNIT_ASSERT_EQUAL(0, limiter.Left(kLoadsPerSecond));
     manual.Advance(absl::Milliseconds(2001));
-    CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
+    CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
     manual.Advance(absl::Seconds(5));
-    ceiling.TakenOver(kRate);
-    CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
+    limiter.TakenOver(kLoadsPerSecond);
+    CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
   }
 
-  // The holder begins all loads that it may and dies; the next one, after the
-  // quiet time, does the same. The weight store must not see more than its
-  // rate allows in any window.
-  void KeepsTheCeilingOverHolders() {
+  // Failure: a leader begins all loads that it may and terminates, and its
+  // successor does the same after the handover delay. Together they overload
+  // the weight store. No window may have more loads than the rate allows.
+  void KeepsTheLimitAcrossLeaders() {
     const bool kept = rc::check("no window has more than allowed", [] {
       ManualClock manual;
       manual.Advance(absl::Seconds(100));
       std::deque<Instant> begun;
-      for (int holder = 0; holder < 4; ++holder) {
-        LoadCeiling ceiling(kOptions, Clock(&manual));
-        ceiling.TakenOver(kRate);
+      for (int leader = 0; leader < 4; ++leader) {
+        LoadCeiling limiter(kOptions, Clock(&manual));
+        limiter.TakenOver(kLoadsPerSecond);
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-          int left = ceiling.Left(kRate);
+          int left = limiter.Left(kLoadsPerSecond);
           if (*rc::gen::inRange(0, 2) == 0) left = 0;
           for (int i = 0; i < left; ++i) {
-            ceiling.Began();
+            limiter.Began();
             begun.push_back(manual.Now());
           }
           manual.Advance(absl::Milliseconds(100));
@@ -62,7 +62,7 @@
         for (std::size_t i = first; i < begun.size(); ++i) {
           if (begun[i] - begun[first] <= kOptions.window) count += 1;
         }
-        RC_ASSERT(count <= kAllowed);
+        RC_ASSERT(count <= kLoadsPerWindow);
       }
     });
     CPPUNIT_ASSERT(kept);
--- a/tests/unit/unit-membership.cc
+++ b/tests/unit/unit-membership.cc
@@ -10,17 +10,17 @@
 namespace dragonflyglade {
 namespace {
 
-MemberStatement Statement(const char* name, std::int64_t incarnation,
-                          std::int64_t sequence, MemberState state) {
-  MemberStatement statement;
-  statement.info.name = name;
-  statement.incarnation = incarnation;
-  statement.sequence = sequence;
-  statement.state = state;
-  return statement;
+MemberStatement MakeStatus(const char* name, std::int64_t incarnation,
+                           std::int64_t sequence, MemberState state) {
+  MemberStatement status;
+  status.info.name = name;
+  status.incarnation = incarnation;
+  status.sequence = sequence;
+  status.state = state;
+  return status;
 }
 
-struct StatementCase {
+struct StatusCase {
   const char* name;
   MemberStatement first;
   MemberStatement second;
@@ -29,60 +29,64 @@
 
 class MembershipTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(MembershipTest);
-  CPPUNIT_TEST(TheNewerStatementHolds);
-  CPPUNIT_TEST(ASuspectRefutes);
-  CPPUNIT_TEST(ASilentOneIsSuspectedThenDead);
-  CPPUNIT_TEST(AnOlderListChangesNothing);
-  CPPUNIT_TEST(FewFalseDeathsUnderLoss);
+  CPPUNIT_TEST(TheNewerUpdateWins);
+  CPPUNIT_TEST(ASuspectRefutesTheSuspicion);
+  CPPUNIT_TEST(AnUnresponsiveMemberIsSuspectedThenDeclaredDead);
+  CPPUNIT_TEST(IgnoresAnOlderList);
+  CPPUNIT_TEST(DeclaresNoLiveMemberDeadUnderMessageLoss);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TheNewerStatementHolds() {
-    const std::vector<StatementCase> cases = {
-        {"suspicion beats life", Statement("b", 1, 0, MemberState::kAlive),
-         Statement("b", 1, 0, MemberState::kSuspect), MemberState::kSuspect},
-        {"a refutation beats suspicion",
-         Statement("b", 1, 0, MemberState::kSuspect),
-         Statement("b", 1, 1, MemberState::kAlive), MemberState::kAlive},
-        {"old news changes nothing", Statement("b", 1, 4, MemberState::kAlive),
-         Statement("b", 1, 3, MemberState::kDead), MemberState::kAlive},
-        {"a new process beats death", Statement("b", 1, 9, MemberState::kDead),
-         Statement("b", 2, 0, MemberState::kAlive), MemberState::kAlive},
-        {"the death of an old process changes nothing",
-         Statement("b", 2, 0, MemberState::kAlive),
-         Statement("b", 1, 9, MemberState::kDead), MemberState::kAlive},
+  void TheNewerUpdateWins() {
+    const std::vector<StatusCase> cases = {
+        {"suspicion overrules alive",
+         MakeStatus("b", 1, 0, MemberState::kAlive),
+         MakeStatus("b", 1, 0, MemberState::kSuspect), MemberState::kSuspect},
+        {"a refutation overrules suspicion",
+         MakeStatus("b", 1, 0, MemberState::kSuspect),
+         MakeStatus("b", 1, 1, MemberState::kAlive), MemberState::kAlive},
+        {"an older update changes nothing",
+         MakeStatus("b", 1, 4, MemberState::kAlive),
+         MakeStatus("b", 1, 3, MemberState::kDead), MemberState::kAlive},
+        {"a new process overrules the failure of the old one",
+         MakeStatus("b", 1, 9, MemberState::kDead),
+         MakeStatus("b", 2, 0, MemberState::kAlive), MemberState::kAlive},
+        {"the failure of an old process changes nothing",
+         MakeStatus("b", 2, 0, MemberState::kAlive),
+         MakeStatus("b", 1, 9, MemberState::kDead), MemberState::kAlive},
     };
-    for (const StatementCase& item : cases) {
+    for (const StatusCase& item : cases) {
       ManualClock manual;
-      Membership membership(Statement("a", 1, 0, MemberState::kAlive), {},
+      Membership membership(MakeStatus("a", 1, 0, MemberState::kAlive), {},
                             Clock(&manual), 1);
-      membership.Receive(Statement("c", 1, 0, MemberState::kAlive),
-                         {Statement("b", 1, 0, MemberState::kAlive)});
-      membership.Receive(Statement("c", 1, 0, MemberState::kAlive),
+      membership.Receive(MakeStatus("c", 1, 0, MemberState::kAlive),
+                         {MakeStatus("b", 1, 0, MemberState::kAlive)});
+      membership.Receive(MakeStatus("c", 1, 0, MemberState::kAlive),
                          {item.first, item.second});
       CPPUNIT_ASSERT_MESSAGE(item.name,
                              membership.Find("b")->state == item.expected);
     }
   }
 
-  // A few lost messages make another instance suspect this one. When it hears
-  // of that it raises its own sequence, which nobody else may, and so
+  // Failure: a few lost messages make another instance suspect this one, and
+  // callers are sent elsewhere. When this one hears of the suspicion it
+  // increases its own sequence, which no other instance does, and thereby
   // overrules the suspicion everywhere.
-  void ASuspectRefutes() {
+  void ASuspectRefutesTheSuspicion() {
     ManualClock manual;
-    Membership membership(Statement("a", 5, 0, MemberState::kAlive), {},
+    Membership membership(MakeStatus("a", 5, 0, MemberState::kAlive), {},
                           Clock(&manual), 1);
-    membership.Receive(Statement("b", 1, 0, MemberState::kAlive),
-                       {Statement("a", 5, 0, MemberState::kSuspect)});
+    membership.Receive(MakeStatus("b", 1, 0, MemberState::kAlive),
+                       {MakeStatus("a", 5, 0, MemberState::kSuspect)});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, membership.Self().sequence);
     CPPUNIT_ASSERT(membership.Self().state == MemberState::kAlive);
   }
 
-  void ASilentOneIsSuspectedThenDead() {
+  void AnUnresponsiveMemberIsSuspectedThenDeclaredDead() {
     ManualClock manual;
-    Membership membership(Statement("a", 1, 0, MemberState::kAlive), {},
+    Membership membership(MakeStatus("a", 1, 0, MemberState::kAlive), {},
                           Clock(&manual), 1);
-    membership.Receive(Statement("b", 1, 0, MemberState::kAlive), {});
+    membership.Receive(MakeStatus("b", 1, 0, MemberState::kAlive), {});
     membership.Missed("b");
     CPPUNIT_ASSERT(membership.Find("b")->state == MemberState::kSuspect);
     manual.Advance(absl::Seconds(2));
@@ -91,29 +95,30 @@
     manual.Advance(absl::Seconds(2));
     membership.Tick();
     CPPUNIT_ASSERT(membership.Find("b")->state == MemberState::kDead);
-    // It was only slow: it is alive again as soon as it is heard.
-    membership.Receive(Statement("b", 1, 0, MemberState::kAlive), {});
+    // It was only slow: its next heartbeat makes it alive again.
+    membership.Receive(MakeStatus("b", 1, 0, MemberState::kAlive), {});
     CPPUNIT_ASSERT(membership.Find("b")->state == MemberState::kAlive);
   }
 
-  void AnOlderListChangesNothing() {
+  void IgnoresAnOlderList() {
     ManualClock manual;
-    Membership membership(Statement("a", 1, 0, MemberState::kAlive), {},
+    Membership membership(MakeStatus("a", 1, 0, MemberState::kAlive), {},
                           Clock(&manual), 1);
     ListedInstance b;
     b.info.name = "b";
     membership.TakeList(InstanceList{5, {b}});
     membership.TakeList(InstanceList{4, {}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, membership.List().instances.size());
-    // Listed counts, heard of or not, until it is judged dead.
+    // A listed instance is active from the start, also before its first
+    // heartbeat, until it is declared dead.
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, membership.Active().size());
     membership.TakeList(InstanceList{6, {}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, membership.Active().size());
   }
 
-  // One message in twenty is lost. Nobody may be taken for dead, and a real
-  // death must still be known everywhere.
-  void FewFalseDeathsUnderLoss() {
+  // One message in twenty is lost. No live instance may be declared dead, and
+  // the termination of one must still become known to all others.
+  void DeclaresNoLiveMemberDeadUnderMessageLoss() {
     MembershipRun run;
     run.instances = 20;
     run.message_loss = 0.05;
