--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -17,16 +17,17 @@
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
 const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
-const double kAllowed = 900000 * 1.1 + 100000;
+const double kAllowedTokens = 900000 * 1.1 + 100000;
 
-// Schedules that are played of each kind; a failure names the seed.
+// Number of random schedules per test; a failed assertion names the seed.
 constexpr int kSeeds = 20;
 
-// A fleet whose instances report each step to the one that sums up, and ask
-// it for what is beyond their parts. Messages take no time.
-class Fleet {
+// A fleet whose instances report to the leader in each step and ask it for
+// grants beyond their shares. Messages take no time.
+class SimulatedFleet {
  public:
-  explicit Fleet(int listed) : ledger(kWindow, Clock(&this->manual)) {
+  explicit SimulatedFleet(int listed)
+      : unreported(kWindow, Clock(&this->manual)) {
     for (int i = 0; i < listed; ++i) {
       this->instances.push_back(std::make_unique<QuotaWindows>(
           kAllowance, true, Clock(&this->manual)));
@@ -36,30 +37,30 @@
 
   int Size() const { return static_cast<int>(this->instances.size()); }
 
-  // A request at an instance; nobody sums up while there is no holder.
+  // A request at an instance. Without a leader it is decided there.
   bool Request(int at, double tokens) {
     QuotaWindows& quotas = *this->instances[at];
     if (quotas.TakePart("w", kLimit, tokens).admitted) {
       return this->Count(tokens);
     }
-    if (!this->has_holder) {
+    if (!this->has_leader) {
       return quotas.Take("w", kLimit, tokens).admitted && this->Count(tokens);
     }
-    FleetSpend spend = this->sums;
-    spend.total += this->ledger.Open("w");
+    FleetSpend spend = this->summary;
+    spend.total += this->unreported.Open("w");
     const QuotaVerdict verdict =
         this->instances.front()->Grant(kLimit, tokens, spend);
     if (!verdict.admitted) return false;
-    this->ledger.Add(std::to_string(at), ++this->number, "w", tokens);
+    this->unreported.Add(std::to_string(at), ++this->number, "w", tokens);
     quotas.Granted("w", tokens);
     return this->Count(tokens);
   }
 
   void Step() {
-    this->SumUp();
-    for (int i = 0; i < this->Size() && this->has_holder; ++i) {
-      this->ledger.Reported(std::to_string(i), this->number);
-      FleetSpend spend = this->sums;
+    this->SummarizeReports();
+    for (int i = 0; i < this->Size() && this->has_leader; ++i) {
+      this->unreported.Reported(std::to_string(i), this->number);
+      FleetSpend spend = this->summary;
       spend.own = this->instances[i]->Spent()["w"];
       this->instances[i]->SetFleetSpend("w", spend);
     }
@@ -67,15 +68,15 @@
     this->spent.push_back(0);
   }
 
-  // The holder dies, and with it what it knew of open grants.
-  void LoseHolder() {
-    this->has_holder = false;
-    this->ledger.Clear();
+  // The leader terminates, and the unreported grants are lost with it.
+  void LoseLeader() {
+    this->has_leader = false;
+    this->unreported.Clear();
   }
-  // A new holder grants nothing before it has reports.
-  void FindHolder() {
-    this->has_holder = true;
-    this->SumUp();
+  // A new leader has the reports before it grants anything.
+  void FindLeader() {
+    this->has_leader = true;
+    this->SummarizeReports();
   }
 
   double MostSpentInAWindow() const {
@@ -83,11 +84,11 @@
   }
 
  private:
-  void SumUp() {
-    this->sums = FleetSpend();
-    this->sums.instances = this->Size();
+  void SummarizeReports() {
+    this->summary = FleetSpend();
+    this->summary.instances = this->Size();
     for (auto& quotas : this->instances) {
-      this->sums.total += quotas->Spent()["w"];
+      this->summary.total += quotas->Spent()["w"];
     }
   }
 
@@ -98,32 +99,32 @@
 
   ManualClock manual;
   std::vector<std::unique_ptr<QuotaWindows>> instances;
-  QuotaLedger ledger;
-  FleetSpend sums;
-  bool has_holder = true;
+  QuotaLedger unreported;
+  FleetSpend summary;
+  bool has_leader = true;
   std::int64_t number = 0;
   std::vector<double> spent = {0};
 };
 
 class QuotaGrantsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaGrantsTest);
-  CPPUNIT_TEST(AdmitsLargeRequestsInALargeFleet);
-  CPPUNIT_TEST(KeepsTheAllowanceUnderAFlood);
-  CPPUNIT_TEST(GivesNothingToInstancesThatAreNotListed);
-  CPPUNIT_TEST(GrowsThePartOfAnInstanceThatJoins);
-  CPPUNIT_TEST(GivesAnInstanceThatIsBackItsPart);
-  CPPUNIT_TEST(CountsAGrantUntilItIsReported);
+  CPPUNIT_TEST(AdmitsLargeRequestsInALargeFleetByGrants);
+  CPPUNIT_TEST(KeepsTheLimitWhileLeadersChange);
+  CPPUNIT_TEST(GivesNoShareToUnlistedInstances);
+  CPPUNIT_TEST(GrowsTheShareOfANewlyListedInstance);
+  CPPUNIT_TEST(GivesAReturningInstanceItsShareAtOnce);
+  CPPUNIT_TEST(CountsAGrantOnceUntilItIsReported);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A workspace at three quarters of its rate sends requests of 9,000 to
-  // 20,000 tokens over 82 instances. By equal parts each could spend 13,000
-  // in a window, and large requests were refused in a workspace that is
-  // inside its quota: of 4,400 some 1,800. Asked, the fleet has room for all.
-  void AdmitsLargeRequestsInALargeFleet() {
+  // Failure: a workspace at three quarters of its rate sends requests of 9,000
+  // to 20,000 tokens to 82 instances. By equal shares each could spend 13,000
+  // tokens in a window, and 1,800 of 4,400 requests were refused although the
+  // workspace is within its quota. With grants by the leader all are admitted.
+  void AdmitsLargeRequestsInALargeFleetByGrants() {
     for (int seed = 0; seed < kSeeds; ++seed) {
       std::mt19937 random(seed);
-      Fleet fleet(82);
+      SimulatedFleet fleet(82);
       fleet.Step();
       double offered = 0;
       for (int step = 0; step < 60; ++step) {
@@ -141,17 +142,18 @@
     }
   }
 
-  // Instances are asked for many times the quota while the holder of the sums
-  // is lost and replaced. Within any window no more runs than the limit with
-  // its whole allowance, although a new holder knows only what is reported.
-  void KeepsTheAllowanceUnderAFlood() {
+  // Failure: instances are asked for many times the quota while the leader is
+  // lost and replaced. A new leader knows only what is reported, not the open
+  // grants of its predecessor. No window may exceed the limit and its
+  // tolerance.
+  void KeepsTheLimitWhileLeadersChange() {
     for (int seed = 0; seed < kSeeds; ++seed) {
       std::mt19937 random(seed);
-      Fleet fleet(6 + 6 * (seed % 4));
+      SimulatedFleet fleet(6 + 6 * (seed % 4));
       fleet.Step();
       for (int step = 0; step < 90; ++step) {
-        if (Between(random, 0, 15) == 0) fleet.LoseHolder();
-        if (Between(random, 0, 8) == 0) fleet.FindHolder();
+        if (Between(random, 0, 15) == 0) fleet.LoseLeader();
+        if (Between(random, 0, 8) == 0) fleet.FindLeader();
         double offered = 0;
         while (offered < 8 * kLimit.rate * absl::ToDoubleSeconds(kStep)) {
           const double tokens = Between(random, 500, 20000);
@@ -162,13 +164,14 @@
       }
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " +
                                  std::to_string(fleet.MostSpentInAWindow()),
-                             fleet.MostSpentInAWindow() <= kAllowed);
+                             fleet.MostSpentInAWindow() <= kAllowedTokens);
     }
   }
 
-  // Callers are sent to eight of 82 instances. The parts of all would be too
-  // small for a request; those of the eight must not be spent by others, too.
-  void GivesNothingToInstancesThatAreNotListed() {
+  // Callers are sent to eight of 82 instances. Equal shares of all 82 would be
+  // too small for a request, so only the eight have shares; the others must not
+  // spend those as well.
+  void GivesNoShareToUnlistedInstances() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
     quotas.SetInstances(8);
@@ -179,10 +182,10 @@
     CPPUNIT_ASSERT(quotas.Grant(kLimit, 20000, {0, 0, 8, 0}).admitted);
   }
 
-  // A listed instance is cut off and goes on spending its part; another one is
-  // listed in its place, and nobody sums up. The two would spend one part
-  // twice within a window for as long as the cut lasts.
-  void GrowsThePartOfAnInstanceThatJoins() {
+  // Failure: a listed instance is partitioned and goes on spending its share;
+  // another one is listed in its place, and there is no leader. The two spend
+  // the same share twice in a window for as long as the partition lasts.
+  void GrowsTheShareOfANewlyListedInstance() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
     quotas.SetInstances(1);
@@ -199,11 +202,12 @@
     CPPUNIT_ASSERT(quotas.Take("w", kLimit, 600000).admitted);
   }
 
-  // The store turns an instance away for seven seconds and it leaves the list;
-  // nobody took its place. Taken for one that joins when it is back, it kept a
-  // seventh of all quotas idle for 28 s: of a calm fleet's requests 9 % were
-  // refused. One that was listed only while the fleet started does join.
-  void GivesAnInstanceThatIsBackItsPart() {
+  // Failure: an instance loses the store for 7 s and is not listed meanwhile;
+  // no other one takes its place. If it is treated as newly listed when it is
+  // back, a seventh of all quotas is unused for 28 s, and 9 % of requests are
+  // refused without overload. An instance that was listed only while the fleet
+  // started is treated as newly listed.
+  void GivesAReturningInstanceItsShareAtOnce() {
     struct Case {
       std::string name;
       absl::Duration listed;
@@ -230,22 +234,22 @@
     }
   }
 
-  // The answer to a question is lost and the instance asks again, then dies.
-  // The grant is booked once, and counts until its window is over, since
-  // nobody can tell whether it was spent.
-  void CountsAGrantUntilItIsReported() {
+  // Failure: the response to a request for a grant is lost, and the instance
+  // asks again and then terminates. The grant must count only once, and for a
+  // whole window, since whether it was spent is unknown.
+  void CountsAGrantOnceUntilItIsReported() {
     ManualClock manual;
-    QuotaLedger ledger(kWindow, Clock(&manual));
-    CPPUNIT_ASSERT(ledger.Add("p", 1, "w", 100));
-    CPPUNIT_ASSERT(!ledger.Add("p", 1, "w", 100));
-    CPPUNIT_ASSERT(ledger.Add("q", 1, "w", 10));
-    CPPUNIT_ASSERT(ledger.Add("p", 2, "v", 1000));
-    CPPUNIT_ASSERT_EQUAL(110.0, ledger.Open("w"));
-    ledger.Reported("p", 1);
-    CPPUNIT_ASSERT_EQUAL(10.0, ledger.Open("w"));
-    CPPUNIT_ASSERT_EQUAL(1000.0, ledger.Open("v"));
+    QuotaLedger unreported(kWindow, Clock(&manual));
+    CPPUNIT_ASSERT(unreported.Add("p", 1, "w", 100));
+    CPPUNIT_ASSERT(!unreported.Add("p", 1, "w", 100));
+    CPPUNIT_ASSERT(unreported.Add("q", 1, "w", 10));
+    CPPUNIT_ASSERT(unreported.Add("p", 2, "v", 1000));
+    CPPUNIT_ASSERT_EQUAL(110.0, unreported.Open("w"));
+    unreported.Reported("p", 1);
+    CPPUNIT_ASSERT_EQUAL(10.0, unreported.Open("w"));
+    CPPUNIT_ASSERT_EQUAL(1000.0, unreported.Open("v"));
     manual.Advance(kWindow + absl::Milliseconds(1));
-    CPPUNIT_ASSERT_EQUAL(0.0, ledger.Open("w"));
+    CPPUNIT_ASSERT_EQUAL(0.0, unreported.Open("w"));
   }
 };
 
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -19,57 +19,59 @@
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
 const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
-const double kAllowed = 900000 * 1.1 + 100000;
-constexpr int kStrong = 18;
-constexpr int kWeak = 80;
-// Weak instances that are listed for each strong one that left the list.
-constexpr int kWeakForStrong = 4;
-// The store takes a lost instance's entry away after its lease.
+const double kAllowedTokens = 900000 * 1.1 + 100000;
+constexpr int kStrongInstances = 18;
+constexpr int kWeakInstances = 80;
+// Weak instances that are listed for each strong one that is no longer listed.
+constexpr int kWeakPerLostStrong = 4;
+// Steps until the lease of a disconnected instance's entry in the store
+// expires.
 constexpr int kLeaseSteps = 10;
 constexpr int kSeeds = 20;
 
-// Strong instances that callers are sent to, and weak ones that are listed
-// where strong ones leave the store's list. The first one sums up.
-class Fleet {
+// A fleet of strong instances, to which callers are sent, and weak ones, which
+// are listed in place of strong ones that are no longer in the store's list.
+// The first instance is the leader.
+class SimulatedFleet {
  public:
-  Fleet() : owners(kWindow, Clock(&this->manual)) {
-    for (int i = 0; i < kStrong + kWeak; ++i) {
+  SimulatedFleet() : participants(kWindow, Clock(&this->manual)) {
+    for (int i = 0; i < kStrongInstances + kWeakInstances; ++i) {
       Instance instance;
       instance.name = std::to_string(i);
       instance.quotas = std::make_unique<QuotaWindows>(kAllowance, true,
                                                        Clock(&this->manual));
       this->instances.push_back(std::move(instance));
     }
-    this->ListAnew();
-    this->FollowLists();
+    this->UpdateList();
+    this->ApplyList();
   }
 
-  /// Strong instances lose the store.
-  /// @param heard whether they still report to the one that sums up
-  void Lose(int count, bool heard) {
-    for (int i = kStrong - count; i < kStrong; ++i) {
+  /// Strong instances lose their connection to the store.
+  /// @param reporting whether they still report to the leader
+  void Disconnect(int count, bool reporting) {
+    for (int i = kStrongInstances - count; i < kStrongInstances; ++i) {
       this->instances[i].in_store = false;
-      this->instances[i].heard = heard;
+      this->instances[i].reporting = reporting;
     }
-    this->list_in = kLeaseSteps;
+    this->steps_to_list_update = kLeaseSteps;
   }
 
-  void Return() {
+  void Reconnect() {
     for (Instance& instance : this->instances) {
       instance.in_store = true;
-      instance.heard = true;
+      instance.reporting = true;
     }
-    this->list_in = 1;
+    this->steps_to_list_update = 1;
   }
 
   bool Request(int at, double tokens) {
     Instance& instance = this->instances[at];
     QuotaWindows& quotas = *instance.quotas;
     bool admitted = quotas.TakePart("w", kLimit, tokens).admitted;
-    if (!admitted && !instance.heard) {
+    if (!admitted && !instance.reporting) {
       admitted = quotas.Take("w", kLimit, tokens).admitted;
     } else if (!admitted) {
-      FleetSpend spend = this->sums;
+      FleetSpend spend = this->summary;
       spend.total += this->granted;
       admitted =
           this->instances.front().quotas->Grant(kLimit, tokens, spend).admitted;
@@ -81,12 +83,13 @@
   }
 
   void Step() {
-    if (this->list_in > 0 && --this->list_in == 0) this->ListAnew();
-    this->FollowLists();
-    this->SumUp();
+    if (this->steps_to_list_update > 0 && --this->steps_to_list_update == 0)
+      this->UpdateList();
+    this->ApplyList();
+    this->SummarizeReports();
     for (Instance& instance : this->instances) {
-      if (!instance.heard) continue;
-      FleetSpend spend = this->sums;
+      if (!instance.reporting) continue;
+      FleetSpend spend = this->summary;
       spend.own = instance.quotas->Spent()["w"];
       instance.quotas->SetFleetSpend("w", spend);
     }
@@ -103,96 +106,97 @@
     std::string name;
     std::unique_ptr<QuotaWindows> quotas;
     bool in_store = true;
-    bool heard = true;
-    double reported = 0;  ///< spent in the window, by its last report
+    bool reporting = true;
+    double reported = 0;  ///< spending in the window, by its last report
     Instant reported_at;
   };
 
-  void ListAnew() {
+  void UpdateList() {
     this->listed.clear();
     int weak = 0;
-    for (int i = 0; i < kStrong; ++i) {
+    for (int i = 0; i < kStrongInstances; ++i) {
       if (this->instances[i].in_store) {
         this->listed.push_back(this->instances[i].name);
       } else {
-        weak += kWeakForStrong;
+        weak += kWeakPerLostStrong;
       }
     }
     for (int i = 0; i < weak; ++i) {
-      this->listed.push_back(this->instances[kStrong + i].name);
+      this->listed.push_back(this->instances[kStrongInstances + i].name);
     }
   }
 
-  // Whoever neither reads the store nor is heard keeps to the list it knew.
-  void FollowLists() {
-    this->owners.Follow(this->listed);
+  // An instance that has neither the store nor the leader keeps the last list
+  // it received.
+  void ApplyList() {
+    this->participants.Follow(this->listed);
     const std::set<std::string_view> names(this->listed.begin(),
                                            this->listed.end());
     for (Instance& instance : this->instances) {
-      if (!instance.in_store && !instance.heard) continue;
+      if (!instance.in_store && !instance.reporting) continue;
       instance.quotas->SetInstances(static_cast<int>(this->listed.size()));
       instance.quotas->SetListed(names.count(instance.name) > 0);
     }
   }
 
-  void SumUp() {
+  void SummarizeReports() {
     this->granted = 0;
-    this->sums = FleetSpend();
-    this->sums.instances = 0;
+    this->summary = FleetSpend();
+    this->summary.instances = 0;
     const std::set<std::string_view> names(this->listed.begin(),
                                            this->listed.end());
-    std::set<std::string_view> heard;
+    std::set<std::string_view> reporting;
     for (Instance& instance : this->instances) {
-      if (instance.heard) {
-        heard.insert(instance.name);
+      if (instance.reporting) {
+        reporting.insert(instance.name);
         instance.reported = instance.quotas->Spent()["w"];
         instance.reported_at = this->manual.Now();
-        this->sums.instances += names.count(instance.name) > 0 ? 1 : 0;
+        this->summary.instances += names.count(instance.name) > 0 ? 1 : 0;
       }
       if (this->manual.Now() - instance.reported_at <= kWindow) {
-        this->sums.total += instance.reported;
+        this->summary.total += instance.reported;
       }
     }
-    this->sums.missing_part = this->owners.MissingPart(heard);
+    this->summary.missing_part = this->participants.MissingPart(reporting);
   }
 
   ManualClock manual;
-  QuotaOwners owners;
+  QuotaOwners participants;
   std::vector<Instance> instances;
   std::vector<std::string_view> listed;
-  FleetSpend sums;
-  double granted = 0;  ///< since the last sums
-  int list_in = 0;     ///< steps until the list changes
+  FleetSpend summary;
+  double granted = 0;            ///< tokens since the last summary
+  int steps_to_list_update = 0;  ///< 0: none is due
   std::vector<double> spent = {0};
 };
 
 class QuotaOwnersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaOwnersTest);
-  CPPUNIT_TEST(RefusesNobodyWhileTheStoreTurnsInstancesAway);
-  CPPUNIT_TEST(KeepsTheAllowanceOnBothSidesOfACut);
-  CPPUNIT_TEST(KeepsPartsForThoseThatAreMissed);
+  CPPUNIT_TEST(RefusesNoRequestWhileInstancesLoseTheStore);
+  CPPUNIT_TEST(KeepsTheLimitOnBothSidesOfAPartition);
+  CPPUNIT_TEST(WithholdsSharesOfUnreportingInstances);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The store turns a third of the strong instances away; they go on serving
-  // and reporting. Weak ones are listed in their place, and none of these has
-  // a part of its own at first. Parts were kept back for all of them, and
-  // workspaces at three quarters of their rate were refused for seconds.
-  void RefusesNobodyWhileTheStoreTurnsInstancesAway() {
+  // Failure: strong instances lose only the store and go on serving and
+  // reporting; weak ones, which have no share of their own at first, are listed
+  // in their place. If shares are withheld for all of them, requests are
+  // refused for seconds in workspaces that use three quarters of their rate.
+  void RefusesNoRequestWhileInstancesLoseTheStore() {
     for (int seed = 0; seed < kSeeds; ++seed) {
       std::mt19937 random(seed);
-      Fleet fleet;
+      SimulatedFleet fleet;
       fleet.Step();
-      const int lost = Between(random, 1, kStrong / 2);
+      const int disconnected = Between(random, 1, kStrongInstances / 2);
       double offered = 0;
       constexpr int kSteps = 150;
       for (int step = 0; step < kSteps; ++step) {
-        if (step == 40) fleet.Lose(lost, true);
-        if (step == 90) fleet.Return();
+        if (step == 40) fleet.Disconnect(disconnected, true);
+        if (step == 90) fleet.Reconnect();
         const double due = 0.75 * kLimit.rate * step;
         while (offered < due * absl::ToDoubleSeconds(kStep)) {
           const double tokens = Between(random, 200, 18000);
-          const int at = Between(random, 0, kStrong - 1);
+          const int at = Between(random, 0, kStrongInstances - 1);
           const std::string when =
               "seed " + std::to_string(seed) + " step " + std::to_string(step);
           CPPUNIT_ASSERT_MESSAGE(when, fleet.Request(at, tokens));
@@ -203,75 +207,80 @@
     }
   }
 
-  // Strong instances are cut off with their callers in a flood, which goes on
-  // beyond the cut. Both sides together keep to the limit and its allowance.
-  void KeepsTheAllowanceOnBothSidesOfACut() {
+  // Failure: a network partition separates strong instances together with their
+  // callers while these flood a workspace, and both sides together exceed the
+  // limit and its tolerance.
+  void KeepsTheLimitOnBothSidesOfAPartition() {
     for (int seed = 0; seed < kSeeds; ++seed) {
       std::mt19937 random(seed);
-      Fleet fleet;
+      SimulatedFleet fleet;
       fleet.Step();
       constexpr int kSteps = 200;
-      bool cut = false;
+      bool partitioned = false;
       for (int step = 0; step < kSteps; ++step) {
-        if (!cut && Between(random, 0, 30) == 0) {
-          fleet.Lose(Between(random, 1, kStrong - 1), false);
-          cut = true;
-        } else if (cut && Between(random, 0, 50) == 0) {
-          fleet.Return();
-          cut = false;
+        if (!partitioned && Between(random, 0, 30) == 0) {
+          fleet.Disconnect(Between(random, 1, kStrongInstances - 1), false);
+          partitioned = true;
+        } else if (partitioned && Between(random, 0, 50) == 0) {
+          fleet.Reconnect();
+          partitioned = false;
         }
         double offered = 0;
         while (offered < 8 * kLimit.rate * absl::ToDoubleSeconds(kStep)) {
           const double tokens = Between(random, 500, 20000);
-          fleet.Request(Between(random, 0, kStrong + kWeak - 1), tokens);
+          fleet.Request(
+              Between(random, 0, kStrongInstances + kWeakInstances - 1),
+              tokens);
           offered += tokens;
         }
         fleet.Step();
       }
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " +
                                  std::to_string(fleet.MostSpentInAWindow()),
-                             fleet.MostSpentInAWindow() <= kAllowed);
+                             fleet.MostSpentInAWindow() <= kAllowedTokens);
     }
   }
 
-  void KeepsPartsForThoseThatAreMissed() {
-    struct Case {
+  void WithholdsSharesOfUnreportingInstances() {
+    struct ParticipantCase {
       std::string name;
-      absl::Duration listed_after;  ///< the third one, since the start
-      absl::Duration then;          ///< until the question
-      std::set<std::string_view> heard;
-      double missing;
+      absl::Duration listed_after;   ///< when "c" is listed, from the start
+      absl::Duration checked_after;  ///< from then on
+      std::set<std::string_view> reporting;
+      double unreported_share;
     };
-    const std::vector<Case> cases = {
-        {"all are heard", kStep, kStep, {"a", "b", "c"}, 0},
-        {"one is missed", kStep, kStep, {"a", "b"}, 1.0 / 2},
-        {"nobody is heard", kStep, kStep, {}, 1},
-        {"missed for long", kStep, absl::Seconds(29), {"b", "c"}, 0},
-        {"a late one has no part yet",
+    const std::vector<ParticipantCase> cases = {
+        {"all report", kStep, kStep, {"a", "b", "c"}, 0},
+        {"one does not report", kStep, kStep, {"a", "b"}, 1.0 / 2},
+        {"none reports", kStep, kStep, {}, 1},
+        {"not listed for long", kStep, absl::Seconds(29), {"b", "c"}, 0},
+        {"a newly listed one has no share yet",
          absl::Seconds(10),
          absl::Seconds(15),
          {"a", "b"},
          0},
-        {"a late one has one after the longest cut and a window",
+        {"a newly listed one has a share after the longest partition and a "
+         "window",
          absl::Seconds(10),
          absl::Seconds(28),
          {"a", "b"},
          1.0 / 3},
     };
-    for (const Case& item : cases) {
+    for (const ParticipantCase& item : cases) {
       ManualClock manual;
-      QuotaOwners owners(kWindow, Clock(&manual));
-      owners.Follow(std::vector<std::string_view>{"a", "b"});
+      QuotaOwners participants(kWindow, Clock(&manual));
+      participants.Follow(std::vector<std::string_view>{"a", "b"});
       manual.Advance(item.listed_after);
-      owners.Follow(std::vector<std::string_view>{"a", "b", "c"});
-      for (absl::Duration past; past < item.then; past += kStep) {
+      participants.Follow(std::vector<std::string_view>{"a", "b", "c"});
+      for (absl::Duration past; past < item.checked_after; past += kStep) {
         manual.Advance(kStep);
-        owners.Follow(item.name == "missed for long"
-                          ? std::vector<std::string_view>{"b", "c"}
-                          : std::vector<std::string_view>{"a", "b", "c"});
+        participants.Follow(item.name == "not listed for long"
+                                ? std::vector<std::string_view>{"b", "c"}
+                                : std::vector<std::string_view>{"a", "b", "c"});
       }
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(
-          item.name, item.missing, owners.MissingPart(item.heard), 1e-9);
+          item.name, item.unreported_share,
+          participants.MissingPart(item.reporting), 1e-9);
     }
   }
 };
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -17,11 +17,12 @@
 
 constexpr absl::Duration kWindow = absl::Seconds(8);
 const QuotaLimit kLimit{1000, 1000};
-// No excess, so that the figures below are the limit's own.
+// No overage or slack, so that the expected values follow from the limit alone.
 const QuotaAllowance kExact{kWindow, 0, 0, 1};
-const double kWhole = 9000;  ///< of a window: eight seconds and the burst
+// In a window: eight seconds of the rate and the burst.
+const double kAllowedTokens = 9000;
 
-double TakeAll(QuotaWindows& quotas, double step) {
+double SpendAll(QuotaWindows& quotas, double step) {
   double taken = 0;
   while (quotas.Take("w", kLimit, step).admitted) taken += step;
   return taken;
@@ -34,41 +35,45 @@
   double expected;
 };
 
-// The most tokens that a flooding workspace spends within a window, of a fleet
-// that is killed and starts again.
-double PlayKillInAFlood(std::mt19937& random, const QuotaAllowance& allowance,
-                        const QuotaLimit& limit) {
+// Simulates a fleet whose instances are all killed and restarted while a
+// workspace floods it. Returns the most tokens spent in a window.
+double MostSpentAroundARestart(std::mt19937& random,
+                               const QuotaAllowance& allowance,
+                               const QuotaLimit& limit) {
   constexpr int kInstances = 8;
-  constexpr double kRequest = 700;    // tokens
-  constexpr double kUsualPart = 0.5;  // of the rate
-  constexpr int kSteps = 150;         // of 200 ms
-  const auto between = [&](int least, int most) {
+  constexpr double kRequest = 700;        // tokens
+  constexpr double kUsualFraction = 0.5;  // of the rate, without the flood
+  constexpr int kSteps = 150;             // of 200 ms
+  const auto draw_between = [&](int least, int most) {
     return std::uniform_int_distribution<int>(least, most)(random);
   };
-  const int killed = 60 + between(0, 10);
-  const int back = killed + between(3, 10);
-  const int flood = killed - between(0, 30);
-  const int recorded = killed - between(0, 3);
-  const double times = between(3, 8);
+  const int killed = 60 + draw_between(0, 10);
+  const int restarted = killed + draw_between(3, 10);
+  const int flood = killed - draw_between(0, 30);
+  const int recorded = killed - draw_between(0, 3);
+  const double flood_factor = draw_between(3, 8);
   ManualClock manual;
-  auto one = std::make_unique<QuotaWindows>(allowance, true, Clock(&manual));
-  std::vector<std::unique_ptr<QuotaWindows>> after;
-  double record = 0;
+  auto before_restart =
+      std::make_unique<QuotaWindows>(allowance, true, Clock(&manual));
+  std::vector<std::unique_ptr<QuotaWindows>> after_restart;
+  double recorded_spending = 0;
   std::vector<double> spent(kSteps, 0);
   for (int step = 0; step < kSteps; ++step) {
-    const double rate = kUsualPart * limit.rate * (step >= flood ? times : 1);
-    if (step == recorded) record = one->Spent()["w"];
-    if (step == back) {
+    const double rate =
+        kUsualFraction * limit.rate * (step >= flood ? flood_factor : 1);
+    if (step == recorded) recorded_spending = before_restart->Spent()["w"];
+    if (step == restarted) {
       for (int i = 0; i < kInstances; ++i) {
-        after.push_back(
+        after_restart.push_back(
             std::make_unique<QuotaWindows>(allowance, false, Clock(&manual)));
-        after.back()->SetInstances(kInstances);
-        after.back()->SetBefore({{"w", 1.3 * record}}, true);
+        after_restart.back()->SetInstances(kInstances);
+        after_restart.back()->SetBefore({{"w", 1.3 * recorded_spending}}, true);
       }
     }
-    for (double asked = 0; asked < rate / 5; asked += kRequest) {
-      QuotaWindows* quotas = step < killed ? one.get() : nullptr;
-      if (step >= back) quotas = after[between(0, kInstances - 1)].get();
+    for (double offered = 0; offered < rate / 5; offered += kRequest) {
+      QuotaWindows* quotas = step < killed ? before_restart.get() : nullptr;
+      if (step >= restarted)
+        quotas = after_restart[draw_between(0, kInstances - 1)].get();
       if (quotas == nullptr) continue;
       if (quotas->Take("w", limit, kRequest).admitted) spent[step] += kRequest;
     }
@@ -79,30 +84,31 @@
 
 class QuotaWindowTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(QuotaWindowTest);
-  CPPUNIT_TEST(SpendsItsPart);
-  CPPUNIT_TEST(SlidesOutOfTheWindow);
-  CPPUNIT_TEST(GrowsFromNothingAfterARestart);
-  CPPUNIT_TEST(GoesOnFromWhatIsKnownToBeSpent);
-  CPPUNIT_TEST(KeepsTheAllowanceWhenAllAreKilledInAFlood);
-  CPPUNIT_TEST(SaysWhenToComeBack);
-  CPPUNIT_TEST(GivesBack);
-  CPPUNIT_TEST(KeepsACountThatFellForAWhile);
+  CPPUNIT_TEST(SpendsItsShare);
+  CPPUNIT_TEST(SpendingLeavesTheWindow);
+  CPPUNIT_TEST(GrowsFromZeroAfterARestart);
+  CPPUNIT_TEST(UsesKnownSpendingAfterARestart);
+  CPPUNIT_TEST(KeepsTheLimitWhenAllRestartInAFlood);
+  CPPUNIT_TEST(ReturnsWhenToRetry);
+  CPPUNIT_TEST(RefundsTokens);
+  CPPUNIT_TEST(DelaysALowerInstanceCount);
   CPPUNIT_TEST(KeepsTheLimitOnBothSidesOfAPartition);
-  CPPUNIT_TEST(AdmitsALargeRequestWhileTheFleetHasRoom);
-  CPPUNIT_TEST(KeepsTheAllowanceUnderAFlood);
+  CPPUNIT_TEST(AdmitsALargeRequestWithinTheFleetsQuota);
+  CPPUNIT_TEST(KeepsTheLimitUnderAFlood);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SpendsItsPart() {
+  void SpendsItsShare() {
     const std::vector<ShareCase> cases = {
-        {"alone", 1, std::nullopt, kWhole},
-        {"an equal part, nothing heard", 3, std::nullopt, kWhole / 3},
-        {"a part of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
+        {"alone", 1, std::nullopt, kAllowedTokens},
+        {"an equal share, without a summary", 3, std::nullopt,
+         kAllowedTokens / 3},
+        {"a share of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
         {"nothing is left", 3, FleetSpend{9000, 0, 3}, 0},
-        {"two of four are heard: half of the limit is theirs", 4,
-         FleetSpend{0, 0, 2, 0, 0.5}, kWhole / 2 / 4},
-        {"one process before may have spent its part", 3,
-         FleetSpend{0, 0, 3, 1}, kWhole * 2 / 3 / 3},
+        {"two of four report and share half of the limit", 4,
+         FleetSpend{0, 0, 2, 0, 0.5}, kAllowedTokens / 2 / 4},
+        {"one restarted process may have spent its share", 3,
+         FleetSpend{0, 0, 3, 1}, kAllowedTokens * 2 / 3 / 3},
     };
     for (const ShareCase& item : cases) {
       ManualClock manual;
@@ -110,185 +116,186 @@
       quotas.SetInstances(item.listed);
       if (item.fleet.has_value()) quotas.SetFleetSpend("w", *item.fleet);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
-                                           TakeAll(quotas, 1), 2);
+                                           SpendAll(quotas, 1), 2);
     }
   }
 
-  void SlidesOutOfTheWindow() {
+  void SpendingLeavesTheWindow() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
-    TakeAll(quotas, 10);
+    SpendAll(quotas, 10);
     manual.Advance(kWindow - absl::Milliseconds(200));
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
     manual.Advance(absl::Milliseconds(400));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole, TakeAll(quotas, 10), 10);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens, SpendAll(quotas, 10), 10);
   }
 
-  // All instances are killed while a workspace floods, and start again with
-  // no memory of what was spent. Were they to begin with a whole window, the
-  // workspace would get twice its quota within it.
-  void GrowsFromNothingAfterARestart() {
+  // Failure: all instances are killed while a workspace floods them, and
+  // restart without knowing what was spent. If they start with a whole window's
+  // quota, the workspace gets twice its quota in a window.
+  void GrowsFromZeroAfterARestart() {
     ManualClock manual;
     QuotaWindows quotas(kExact, false, Clock(&manual));
-    CPPUNIT_ASSERT_EQUAL(0.0, TakeAll(quotas, 10));
+    CPPUNIT_ASSERT_EQUAL(0.0, SpendAll(quotas, 10));
     manual.Advance(kWindow / 2);
-    const double half = TakeAll(quotas, 10);
-    CPPUNIT_ASSERT(half > 0 && half < kWhole / 2);
+    const double half = SpendAll(quotas, 10);
+    CPPUNIT_ASSERT(half > 0 && half < kAllowedTokens / 2);
     manual.Advance(kWindow + absl::Seconds(1));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole, TakeAll(quotas, 10), 10);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens, SpendAll(quotas, 10), 10);
   }
 
-  // Callers of a workspace far inside its quota come right after all instances
-  // were killed. With the spending known they are served at once.
-  void GoesOnFromWhatIsKnownToBeSpent() {
+  // Failure: right after a restart of all instances, requests are refused in a
+  // workspace that uses little of its quota. If its spending is known, they are
+  // admitted at once.
+  void UsesKnownSpendingAfterARestart() {
     struct KnownCase {
       const char* what;
       double spent;
       double expected;
     };
     const std::vector<KnownCase> cases = {
-        {"little", kWhole / 5, kWhole * 4 / 5},
-        {"all", kWhole, 0},
-        {"more than all, with what is added for doubt", 2 * kWhole, 0},
+        {"little", kAllowedTokens / 5, kAllowedTokens * 4 / 5},
+        {"all", kAllowedTokens, 0},
+        {"more than all, by the added margin", 2 * kAllowedTokens, 0},
     };
     for (const KnownCase& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kExact, false, Clock(&manual));
       quotas.SetBefore({{"w", item.spent}}, true);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
-                                           TakeAll(quotas, 1), 2);
+                                           SpendAll(quotas, 1), 2);
     }
   }
 
-  // A workspace sends several times its rate; all instances are killed at some
-  // moment, are back within two seconds and know what had been spent half a
-  // second or less before their end. Nobody sums up. What the workspace spends
-  // on both sides of that moment stays within what the fleet may exceed.
-  void KeepsTheAllowanceWhenAllAreKilledInAFlood() {
+  // Failure: a workspace sends several times its rate; all instances are killed
+  // at some time, restart within two seconds, and know what had been spent up
+  // to 600 ms before. There is no leader. What the workspace spends before and
+  // after the restart must stay within the limit and its tolerance.
+  void KeepsTheLimitWhenAllRestartInAFlood() {
     constexpr int kSeeds = 200;
     const QuotaAllowance allowance{kWindow, 0.1, 7500};
     const QuotaLimit limit{50000, 50000};
     const double allowed = 450000 * 1.1 + 7500;
     for (int seed = 1; seed <= kSeeds; ++seed) {
       std::mt19937 random(seed);
-      const double most = PlayKillInAFlood(random, allowance, limit);
+      const double most = MostSpentAroundARestart(random, allowance, limit);
       CPPUNIT_ASSERT_MESSAGE(
-          "seed " + std::to_string(seed) + " ran " + std::to_string(most),
+          "seed " + std::to_string(seed) + " spent " + std::to_string(most),
           most <= allowed);
     }
   }
 
-  void SaysWhenToComeBack() {
+  void ReturnsWhenToRetry() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
-    TakeAll(quotas, 1000);
+    SpendAll(quotas, 1000);
     const QuotaVerdict verdict = quotas.Take("w", kLimit, 500);
     CPPUNIT_ASSERT(!verdict.admitted);
     CPPUNIT_ASSERT(verdict.retry_after == absl::Milliseconds(500));
     CPPUNIT_ASSERT(quotas.Take("w", QuotaLimit{}, 1e9).admitted);
   }
 
-  void GivesBack() {
+  void RefundsTokens() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
     CPPUNIT_ASSERT(quotas.Take("w", kLimit, 9000).admitted);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 100).admitted);
     quotas.GiveBack("w", 4000);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(4000, TakeAll(quotas, 10), 10);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(4000, SpendAll(quotas, 10), 10);
   }
 
-  // An instance that restarts, or that is cut off from the store, leaves the
-  // list of instances and goes on spending its part. Two of six were cut off
-  // for twelve seconds; the others took their parts over after eight, and
-  // 1,756,468 tokens ran of 1,677,833 in a window.
-  void KeepsACountThatFellForAWhile() {
+  // Failure: an instance that is partitioned from the store is no longer listed
+  // but goes on spending its share. When two of six are partitioned for 12 s
+  // and the others take over their shares after 8 s, 1,756,468 tokens are spent
+  // in a window that allows 1,677,833.
+  void DelaysALowerInstanceCount() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
     quotas.SetInstances(3);
     manual.Advance(absl::Seconds(1));
     quotas.SetInstances(1);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole / 3, TakeAll(quotas, 1), 2);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens / 3, SpendAll(quotas, 1), 2);
     manual.Advance(2 * kWindow);
     quotas.SetInstances(1);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole / 3, TakeAll(quotas, 1), 2);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens / 3, SpendAll(quotas, 1), 2);
     manual.Advance(absl::Seconds(20));
     quotas.SetInstances(1);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole, TakeAll(quotas, 1), 2);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens, SpendAll(quotas, 1), 2);
   }
 
-  // Two of seven instances are cut off together with the one that sums up.
-  // Callers reach both sides and ask for more than the quota on each. No span
-  // of a window's length may see more than the quota, whatever the sides
-  // cannot know of each other.
+  // Failure: a network partition separates two of seven instances, among them
+  // the leader. Callers reach both sides and ask for more than the quota on
+  // each, and the sides do not learn of each other's spending. No window may
+  // see more than the quota.
   void KeepsTheLimitOnBothSidesOfAPartition() {
     constexpr int kInstances = 7;
-    constexpr int kCutOff = 2;
-    const bool kept = rc::check("both sides together stay inside", [] {
-      ManualClock manual;
-      std::vector<std::unique_ptr<QuotaWindows>> all;
-      for (int i = 0; i < kInstances; ++i) {
-        all.push_back(
-            std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
-        all.back()->SetInstances(kInstances);
-      }
-      const std::vector<std::string_view> names = {"0", "1", "2", "3",
-                                                   "4", "5", "6"};
-      QuotaOwners owners(kWindow, Clock(&manual));
-      owners.Follow(names);
-      const int steps = *rc::gen::inRange(20, 60);
-      std::vector<double> spent(steps, 0);
-      for (int step = 0; step < steps; ++step) {
-        for (int i = 0; i < kInstances; ++i) {
-          const double tokens = *rc::gen::inRange(1, 40);
-          for (int ask = 0; ask < 30; ++ask) {
-            if (all[i]->Take("w", kLimit, tokens).admitted) {
-              spent[step] += tokens;
-            }
+    constexpr int kFirstSideSize = 2;
+    const bool kept =
+        rc::check("both sides together stay within the quota", [] {
+          ManualClock manual;
+          std::vector<std::unique_ptr<QuotaWindows>> all;
+          for (int i = 0; i < kInstances; ++i) {
+            all.push_back(
+                std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
+            all.back()->SetInstances(kInstances);
           }
-        }
-        for (int side = 0; side < 2; ++side) {
-          const int from = side == 0 ? 0 : kCutOff;
-          const int to = side == 0 ? kCutOff : kInstances;
-          double total = 0;
-          for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
-          const double missing =
-              owners.MissingPart({names.begin() + from, names.begin() + to});
-          for (int i = from; i < to; ++i) {
-            all[i]->SetFleetSpend(
-                "w", {total, all[i]->Spent()["w"], to - from, 0, missing});
+          const std::vector<std::string_view> names = {"0", "1", "2", "3",
+                                                       "4", "5", "6"};
+          QuotaOwners owners(kWindow, Clock(&manual));
+          owners.Follow(names);
+          const int steps = *rc::gen::inRange(20, 60);
+          std::vector<double> spent(steps, 0);
+          for (int step = 0; step < steps; ++step) {
+            for (int i = 0; i < kInstances; ++i) {
+              const double tokens = *rc::gen::inRange(1, 40);
+              for (int ask = 0; ask < 30; ++ask) {
+                if (all[i]->Take("w", kLimit, tokens).admitted) {
+                  spent[step] += tokens;
+                }
+              }
+            }
+            for (int side = 0; side < 2; ++side) {
+              const int from = side == 0 ? 0 : kFirstSideSize;
+              const int to = side == 0 ? kFirstSideSize : kInstances;
+              double total = 0;
+              for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
+              const double missing = owners.MissingPart(
+                  {names.begin() + from, names.begin() + to});
+              for (int i = from; i < to; ++i) {
+                all[i]->SetFleetSpend(
+                    "w", {total, all[i]->Spent()["w"], to - from, 0, missing});
+              }
+            }
+            manual.Advance(absl::Milliseconds(200));
           }
-        }
-        manual.Advance(absl::Milliseconds(200));
-      }
-      RC_ASSERT(MostInAWindow(spent, kWindow / absl::Milliseconds(200)) <=
-                kWhole);
-    });
+          RC_ASSERT(MostInAWindow(spent, kWindow / absl::Milliseconds(200)) <=
+                    kAllowedTokens);
+        });
     CPPUNIT_ASSERT(kept);
   }
 
-  // One of seven instances gets a request of 1.5 equal parts of what is left.
-  // Refused, its caller would be turned away although the workspace is inside
-  // its quota.
-  void AdmitsALargeRequestWhileTheFleetHasRoom() {
+  // Failure: one of seven instances gets a request of 1.5 times its equal share
+  // of what is left, and refuses it although the workspace is within its quota.
+  void AdmitsALargeRequestWithinTheFleetsQuota() {
     ManualClock manual;
     QuotaAllowance allowance = kExact;
     allowance.at_once = 2;
     QuotaWindows quotas(allowance, true, Clock(&manual));
     quotas.SetInstances(7);
-    quotas.SetFleetSpend("w", {kWhole - 7000, 0, 7, 0});
+    quotas.SetFleetSpend("w", {kAllowedTokens - 7000, 0, 7, 0});
     CPPUNIT_ASSERT(quotas.Take("w", kLimit, 1500).admitted);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
   }
 
   // Seven instances are asked for eight times the quota in requests of the
-  // usual size; news go round each 200 ms. The window's limit with its whole
-  // allowance holds.
-  void KeepsTheAllowanceUnderAFlood() {
+  // usual size, with a summary every 200 ms. The limit and its tolerance hold
+  // in every window.
+  void KeepsTheLimitUnderAFlood() {
     constexpr int kInstances = 7;
     const QuotaLimit limit{100000, 100000};
     const QuotaAllowance allowance{kWindow, 0.1, 100000, 2};
     const double allowed = 900000 * 1.1 + 100000;
-    const bool kept = rc::check("the allowance holds", [&] {
+    const bool kept = rc::check("the limit and its tolerance hold", [&] {
       ManualClock manual;
       std::vector<std::unique_ptr<QuotaWindows>> all;
       for (int i = 0; i < kInstances; ++i) {
@@ -300,9 +307,9 @@
       std::vector<double> spent(steps, 0);
       for (int step = 0; step < steps; ++step) {
         for (auto& quotas : all) {
-          const double asked = 8 * limit.rate * 0.2 / kInstances;
+          const double to_offer = 8 * limit.rate * 0.2 / kInstances;
           double offered = 0;
-          while (offered < asked) {
+          while (offered < to_offer) {
             const double tokens = *rc::gen::inRange(2000, 15000);
             offered += tokens;
             if (quotas->Take("w", limit, tokens).admitted) {
--- a/tests/unit/unit-share-book.cc
+++ b/tests/unit/unit-share-book.cc
@@ -10,30 +10,30 @@
 constexpr double kRate = 1000;
 constexpr double kBurst = 1000;
 
-// An instance that holds no share; two others hold a half each.
-class Borrower {
+// An instance that owns no share; two others own half of the rate each.
+class ShareBorrower {
  public:
-  Borrower() : book("self", 1, ShareOptions{}, Clock(&this->manual)) {
+  ShareBorrower() : limiter("self", 1, ShareOptions{}, Clock(&this->manual)) {
     this->manual.Advance(absl::Hours(1));
     Allotment allotment{"w", 1, {}};
     for (const char* name : {"a", "b"}) {
       allotment.holders.push_back(
           HolderShare{name, 1, kWholeShare / 2, kWholeShare / 2, 0});
     }
-    this->book.SetRate("w", RateLimit{kRate, kBurst});
-    this->book.Adopt(allotment);
+    this->limiter.SetRate("w", RateLimit{kRate, kBurst});
+    this->limiter.Adopt(allotment);
   }
 
-  // Carries an admission on; peers answer from the instant `answers_from`.
-  AdmissionStep Finish(Admission& admission, Instant answers_from) {
+  // Runs an admission to its last step; peers respond from `responds_from` on.
+  AdmissionStep Finish(Admission& admission, Instant responds_from) {
     while (true) {
-      AdmissionStep step = this->book.Next(admission);
+      AdmissionStep step = this->limiter.Next(admission);
       if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
         std::optional<Loan> loan;
-        if (this->manual.Now() >= answers_from) {
+        if (this->manual.Now() >= responds_from) {
           loan = Loan{borrow->tokens, {}, absl::Milliseconds(100), 1, 0, 500};
         }
-        this->book.FinishLoan(admission, borrow->peer, loan);
+        this->limiter.FinishLoan(admission, borrow->peer, loan);
       } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
         ++this->waits;
         this->manual.Advance(wait->delay);
@@ -44,37 +44,39 @@
   }
 
   ManualClock manual;
-  ShareBook book;
+  ShareBook limiter;
   int waits = 0;
 };
 
 class ShareBookTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ShareBookTest);
-  CPPUNIT_TEST(SilentPeersAreAskedAgain);
-  CPPUNIT_TEST(NobodyAnsweringIsNotOverRate);
-  CPPUNIT_TEST(AShrinkingHolderConfirmsLater);
+  CPPUNIT_TEST(AsksUnresponsivePeersAgain);
+  CPPUNIT_TEST(ReportsUnresponsiveOwnersNotAnExceededRate);
+  CPPUNIT_TEST(ConfirmsASmallerShareAfterLoansExpire);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Both holders answer too late to one request, on a busy machine. The next
-  // one must not be refused as over the rate because both are left out for a
-  // while: they are asked again while the caller can wait.
-  void SilentPeersAreAskedAgain() {
-    Borrower borrower;
+  // Failure: on a busy machine both owners respond too late to one request and
+  // are skipped for a while. The next request must not be refused as over the
+  // rate for that: the owners are asked again for as long as the caller can
+  // wait.
+  void AsksUnresponsivePeersAgain() {
+    ShareBorrower borrower;
     const Instant now = borrower.manual.Now();
-    Admission first = borrower.book.Begin("w", 10, absl::Milliseconds(250));
+    Admission first = borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(first, now + absl::Milliseconds(30));
     CPPUNIT_ASSERT(std::holds_alternative<Admitted>(step));
     CPPUNIT_ASSERT(borrower.waits > 0);
-    Admission second = borrower.book.Begin("w", 10, absl::Milliseconds(250));
+    Admission second = borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
     CPPUNIT_ASSERT(
         std::holds_alternative<Admitted>(borrower.Finish(second, Instant())));
   }
 
-  void NobodyAnsweringIsNotOverRate() {
-    Borrower borrower;
-    Admission admission = borrower.book.Begin("w", 10, absl::Milliseconds(250));
+  void ReportsUnresponsiveOwnersNotAnExceededRate() {
+    ShareBorrower borrower;
+    Admission admission =
+        borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(admission, absl::InfiniteDuration());
     CPPUNIT_ASSERT(std::holds_alternative<NoShare>(step));
@@ -82,21 +84,23 @@
                    absl::Milliseconds(250));
   }
 
-  // A holder lends and is then told to shrink. What it lent may be spent for
-  // a while yet, so it confirms the smaller share only after that.
-  void AShrinkingHolderConfirmsLater() {
+  // Failure: an owner lends tokens and then gets a smaller share. If it
+  // confirms that at once, others spend the difference while borrowers still
+  // spend the loans. It confirms only after the loans have expired.
+  void ConfirmsASmallerShareAfterLoansExpire() {
     ManualClock manual;
-    ShareBook book("a", 1, ShareOptions{}, Clock(&manual));
-    book.SetRate("w", RateLimit{kRate, kBurst});
-    book.Adopt(Allotment{"w", 1, {{"a", 1, kWholeShare, kWholeShare, 0}}});
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, book.ConfirmedEpoch("w"));
+    ShareBook limiter("a", 1, ShareOptions{}, Clock(&manual));
+    limiter.SetRate("w", RateLimit{kRate, kBurst});
+    limiter.Adopt(Allotment{"w", 1, {{"a", 1, kWholeShare, kWholeShare, 0}}});
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, limiter.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{10},
-                         book.Lend("w", 10, absl::Seconds(1)).granted);
-    book.Adopt(Allotment{"w", 2, {{"a", 1, kWholeShare / 2, kWholeShare, 0}}});
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, book.ConfirmedEpoch("w"));
+                         limiter.Lend("w", 10, absl::Seconds(1)).granted);
+    limiter.Adopt(
+        Allotment{"w", 2, {{"a", 1, kWholeShare / 2, kWholeShare, 0}}});
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, limiter.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, book.ConfirmedEpoch("w"));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, limiter.ConfirmedEpoch("w"));
   }
 };
 
