--- a/tests/unit/unit-allotment.cc
+++ b/tests/unit/unit-allotment.cc
@@ -81,7 +81,7 @@
         {"a list older than its share", 4, false, 0, false},
         {"a newer list without it", 9, false, 0, true},
         {"a newer process at its address", 4, true, 8, true},
-        {"the same process responds", 4, true, 7, false},
+        {"the same process answers", 4, true, 7, false},
     };
     for (const TerminationCase& item : cases) {
       const HolderShare owner{"a", 7, kWholeShare, kWholeShare, 5};
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -44,7 +44,7 @@
   void DecidesTheStepAfterAWrite() {
     const std::vector<StepCase> cases = {
         {"created", ClaimCreated{3}, true, IndexOf<Dispatch>()},
-        {"own claim found after a lost response",
+        {"own claim found after a lost answer",
          ExistingClaim("nonce-1", "digest-1", ClaimState::kRunning), true,
          IndexOf<Dispatch>()},
         {"another caller's, running",
@@ -60,9 +60,9 @@
          ExistingClaim("nonce-2", "digest-2", ClaimState::kDone), true,
          IndexOf<KeyReused>()},
         {"an unreadable claim", ClaimExists{"{", 4}, true, IndexOf<InDoubt>()},
-        {"no response, time left", ClaimOutcomeUnknown{}, true,
+        {"no answer, time left", ClaimOutcomeUnknown{}, true,
          IndexOf<TryAgain>()},
-        {"no response, no time left", ClaimOutcomeUnknown{}, false,
+        {"no answer, no time left", ClaimOutcomeUnknown{}, false,
          IndexOf<NotDispatched>()},
         {"not written, no time left", ClaimNotWritten{}, false,
          IndexOf<NotDispatched>()},
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -254,7 +254,7 @@
         {"one does not report", kStep, kStep, {"a", "b"}, 1.0 / 2},
         {"none reports", kStep, kStep, {}, 1},
         {"not listed for long", kStep, absl::Seconds(29), {"b", "c"}, 0},
-        {"a newly listed one has no share yet",
+        {"a newly listed one has no part yet",
          absl::Seconds(10),
          absl::Seconds(15),
          {"a", "b"},
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -101,13 +101,13 @@
   void SpendsItsShare() {
     const std::vector<ShareCase> cases = {
         {"alone", 1, std::nullopt, kAllowedTokens},
-        {"an equal share, without a summary", 3, std::nullopt,
+        {"an equal part, nothing known of others", 3, std::nullopt,
          kAllowedTokens / 3},
-        {"a share of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
+        {"a part of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
         {"nothing is left", 3, FleetSpend{9000, 0, 3}, 0},
         {"two of four report and share half of the limit", 4,
          FleetSpend{0, 0, 2, 0, 0.5}, kAllowedTokens / 2 / 4},
-        {"one restarted process may have spent its share", 3,
+        {"one process may have spent its part before a restart", 3,
          FleetSpend{0, 0, 3, 1}, kAllowedTokens * 2 / 3 / 3},
     };
     for (const ShareCase& item : cases) {
@@ -156,7 +156,7 @@
     const std::vector<KnownCase> cases = {
         {"little", kAllowedTokens / 5, kAllowedTokens * 4 / 5},
         {"all", kAllowedTokens, 0},
-        {"more than all, by the added margin", 2 * kAllowedTokens, 0},
+        {"more than all, with the added margin", 2 * kAllowedTokens, 0},
     };
     for (const KnownCase& item : cases) {
       ManualClock manual;
@@ -180,7 +180,7 @@
       std::mt19937 random(seed);
       const double most = MostSpentAroundARestart(random, allowance, limit);
       CPPUNIT_ASSERT_MESSAGE(
-          "seed " + std::to_string(seed) + " spent " + std::to_string(most),
+          "seed " + std::to_string(seed) + " ran " + std::to_string(most),
           most <= allowed);
     }
   }
@@ -231,7 +231,7 @@
     constexpr int kInstances = 7;
     constexpr int kFirstSideSize = 2;
     const bool kept =
-        rc::check("both sides together stay within the quota", [] {
+        rc::check("both sides together stay inside the quota", [] {
           ManualClock manual;
           std::vector<std::unique_ptr<QuotaWindows>> all;
           for (int i = 0; i < kInstances; ++i) {
