--- a/dragonflyglade/decision/quota_owners.h
+++ b/dragonflyglade/decision/quota_owners.h
@@ -43,8 +43,8 @@
     Instant last_listed;
   };
 
-  /// An instance that was last listed before this time has no spending left in
-  /// the window.
+  /// An instance that was last listed before this time is assumed to have no
+  /// spending left in the window.
   Instant OldestRelevant() const;
   /// The fraction of its share that a participant may be spending.
   double SpendableFraction(const Participant& participant) const;
--- a/dragonflyglade/decision/quota_window.h
+++ b/dragonflyglade/decision/quota_window.h
@@ -105,7 +105,7 @@
 
   /// Sets what the fleet had spent by workspace when this process started, and
   /// whether the previous process of this instance owned a share. The spending
-  /// counts for one window. Only the first call has an effect.
+  /// counts for one window. Has no effect once spending was set.
   void SetBefore(std::map<std::string, double, std::less<>> spent,
                  bool owned_share);
 
