--- a/tests/unit/unit-allotment.cc
+++ b/tests/unit/unit-allotment.cc
@@ -117,7 +117,7 @@
         }
         for (const HolderShare& owner : allotment.holders) {
           if (*rc::gen::arbitrary<bool>()) {
-            view.stable.insert({owner.instance, owner.incarnation});
+            view.settled.insert({owner.instance, owner.incarnation});
           }
         }
         const auto next = NextAllotment(allotment, view);
