--- a/dragonflyglade/decision/allotment.cc
+++ b/dragonflyglade/decision/allotment.cc
@@ -6,12 +6,12 @@
 namespace dragonflyglade {
 namespace {
 
-std::int64_t MaxInUse(const HolderShare& owner) {
+std::int64_t MaxInUse(const OwnerShare& owner) {
   return std::max(owner.share, owner.held);
 }
 
-bool HasConfirmed(const HolderShare& owner, std::int64_t epoch,
-                  const AllotmentView& view) {
+bool HasConfirmed(const OwnerShare& owner, std::int64_t epoch,
+                  const AllotmentInputs& view) {
   const auto confirmed = view.confirmed.find(owner.instance);
   if (confirmed == view.confirmed.end() || confirmed->second < epoch) {
     return false;
@@ -21,22 +21,22 @@
          answering->second == owner.incarnation;
 }
 
-std::vector<HolderShare> RetainedOwners(const Allotment& current,
-                                        const AllotmentView& view) {
-  std::vector<HolderShare> holders;
-  for (HolderShare owner : current.holders) {
+std::vector<OwnerShare> RetainedOwners(const Allotment& current,
+                                       const AllotmentInputs& view) {
+  std::vector<OwnerShare> holders;
+  for (OwnerShare owner : current.holders) {
     const bool reclaimable =
         view.settled.count({owner.instance, owner.incarnation}) > 0;
-    if (reclaimable && IsGone(owner, view)) continue;
+    if (reclaimable && HasTerminated(owner, view)) continue;
     if (HasConfirmed(owner, current.epoch, view)) owner.held = owner.share;
     holders.push_back(owner);
   }
   return holders;
 }
 
-HolderShare* FindOwner(std::vector<HolderShare>& holders,
-                       const HolderCandidate& candidate) {
-  for (HolderShare& owner : holders) {
+OwnerShare* FindOwner(std::vector<OwnerShare>& holders,
+                      const OwnerCandidate& candidate) {
+  for (OwnerShare& owner : holders) {
     if (owner.instance == candidate.instance &&
         owner.incarnation == candidate.incarnation) {
       return &owner;
@@ -48,25 +48,25 @@
 // The final share of each candidate: equal shares, with the remainder added to
 // the first by name, so that every instance computes the same result.
 std::map<std::string, std::int64_t> DesiredShares(
-    std::vector<HolderCandidate> wanted) {
+    std::vector<OwnerCandidate> wanted) {
   std::map<std::string, std::int64_t> desired;
   if (wanted.empty()) return desired;
   std::sort(wanted.begin(), wanted.end(),
-            [](const HolderCandidate& a, const HolderCandidate& b) {
+            [](const OwnerCandidate& a, const OwnerCandidate& b) {
               return a.instance < b.instance;
             });
   const auto count = static_cast<std::int64_t>(wanted.size());
-  std::int64_t remainder = kWholeShare % count;
-  for (const HolderCandidate& candidate : wanted) {
-    desired[candidate.instance] = kWholeShare / count + remainder;
+  std::int64_t remainder = kFullShareMillionths % count;
+  for (const OwnerCandidate& candidate : wanted) {
+    desired[candidate.instance] = kFullShareMillionths / count + remainder;
     remainder = 0;
   }
   return desired;
 }
 
-void ShrinkShares(std::vector<HolderShare>& holders,
+void ShrinkShares(std::vector<OwnerShare>& holders,
                   const std::map<std::string, std::int64_t>& desired) {
-  for (HolderShare& owner : holders) {
+  for (OwnerShare& owner : holders) {
     const auto entry = desired.find(owner.instance);
     const std::int64_t desired_share =
         entry == desired.end() ? 0 : entry->second;
@@ -76,15 +76,15 @@
   }
 }
 
-void GrowShares(std::vector<HolderShare>& holders, const AllotmentView& view,
+void GrowShares(std::vector<OwnerShare>& holders, const AllotmentInputs& view,
                 const std::map<std::string, std::int64_t>& desired) {
-  std::int64_t unassigned = kWholeShare;
-  for (const HolderShare& owner : holders) unassigned -= MaxInUse(owner);
-  for (const HolderCandidate& candidate : view.wanted) {
-    HolderShare* owner = FindOwner(holders, candidate);
+  std::int64_t unassigned = kFullShareMillionths;
+  for (const OwnerShare& owner : holders) unassigned -= MaxInUse(owner);
+  for (const OwnerCandidate& candidate : view.wanted) {
+    OwnerShare* owner = FindOwner(holders, candidate);
     if (owner == nullptr) {
-      holders.push_back(HolderShare{candidate.instance, candidate.incarnation,
-                                    0, 0, view.list_version});
+      holders.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
+                                   0, view.list_version});
       owner = &holders.back();
     }
     const std::int64_t shortfall =
@@ -98,10 +98,10 @@
   }
 }
 
-void RemoveEmptyShares(std::vector<HolderShare>& holders) {
+void RemoveEmptyShares(std::vector<OwnerShare>& holders) {
   holders.erase(
       std::remove_if(holders.begin(), holders.end(),
-                     [](const HolderShare& h) { return MaxInUse(h) == 0; }),
+                     [](const OwnerShare& h) { return MaxInUse(h) == 0; }),
       holders.end());
 }
 
@@ -115,7 +115,7 @@
 // incarnation responds at its address, which can start only after the old
 // process has ended. A list that is older than the grant proves nothing, since
 // it may not have the instance yet.
-bool IsGone(const HolderShare& owner, const AllotmentView& view) {
+bool HasTerminated(const OwnerShare& owner, const AllotmentInputs& view) {
   const auto answering = view.answering.find(owner.instance);
   if (answering != view.answering.end() &&
       answering->second > owner.incarnation) {
@@ -125,21 +125,22 @@
          view.listed.count(owner.instance) == 0;
 }
 
-GoneHolders::GoneHolders(absl::Duration settle_time, Clock clock)
+TerminatedOwners::TerminatedOwners(absl::Duration settle_time, Clock clock)
     : settle_time(settle_time), clock(clock) {}
 
 // Failure: an owner terminates while borrowers may still spend tokens that it
 // lent. If its share is reassigned at once, the same tokens are spent twice.
 // The loans expire within the settle time, so the share is reassigned only
 // after that.
-std::set<std::pair<std::string, std::int64_t>> GoneHolders::Settled(
-    const Allotment& allotment, const AllotmentView& view) {
+std::set<std::pair<std::string, std::int64_t>>
+TerminatedOwners::UpdateReclaimable(const Allotment& allotment,
+                                    const AllotmentInputs& view) {
   const Instant now = this->clock.Now();
   std::set<std::pair<std::string, std::int64_t>> reclaimable;
-  for (const HolderShare& owner : allotment.holders) {
+  for (const OwnerShare& owner : allotment.holders) {
     const std::pair<std::string, std::int64_t> process = {owner.instance,
                                                           owner.incarnation};
-    if (!IsGone(owner, view)) {
+    if (!HasTerminated(owner, view)) {
       this->first_seen.erase(process);
       continue;
     }
@@ -149,7 +150,7 @@
   return reclaimable;
 }
 
-bool HolderShare::operator==(const HolderShare& other) const {
+bool OwnerShare::operator==(const OwnerShare& other) const {
   return std::tie(this->instance, this->incarnation, this->share, this->held) ==
          std::tie(other.instance, other.incarnation, other.share, other.held);
 }
@@ -159,8 +160,8 @@
          this->holders == other.holders;
 }
 
-std::optional<Allotment> NextAllotment(const Allotment& current,
-                                       const AllotmentView& view) {
+std::optional<Allotment> PlanNextAllotment(const Allotment& current,
+                                           const AllotmentInputs& view) {
   Allotment next = current;
   next.holders = RetainedOwners(current, view);
   const std::map<std::string, std::int64_t> desired =
@@ -175,7 +176,7 @@
 
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation) {
-  for (const HolderShare& owner : allotment.holders) {
+  for (const OwnerShare& owner : allotment.holders) {
     if (owner.instance == instance && owner.incarnation == incarnation) {
       return owner.share;
     }
@@ -183,9 +184,9 @@
   return 0;
 }
 
-std::int64_t AssumedTotal(const Allotment& allotment) {
+std::int64_t MaxTotalInUse(const Allotment& allotment) {
   std::int64_t total = 0;
-  for (const HolderShare& owner : allotment.holders) total += MaxInUse(owner);
+  for (const OwnerShare& owner : allotment.holders) total += MaxInUse(owner);
   return total;
 }
 
--- a/dragonflyglade/decision/allotment.h
+++ b/dragonflyglade/decision/allotment.h
@@ -18,17 +18,17 @@
 
 /// The whole of a workspace's rate and burst. Shares are counted in millionths
 /// of it.
-inline constexpr std::int64_t kWholeShare = 1'000'000;
+inline constexpr std::int64_t kFullShareMillionths = 1'000'000;
 
 /// The share of a workspace's rate that one instance owns.
-struct HolderShare {
+struct OwnerShare {
   std::string instance;
   std::int64_t incarnation = 0;  ///< of the process that owns the share
   std::int64_t share = 0;        ///< millionths that it may use from now on
   std::int64_t held = 0;         ///< millionths that it may still be using
   std::int64_t listed_at = 0;    ///< list version when the share was granted
 
-  bool operator==(const HolderShare& other) const;
+  bool operator==(const OwnerShare& other) const;
 };
 
 /// How a workspace's rate is divided among instances. Stored in the key-value
@@ -37,21 +37,21 @@
 struct Allotment {
   std::string workspace;
   std::int64_t epoch = 0;
-  std::vector<HolderShare> holders;
+  std::vector<OwnerShare> holders;
 
   bool operator==(const Allotment& other) const;
 };
 
 /// An instance that may own a share.
-struct HolderCandidate {
+struct OwnerCandidate {
   std::string instance;
   std::int64_t incarnation = 0;
 };
 
 /// The inputs from which the next allotment is computed.
-struct AllotmentView {
+struct AllotmentInputs {
   /// Instances that should own shares: alive, listed and not leaving.
-  std::vector<HolderCandidate> wanted;
+  std::vector<OwnerCandidate> wanted;
   /// Names on the platform's list, including instances that are leaving.
   std::set<std::string> listed;
   std::int64_t list_version = 0;
@@ -60,25 +60,25 @@
   /// By owner, the newest epoch that it has confirmed.
   std::map<std::string, std::int64_t> confirmed;
   /// Owners (name, incarnation) that terminated long enough ago for their
-  /// shares to be reassigned; see GoneHolders.
+  /// shares to be reassigned; see TerminatedOwners.
   std::set<std::pair<std::string, std::int64_t>> settled;
 };
 
 /// Whether the process that owns a share has certainly terminated.
-bool IsGone(const HolderShare& owner, const AllotmentView& view);
+bool HasTerminated(const OwnerShare& owner, const AllotmentInputs& view);
 
 /// Tracks how long ago owners of shares terminated. Not synchronised.
-class GoneHolders {
+class TerminatedOwners {
  public:
   /// @param settle_time for how long tokens that an owner lent may still be
   ///   spent after it terminated
-  GoneHolders(absl::Duration settle_time, Clock clock);
+  TerminatedOwners(absl::Duration settle_time, Clock clock);
 
   /// Records which owners have terminated.
   /// @return the owners (name, incarnation) that terminated at least the settle
   ///   time ago, whose shares may be reassigned
-  std::set<std::pair<std::string, std::int64_t>> Settled(
-      const Allotment& allotment, const AllotmentView& view);
+  std::set<std::pair<std::string, std::int64_t>> UpdateReclaimable(
+      const Allotment& allotment, const AllotmentInputs& view);
 
  private:
   const absl::Duration settle_time;
@@ -89,19 +89,19 @@
 
 /// Computes the next allotment; nothing if the current one needs no change.
 ///
-/// The sum over owners of max(share, held) never exceeds kWholeShare: shares
-/// shrink first, and others grow only by what an owner has confirmed to have
-/// given up or what a terminated owner left.
-/// Complexity: O(n log n) in the owners and candidates.
-std::optional<Allotment> NextAllotment(const Allotment& current,
-                                       const AllotmentView& view);
+/// The sum over owners of max(share, held) never exceeds kFullShareMillionths:
+/// shares shrink first, and others grow only by what an owner has confirmed to
+/// have given up or what a terminated owner left. Complexity: O(n log n) in the
+/// owners and candidates.
+std::optional<Allotment> PlanNextAllotment(const Allotment& current,
+                                           const AllotmentInputs& view);
 
 /// The share that one process may use under an allotment, in millionths.
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation);
 
 /// An upper bound on what all owners together may be using, in millionths.
-std::int64_t AssumedTotal(const Allotment& allotment);
+std::int64_t MaxTotalInUse(const Allotment& allotment);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/claim.cc
+++ b/dragonflyglade/decision/claim.cc
@@ -32,23 +32,23 @@
 }
 
 ClaimStep StepForExistingClaim(const Claim& own, const ClaimExists& existing) {
-  const Result<Claim> decoded = DecodeClaim(existing.value);
-  if (!decoded.Ok()) return InDoubt{};
+  const Result<Claim> decoded = ParseClaim(existing.value);
+  if (!decoded.Ok()) return InProgressOrUnknown{};
   const Claim& other = decoded.Value();
   // Failure: the first write takes effect but its response is lost. The second
   // attempt finds that claim and, without the nonce, would take the caller's
   // own call for another one. An equal nonce means that this process wrote the
   // claim; it sends the call only after this step, so the call has not been
   // sent yet.
-  if (other.nonce == own.nonce) return Dispatch{existing.revision};
-  if (other.digest != own.digest) return KeyReused{};
-  if (other.state == ClaimState::kDone) return Replay{other.answer};
-  return InDoubt{};
+  if (other.nonce == own.nonce) return DispatchCall{existing.revision};
+  if (other.digest != own.digest) return IdempotencyKeyReused{};
+  if (other.state == ClaimState::kDone) return ReplayResponse{other.answer};
+  return InProgressOrUnknown{};
 }
 
 }  // namespace
 
-std::string EncodeClaim(const Claim& claim) {
+std::string SerializeClaim(const Claim& claim) {
   json document = {{"nonce", claim.nonce},
                    {"digest", claim.digest},
                    {"state", StateName(claim.state)}};
@@ -61,10 +61,10 @@
   return document.dump();
 }
 
-Result<Claim> DecodeClaim(std::string_view text) {
+Result<Claim> ParseClaim(std::string_view text) {
   const json document = json::parse(text, nullptr, false);
   const auto malformed = [](std::string_view detail) {
-    return MakeFailure(Errc::kBadAnswer, "decode claim", "kv", detail);
+    return MakeFailure(Errc::kMalformedResponse, "decode claim", "kv", detail);
   };
   if (!document.is_object()) return malformed("not a JSON object");
   try {
@@ -87,14 +87,14 @@
   }
 }
 
-ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
+ClaimStep DecideClaimStep(const Claim& own, const ClaimWriteResult& write,
                           bool may_retry) {
   struct StepVisitor {
     const Claim& own;
     bool may_retry;
 
     ClaimStep operator()(const ClaimCreated& created) const {
-      return Dispatch{created.revision};
+      return DispatchCall{created.revision};
     }
     ClaimStep operator()(const ClaimExists& existing) const {
       return StepForExistingClaim(this->own, existing);
@@ -107,8 +107,8 @@
     }
 
     ClaimStep RetryOrGiveUp() const {
-      if (this->may_retry) return TryAgain{};
-      return NotDispatched{};
+      if (this->may_retry) return RetryClaimWrite{};
+      return AbandonCall{};
     }
   };
   return std::visit(StepVisitor{own, may_retry}, write);
--- a/dragonflyglade/decision/claim.h
+++ b/dragonflyglade/decision/claim.h
@@ -19,7 +19,7 @@
 };
 
 /// The response of the call, stored with its claim.
-struct StoredAnswer {
+struct StoredResponse {
   int status = 0;
   std::string content_type;
   std::string body;
@@ -31,14 +31,14 @@
   std::string nonce;   ///< random; identifies the writer of the claim
   std::string digest;  ///< of the request's method, path and body
   ClaimState state = ClaimState::kRunning;
-  StoredAnswer answer;  ///< only set in kDone
+  StoredResponse answer;  ///< only set in kDone
 };
 
 /// Writes a claim as JSON.
-std::string EncodeClaim(const Claim& claim);
+std::string SerializeClaim(const Claim& claim);
 /// Reads a claim from JSON.
-/// Errors: kBadAnswer if the text is not a claim.
-Result<Claim> DecodeClaim(std::string_view text);
+/// Errors: kMalformedResponse if the text is not a claim.
+Result<Claim> ParseClaim(std::string_view text);
 
 /// Result of writing a claim: it was created at this revision.
 struct ClaimCreated {
@@ -54,34 +54,35 @@
 struct ClaimOutcomeUnknown {};
 /// Result of writing a claim: it was certainly not written.
 struct ClaimNotWritten {};
-using ClaimWrite = std::variant<ClaimCreated, ClaimExists, ClaimOutcomeUnknown,
-                                ClaimNotWritten>;
+using ClaimWriteResult = std::variant<ClaimCreated, ClaimExists,
+                                      ClaimOutcomeUnknown, ClaimNotWritten>;
 
 /// Next step: send the call; this process owns the claim.
-struct Dispatch {
+struct DispatchCall {
   std::int64_t revision = 0;
 };
 /// Next step: return the stored response to the caller.
-struct Replay {
-  StoredAnswer answer;
+struct ReplayResponse {
+  StoredResponse answer;
 };
 /// Next step: refuse; another call with this key is in progress, or its outcome
 /// is unknown.
-struct InDoubt {};
+struct InProgressOrUnknown {};
 /// Next step: refuse; the key was used before with a different request.
-struct KeyReused {};
+struct IdempotencyKeyReused {};
 /// Next step: retry the same write with the same nonce.
-struct TryAgain {};
+struct RetryClaimWrite {};
 /// Next step: give up; the call was not sent.
-struct NotDispatched {};
+struct AbandonCall {};
 using ClaimStep =
-    std::variant<Dispatch, Replay, InDoubt, KeyReused, TryAgain, NotDispatched>;
+    std::variant<DispatchCall, ReplayResponse, InProgressOrUnknown,
+                 IdempotencyKeyReused, RetryClaimWrite, AbandonCall>;
 
 /// Decides the next step after an attempt to create a claim.
 /// @param own the claim that this process tried to write
 /// @param write the result of the attempt
 /// @param may_retry whether there is time for another attempt
-ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
+ClaimStep DecideClaimStep(const Claim& own, const ClaimWriteResult& write,
                           bool may_retry);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/freshness.h
+++ b/dragonflyglade/decision/config_freshness.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_FRESHNESS_H_
-#define DRAGONFLYGLADE_DECISION_FRESHNESS_H_
+#ifndef DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
+#define DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
 
 #include "absl/synchronization/mutex.h"
 #include "dragonflyglade/decision/clock.h"
@@ -8,25 +8,25 @@
 
 /// How current the local configuration is, which decides whether new work is
 /// admitted.
-enum class AdmissionRight {
-  kFresh,       ///< known to be current within the bound; admit
-  kOutage,      ///< no instance reaches the key-value service; admit
-  kCutOff,      ///< other instances may have a newer one; refuse new work
-  kNeverReady,  ///< no complete configuration was ever received; refuse
+enum class ConfigFreshnessState {
+  kFresh,          ///< known to be current within the bound; admit
+  kStoreOutage,    ///< no instance reaches the key-value service; admit
+  kCutOff,         ///< other instances may have a newer one; refuse new work
+  kNeverComplete,  ///< no complete configuration was ever received; refuse
 };
 
 /// How many of the instances that the platform lists this instance reaches.
-struct Reach {
-  int listed_others = 0;     ///< listed, not leaving, other than this instance
-  int reachable_others = 0;  ///< of those, how many respond to heartbeats
+struct PeerReachability {
+  int listed_peers = 0;     ///< listed, not leaving, other than this instance
+  int reachable_peers = 0;  ///< of those, how many respond to heartbeats
 };
 
 /// Tracks when the configuration was last known to be current.
 /// Thread-safe.
-class Freshness {
+class ConfigFreshness {
  public:
   /// @param bound age up to which the configuration counts as fresh
-  Freshness(absl::Duration bound, Clock clock);
+  ConfigFreshness(absl::Duration bound, Clock clock);
 
   /// Records that the configuration was current at this time.
   void ConfirmedAt(Instant at);
@@ -36,7 +36,7 @@
   absl::Duration Age() const;
 
   /// Decides whether new work may be admitted.
-  AdmissionRight Right(const Reach& reach) const;
+  ConfigFreshnessState Right(const PeerReachability& reach) const;
 
  private:
   const absl::Duration bound;
@@ -47,4 +47,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_FRESHNESS_H_
+#endif  // DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
--- a/dragonflyglade/decision/demand_book.cc
+++ b/dragonflyglade/decision/demand_tracker.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
 
 #include <cmath>
 
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-DemandBook::DemandBook(absl::Duration time_constant, Clock clock)
+DemandTracker::DemandTracker(absl::Duration time_constant, Clock clock)
     : time_constant(time_constant), clock(clock) {}
 
-double DemandBook::Decayed(const Average& average, Instant now) const {
-  return average.rate *
-         std::exp(-absl::FDivDuration(now - average.updated, this->time_constant));
+double DemandTracker::Decayed(const Average& average, Instant now) const {
+  return average.rate * std::exp(-absl::FDivDuration(now - average.updated,
+                                                     this->time_constant));
 }
 
-void DemandBook::Add(std::string_view model, double tokens) {
+void DemandTracker::Add(std::string_view model, double tokens) {
   absl::MutexLock lock(&this->mutex);
   const Instant now = this->clock.Now();
   const auto found = this->averages.find(model);
@@ -29,7 +29,7 @@
   average.updated = now;
 }
 
-std::map<std::string, double> DemandBook::Rates() {
+std::map<std::string, double> DemandTracker::Rates() {
   absl::MutexLock lock(&this->mutex);
   const Instant now = this->clock.Now();
   std::map<std::string, double> rates;
--- a/dragonflyglade/decision/demand_book.h
+++ b/dragonflyglade/decision/demand_tracker.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
+#define DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
 
 #include <map>
 #include <string>
@@ -12,10 +12,10 @@
 
 /// The rate, in tokens per second, at which callers of this instance request
 /// each model, as an exponentially decaying average. Thread-safe.
-class DemandBook {
+class DemandTracker {
  public:
   /// @param time_constant time in which past demand decays to 1/e
-  DemandBook(absl::Duration time_constant, Clock clock);
+  DemandTracker(absl::Duration time_constant, Clock clock);
 
   /// Adds tokens that a caller requested of a model.
   void Add(std::string_view model, double tokens);
@@ -39,4 +39,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
--- a/dragonflyglade/decision/share_book.cc
+++ b/dragonflyglade/decision/distributed_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/share_book.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -16,7 +16,7 @@
 constexpr absl::Duration kMinRetryAfter = absl::Milliseconds(100);
 
 double FractionOf(std::int64_t share) {
-  return static_cast<double>(share) / static_cast<double>(kWholeShare);
+  return static_cast<double>(share) / static_cast<double>(kFullShareMillionths);
 }
 
 absl::Duration TimeToAccrue(double tokens, double rate) {
@@ -26,22 +26,26 @@
 
 }  // namespace
 
-ShareBook::ShareBook(std::string_view instance, std::int64_t incarnation,
-                     ShareOptions options, Clock clock)
+DistributedRateLimiter::DistributedRateLimiter(std::string_view instance,
+                                               std::int64_t incarnation,
+                                               RateLimiterOptions options,
+                                               Clock clock)
     : instance(instance),
       incarnation(incarnation),
       options(options),
       clock(clock) {}
 
-ShareBook::Shard& ShareBook::ShardOf(std::string_view workspace) {
+DistributedRateLimiter::Shard& DistributedRateLimiter::ShardOf(
+    std::string_view workspace) {
   return this->shards[StableHash(workspace) % kShards];
 }
 
-const ShareBook::Shard& ShareBook::ShardOf(std::string_view workspace) const {
+const DistributedRateLimiter::Shard& DistributedRateLimiter::ShardOf(
+    std::string_view workspace) const {
   return this->shards[StableHash(workspace) % kShards];
 }
 
-ShareBook::WorkspaceState& ShareBook::StateOf(
+DistributedRateLimiter::WorkspaceState& DistributedRateLimiter::StateOf(
     Shard& shard, std::string_view workspace) const {
   const auto found = shard.workspaces.find(workspace);
   if (found != shard.workspaces.end()) return found->second;
@@ -50,7 +54,8 @@
       .first->second;
 }
 
-void ShareBook::ConfigureBucket(WorkspaceState& state, Instant now) const {
+void DistributedRateLimiter::ConfigureBucket(WorkspaceState& state,
+                                             Instant now) const {
   if (!state.rate.has_value() || !state.allotment.has_value()) {
     state.bucket.Configure(0, 0, now);
     state.share = 0;
@@ -65,8 +70,8 @@
   state.share = share;
 }
 
-void ShareBook::SetRate(std::string_view workspace,
-                        std::optional<RateLimit> rate) {
+void DistributedRateLimiter::SetRate(std::string_view workspace,
+                                     std::optional<RateLimit> rate) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   WorkspaceState& state = this->StateOf(shard, workspace);
@@ -74,7 +79,7 @@
   this->ConfigureBucket(state, this->clock.Now());
 }
 
-void ShareBook::Adopt(const Allotment& allotment) {
+void DistributedRateLimiter::ApplyAllotment(const Allotment& allotment) {
   Shard& shard = this->ShardOf(allotment.workspace);
   absl::MutexLock lock(&shard.mutex);
   WorkspaceState& state = this->StateOf(shard, allotment.workspace);
@@ -91,7 +96,7 @@
   this->ConfigureBucket(state, now);
   if (shrinks && has_reservations) {
     state.confirm_from =
-        now + this->options.longest_promise + this->options.hold_limit;
+        now + this->options.max_reservation_wait + this->options.min_hold;
   }
 }
 
@@ -100,7 +105,8 @@
 // they and the borrowers spend it. So the instance uses the smaller share at
 // once, but confirms the epoch only after all earlier loans have been spent or
 // have expired; until then the allotment counts the larger share as in use.
-std::int64_t ShareBook::ConfirmedEpoch(std::string_view workspace) {
+std::int64_t DistributedRateLimiter::ConfirmedEpoch(
+    std::string_view workspace) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(workspace);
@@ -112,7 +118,8 @@
   return state.confirmed_epoch;
 }
 
-std::optional<Allotment> ShareBook::Followed(std::string_view workspace) const {
+std::optional<Allotment> DistributedRateLimiter::CurrentAllotment(
+    std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(workspace);
@@ -120,8 +127,8 @@
   return found->second.allotment;
 }
 
-Admission ShareBook::Begin(std::string_view workspace, double cost,
-                           absl::Duration max_wait) const {
+Admission DistributedRateLimiter::Begin(std::string_view workspace, double cost,
+                                        absl::Duration max_wait) const {
   Admission admission;
   admission.workspace = std::string(workspace);
   admission.cost = cost;
@@ -130,7 +137,7 @@
   return admission;
 }
 
-AdmissionStep ShareBook::Next(Admission& admission) {
+AdmissionStep DistributedRateLimiter::Next(Admission& admission) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(admission.workspace);
@@ -140,15 +147,17 @@
   return this->NextStep(found->second, admission, now);
 }
 
-AdmissionStep ShareBook::NextStep(WorkspaceState& state, Admission& admission,
-                                  Instant now) const {
+AdmissionStep DistributedRateLimiter::NextStep(WorkspaceState& state,
+                                               Admission& admission,
+                                               Instant now) const {
   if (!state.rate.has_value()) return NoRate{};
   const double burst = state.rate->burst_tokens;
   if (admission.cost > burst) return CostAboveBurst{burst};
-  if (!state.allotment.has_value()) return NoShare{};
+  if (!state.allotment.has_value()) return NoShareOwnerReachable{};
   DropExpired(admission, now);
   double missing = admission.cost;
-  for (const TokensInHand& taken : admission.in_hand) missing -= taken.tokens;
+  for (const CollectedTokens& taken : admission.collected)
+    missing -= taken.tokens;
   if (missing <= 0) return WaitOrAdmit(admission, now);
   return this->CollectTokens(state, admission, missing, now);
 }
@@ -157,36 +166,36 @@
 // resumes, when the lender no longer counts them. So tokens are dropped after
 // their use-by time. The borrower measures it on its own clock from its request
 // for the loan, which is no later than the lender's debit.
-void ShareBook::DropExpired(Admission& admission, Instant now) {
-  auto& parts = admission.in_hand;
-  parts.erase(
-      std::remove_if(parts.begin(), parts.end(),
-                     [now](const TokensInHand& p) { return p.use_by <= now; }),
-      parts.end());
+void DistributedRateLimiter::DropExpired(Admission& admission, Instant now) {
+  auto& parts = admission.collected;
+  parts.erase(std::remove_if(
+                  parts.begin(), parts.end(),
+                  [now](const CollectedTokens& p) { return p.use_by <= now; }),
+              parts.end());
 }
 
-AdmissionStep ShareBook::WaitOrAdmit(Admission& admission, Instant now) {
+AdmissionStep DistributedRateLimiter::WaitOrAdmit(Admission& admission,
+                                                  Instant now) {
   Instant ready = now;
-  for (const TokensInHand& taken : admission.in_hand) {
+  for (const CollectedTokens& taken : admission.collected) {
     ready = std::max(ready, taken.spend_from);
   }
   if (ready > now) return WaitFor{ready - now};
   admission.charged = now;
-  admission.in_hand.clear();
+  admission.collected.clear();
   return Admitted{};
 }
 
-std::vector<ShareBook::Source> ShareBook::Sources(const WorkspaceState& state,
-                                                  const Admission& admission,
-                                                  bool with_skipped,
-                                                  Instant now) const {
+std::vector<DistributedRateLimiter::Source> DistributedRateLimiter::Sources(
+    const WorkspaceState& state, const Admission& admission, bool with_skipped,
+    Instant now) const {
   std::vector<Source> sources;
   if (state.share > 0) {
     sources.push_back(Source{"", state.bucket.Level(now), state.bucket.Rate(),
                              state.bucket.Cap()});
   }
   const double burst = state.rate->burst_tokens;
-  for (const HolderShare& owner : state.allotment->holders) {
+  for (const OwnerShare& owner : state.allotment->holders) {
     if (owner.instance == this->instance || owner.share == 0) continue;
     if (admission.silent.count(owner.instance) > 0) continue;
     const double fraction = FractionOf(owner.share);
@@ -209,14 +218,14 @@
 // buckets gives its level and what it accrues during the wait, which is the
 // same for all of them:
 //   wait = (tokens - sum of levels) / sum of rates.
-// More buckets mean a shorter wait but more messages; ask_price weighs one
-// against the other.
-std::optional<ShareBook::Plan> ShareBook::ChoosePlan(
+// More buckets mean a shorter wait but more messages; peer_request_cost weighs
+// one against the other.
+std::optional<DistributedRateLimiter::Plan> DistributedRateLimiter::ChoosePlan(
     std::vector<Source> sources, double tokens, absl::Duration max_wait) const {
   const auto time_to_empty = [this, tokens](const Source& source) {
     const bool is_own = source.peer.empty();
     const double left = source.level - tokens;
-    const bool has_plenty = left >= this->options.own_until * source.cap;
+    const bool has_plenty = left >= this->options.local_only_level * source.cap;
     if (is_own && has_plenty) return absl::InfiniteDuration();
     return absl::Seconds(source.level / source.rate);
   };
@@ -235,7 +244,8 @@
     if (!sources[k].peer.empty()) ++peers_asked;
     const double wait = (tokens - level) / rate;
     const absl::Duration delay = absl::Seconds(std::max(0.0, wait));
-    const absl::Duration cost = delay + peers_asked * this->options.ask_price;
+    const absl::Duration cost =
+        delay + peers_asked * this->options.peer_request_cost;
     if (delay > max_wait || cost >= best_cost) continue;
     Plan plan;
     plan.wait = delay;
@@ -257,9 +267,10 @@
 // requests as over the rate. So unresponsive peers are asked again before a
 // request is refused, for as long as it may wait; and if no peer responds, the
 // caller is told this reason instead.
-AdmissionStep ShareBook::RetryOrRefuse(WorkspaceState& state,
-                                       Admission& admission, double missing,
-                                       Instant now) const {
+AdmissionStep DistributedRateLimiter::RetryOrRefuse(WorkspaceState& state,
+                                                    Admission& admission,
+                                                    double missing,
+                                                    Instant now) const {
   const bool may_wait =
       now + kPeerRetryPause < admission.started + admission.max_wait;
   if (!admission.silent.empty() && may_wait) {
@@ -275,13 +286,14 @@
       TimeToAccrue(missing - level, state.rate->tokens_per_second), now);
 }
 
-AdmissionStep ShareBook::CollectTokens(WorkspaceState& state,
-                                       Admission& admission, double missing,
-                                       Instant now) const {
+AdmissionStep DistributedRateLimiter::CollectTokens(WorkspaceState& state,
+                                                    Admission& admission,
+                                                    double missing,
+                                                    Instant now) const {
   const absl::Duration remaining_wait =
       admission.started + admission.max_wait - now;
   const absl::Duration max_wait =
-      std::min(remaining_wait, this->options.longest_promise);
+      std::min(remaining_wait, this->options.max_reservation_wait);
   std::optional<Plan> plan = this->ChoosePlan(
       this->Sources(state, admission, false, now), missing, max_wait);
   if (!plan.has_value()) {
@@ -300,33 +312,35 @@
     if (++admission.asks > kMaxLoanRequests) break;
     admission.asked_at = now;
     const double rounded = std::min(std::ceil(tokens), std::floor(source.cap));
-    return BorrowFrom{source.peer, static_cast<std::int64_t>(rounded),
-                      max_wait};
+    return BorrowFromPeer{source.peer, static_cast<std::int64_t>(rounded),
+                          max_wait};
   }
   // Tokens that are spent at once need no reservation.
-  if (admission.in_hand.empty() && state.bucket.Withdraw(missing, now)) {
+  if (admission.collected.empty() && state.bucket.Withdraw(missing, now)) {
     admission.charged = now;
     return Admitted{};
   }
   std::optional<Reservation> reserved;
   if (admission.asks <= kMaxLoanRequests) {
     reserved =
-        state.bucket.Reserve(missing, max_wait, this->options.hold_limit, now);
+        state.bucket.Reserve(missing, max_wait, this->options.min_hold, now);
   }
   if (!reserved.has_value()) {
     return this->Refuse(state, admission, plan->wait, now);
   }
-  admission.in_hand.push_back(TokensInHand{"", missing, 0, now + reserved->wait,
-                                           now + reserved->use_by});
+  admission.collected.push_back(CollectedTokens{
+      "", missing, 0, now + reserved->wait, now + reserved->use_by});
   return WaitOrAdmit(admission, now);
 }
 
-AdmissionStep ShareBook::Refuse(WorkspaceState& state, Admission& admission,
-                                absl::Duration retry_after, Instant now) const {
-  if (state.share == 0 && !admission.answered) return NoShare{};
+AdmissionStep DistributedRateLimiter::Refuse(WorkspaceState& state,
+                                             Admission& admission,
+                                             absl::Duration retry_after,
+                                             Instant now) const {
+  if (state.share == 0 && !admission.answered) return NoShareOwnerReachable{};
   OverRate refusal;
   refusal.retry_after = std::max(retry_after, kMinRetryAfter);
-  for (const TokensInHand& taken : admission.in_hand) {
+  for (const CollectedTokens& taken : admission.collected) {
     if (taken.peer.empty()) {
       state.bucket.Refund(taken.tokens, admission.started, now);
     } else {
@@ -334,12 +348,13 @@
           taken.peer, static_cast<std::int64_t>(taken.tokens), taken.stamp});
     }
   }
-  admission.in_hand.clear();
+  admission.collected.clear();
   return refusal;
 }
 
-void ShareBook::FinishLoan(Admission& admission, std::string_view peer,
-                           const std::optional<Loan>& loan) {
+void DistributedRateLimiter::CompleteLoan(Admission& admission,
+                                          std::string_view peer,
+                                          const std::optional<Loan>& loan) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
   WorkspaceState& state = this->StateOf(shard, admission.workspace);
@@ -356,12 +371,12 @@
   admission.answered = true;
   peer_bucket.level = static_cast<double>(loan->level);
   if (loan->granted == 0) return;
-  admission.in_hand.push_back(TokensInHand{
+  admission.collected.push_back(CollectedTokens{
       std::string(peer), static_cast<double>(loan->granted), loan->stamp,
       now + loan->wait, admission.asked_at + loan->use_by});
 }
 
-void ShareBook::Settle(const Admission& admission, double used) {
+void DistributedRateLimiter::Settle(const Admission& admission, double used) {
   if (!admission.charged.has_value()) return;
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -370,8 +385,9 @@
   state.bucket.Refund(refundable, *admission.charged, this->clock.Now());
 }
 
-Loan ShareBook::Lend(std::string_view workspace, std::int64_t tokens,
-                     absl::Duration max_wait) {
+Loan DistributedRateLimiter::LendTokens(std::string_view workspace,
+                                        std::int64_t tokens,
+                                        absl::Duration max_wait) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(workspace);
@@ -380,10 +396,10 @@
   const Instant now = this->clock.Now();
   state.last_demand = now;
   Loan loan;
-  const std::optional<Reservation> reserved =
-      state.bucket.Reserve(static_cast<double>(tokens),
-                           std::min(max_wait, this->options.longest_promise),
-                           this->options.hold_limit, now);
+  const std::optional<Reservation> reserved = state.bucket.Reserve(
+      static_cast<double>(tokens),
+      std::min(max_wait, this->options.max_reservation_wait),
+      this->options.min_hold, now);
   if (reserved.has_value()) {
     loan.granted = tokens;
     loan.wait = reserved->wait;
@@ -398,8 +414,9 @@
 // A return may be late, or may come from a process that borrowed from another
 // lender. The refund never adds more tokens than the bucket would hold now
 // without the loan.
-void ShareBook::TakeBack(std::string_view workspace, std::int64_t tokens,
-                         std::int64_t stamp) {
+void DistributedRateLimiter::ReceiveReturn(std::string_view workspace,
+                                           std::int64_t tokens,
+                                           std::int64_t stamp) {
   if (tokens <= 0) return;
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -411,14 +428,15 @@
   found->second.bucket.Refund(static_cast<double>(tokens), lent_at, now);
 }
 
-std::vector<WorkspaceBalance> ShareBook::Balances(std::size_t limit) const {
+std::vector<WorkspaceBalance> DistributedRateLimiter::Balances(
+    std::size_t limit) const {
   std::vector<WorkspaceBalance> balances;
   const Instant now = this->clock.Now();
   for (const Shard& shard : this->shards) {
     absl::MutexLock lock(&shard.mutex);
     for (const auto& [workspace, state] : shard.workspaces) {
       if (balances.size() == limit) return balances;
-      if (now - state.last_demand > this->options.demand_memory) continue;
+      if (now - state.last_demand > this->options.demand_retention) continue;
       if (state.bucket.Cap() == 0) continue;
       balances.push_back(WorkspaceBalance{
           workspace, static_cast<std::int64_t>(state.bucket.Level(now)),
@@ -428,7 +446,7 @@
   return balances;
 }
 
-std::optional<WorkspaceBalance> ShareBook::BalanceOf(
+std::optional<WorkspaceBalance> DistributedRateLimiter::BalanceOf(
     std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -441,7 +459,8 @@
       static_cast<std::int64_t>(bucket.Cap())};
 }
 
-void ShareBook::Learn(std::string_view peer, const WorkspaceBalance& balance) {
+void DistributedRateLimiter::Learn(std::string_view peer,
+                                   const WorkspaceBalance& balance) {
   Shard& shard = this->ShardOf(balance.workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(balance.workspace);
--- a/dragonflyglade/decision/share_book.h
+++ b/dragonflyglade/decision/distributed_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
+#define DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
 
 #include <array>
 #include <cstdint>
@@ -25,24 +25,24 @@
 };
 
 /// How tokens move between the buckets of instances.
-struct ShareOptions {
+struct RateLimiterOptions {
   /// How long reserved tokens can be spent at least, once they have accrued.
-  absl::Duration hold_limit = absl::Milliseconds(100);
+  absl::Duration min_hold = absl::Milliseconds(100);
   /// Longest time ahead for which tokens are reserved.
-  absl::Duration longest_promise = absl::Milliseconds(500);
+  absl::Duration max_reservation_wait = absl::Milliseconds(500);
   /// How much shorter the wait has to be for each additional peer that is
   /// asked for tokens.
-  absl::Duration ask_price = absl::Milliseconds(10);
+  absl::Duration peer_request_cost = absl::Milliseconds(10);
   /// Fraction of its cap down to which only the instance's own bucket is used.
   /// Below it, the buckets that take longest to become empty are used first,
   /// whether own or a peer's, since a bucket at its cap accrues nothing.
-  double own_until = 0.85;
+  double local_only_level = 0.85;
   /// Workspaces without a request for this long are left out of the balances.
-  absl::Duration demand_memory = absl::Seconds(10);
+  absl::Duration demand_retention = absl::Seconds(10);
 };
 
 /// Tokens taken for an admission, from a peer's bucket or from this instance's.
-struct TokensInHand {
+struct CollectedTokens {
   std::string peer;  ///< lender; empty for this instance's bucket
   double tokens = 0;
   std::int64_t stamp = 0;  ///< set by the lender; sent back with a return
@@ -50,13 +50,14 @@
   Instant use_by;          ///< latest time to spend them
 };
 
-/// The state of one request's admission. Created by ShareBook::Begin.
+/// The state of one request's admission. Created by
+/// DistributedRateLimiter::Begin.
 struct Admission {
   std::string workspace;
   double cost = 0;  ///< tokens
   Instant started;
   absl::Duration max_wait;
-  std::vector<TokensInHand> in_hand;
+  std::vector<CollectedTokens> collected;
   std::set<std::string> silent;    ///< peers that did not respond
   int asks = 0;                    ///< number of loans requested
   bool answered = false;           ///< whether any peer responded
@@ -66,13 +67,14 @@
 
 /// Next step: proceed with the request; its tokens are taken.
 struct Admitted {};
-/// Next step: ask this peer for a loan, then call ShareBook::FinishLoan.
-struct BorrowFrom {
+/// Next step: ask this peer for a loan, then call
+/// DistributedRateLimiter::CompleteLoan.
+struct BorrowFromPeer {
   std::string peer;
   std::int64_t tokens = 0;
   absl::Duration longest;  ///< longest acceptable wait for the tokens
 };
-/// Next step: call ShareBook::Next again after this time.
+/// Next step: call DistributedRateLimiter::Next again after this time.
 struct WaitFor {
   absl::Duration delay;
 };
@@ -96,10 +98,11 @@
 struct NoRate {};
 /// Next step: refuse; this instance has no share of the workspace's rate, and
 /// no owner of a share responded.
-struct NoShare {};
+struct NoShareOwnerReachable {};
 
-using AdmissionStep = std::variant<Admitted, BorrowFrom, WaitFor, OverRate,
-                                   CostAboveBurst, NoRate, NoShare>;
+using AdmissionStep =
+    std::variant<Admitted, BorrowFromPeer, WaitFor, OverRate, CostAboveBurst,
+                 NoRate, NoShareOwnerReachable>;
 
 /// A lender's response, with the state of its bucket afterwards.
 struct Loan {
@@ -127,24 +130,24 @@
 /// before it responds; it reserves ahead only what its own share will accrue;
 /// and lent tokens count towards the lender's cap until they expire.
 /// Thread-safe; workspaces are distributed over shards with a lock each.
-class ShareBook {
+class DistributedRateLimiter {
  public:
-  ShareBook(std::string_view instance, std::int64_t incarnation,
-            ShareOptions options, Clock clock);
+  DistributedRateLimiter(std::string_view instance, std::int64_t incarnation,
+                         RateLimiterOptions options, Clock clock);
 
   /// Sets or removes a workspace's rate limit.
   void SetRate(std::string_view workspace, std::optional<RateLimit> rate);
 
   /// Applies an allotment unless its epoch is older than the current one or the
   /// same.
-  void Adopt(const Allotment& allotment);
+  void ApplyAllotment(const Allotment& allotment);
 
   /// The newest epoch under which this instance certainly uses no more than its
   /// share; 0 if there is none.
   std::int64_t ConfirmedEpoch(std::string_view workspace);
 
   /// The allotment that was last applied for a workspace, if any.
-  std::optional<Allotment> Followed(std::string_view workspace) const;
+  std::optional<Allotment> CurrentAllotment(std::string_view workspace) const;
 
   /// Starts the admission of a request.
   /// @param cost tokens: the prompt's, plus the most that may be generated
@@ -157,8 +160,8 @@
 
   /// Records a lender's response to the loan that Next asked for.
   /// @param loan nothing if the lender did not respond
-  void FinishLoan(Admission& admission, std::string_view peer,
-                  const std::optional<Loan>& loan);
+  void CompleteLoan(Admission& admission, std::string_view peer,
+                    const std::optional<Loan>& loan);
 
   /// Refunds the tokens that an admitted request did not use.
   /// @param used tokens, at most the cost
@@ -166,13 +169,13 @@
 
   /// Lends tokens to another instance, all or none.
   /// @param max_wait longest wait that is acceptable to the borrower
-  Loan Lend(std::string_view workspace, std::int64_t tokens,
-            absl::Duration max_wait);
+  Loan LendTokens(std::string_view workspace, std::int64_t tokens,
+                  absl::Duration max_wait);
 
   /// Puts lent tokens back that the borrower did not spend.
   /// @param stamp the loan's stamp
-  void TakeBack(std::string_view workspace, std::int64_t tokens,
-                std::int64_t stamp);
+  void ReceiveReturn(std::string_view workspace, std::int64_t tokens,
+                     std::int64_t stamp);
 
   /// Balances of workspaces with recent demand, at most limit of them.
   std::vector<WorkspaceBalance> Balances(std::size_t limit) const;
@@ -198,7 +201,7 @@
     std::int64_t confirmed_epoch = 0;  ///< last result of ConfirmedEpoch
     Instant confirm_from;  ///< when the allotment's epoch may be confirmed
     TokenBucket bucket;
-    std::int64_t share = 0;  ///< millionths; see kWholeShare
+    std::int64_t share = 0;  ///< millionths; see kFullShareMillionths
     Instant last_demand;
     std::map<std::string, PeerBucket, std::less<>> peers;
   };
@@ -245,11 +248,11 @@
 
   const std::string instance;
   const std::int64_t incarnation;
-  const ShareOptions options;
+  const RateLimiterOptions options;
   const Clock clock;
   std::array<Shard, kShards> shards;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
--- a/dragonflyglade/decision/membership.cc
+++ b/dragonflyglade/decision/membership.cc
@@ -16,14 +16,14 @@
 // How often an update is sent that does not affect where callers are sent.
 constexpr int kMaxRoutineSends = 3;
 
-bool IsNewer(const MemberStatement& a, const MemberStatement& b) {
+bool IsNewer(const MemberStatus& a, const MemberStatus& b) {
   return std::tie(a.incarnation, a.sequence, a.state) >
          std::tie(b.incarnation, b.sequence, b.state);
 }
 
 }  // namespace
 
-Membership::Membership(MemberStatement self, MembershipOptions options,
+Membership::Membership(MemberStatus self, MembershipOptions options,
                        Clock clock, std::uint64_t seed)
     : options(options), clock(clock), self(std::move(self)), random(seed) {}
 
@@ -37,7 +37,7 @@
     if (found == this->members.end()) {
       // No heartbeat came from it yet. Every incarnation that a heartbeat
       // carries is newer than 0.
-      MemberStatement statement;
+      MemberStatus statement;
       statement.info = listed.info;
       statement.leaving = listed.leaving;
       this->members.emplace(listed.info.name,
@@ -48,7 +48,7 @@
   }
 }
 
-std::optional<MemberStatement> Membership::NextToProbe() {
+std::optional<MemberStatus> Membership::NextToProbe() {
   absl::MutexLock lock(&this->mutex);
   // A shuffled round probes every member once before any of them again, which
   // bounds the time until a failure is detected.
@@ -58,7 +58,7 @@
       this->round.pop_back();
       const auto found = this->members.find(name);
       if (found == this->members.end()) continue;
-      const MemberStatement& statement = found->second.statement;
+      const MemberStatus& statement = found->second.statement;
       // Dead members are still probed while the list names them: if one was
       // declared dead by mistake, its response makes it alive again.
       if (statement.state != MemberState::kDead || this->IsListed(name)) {
@@ -73,10 +73,10 @@
   return std::nullopt;
 }
 
-std::vector<MemberStatement> Membership::RandomLive(std::size_t count,
-                                                    std::string_view except) {
+std::vector<MemberStatus> Membership::SampleAlive(std::size_t count,
+                                                  std::string_view except) {
   absl::MutexLock lock(&this->mutex);
-  std::vector<MemberStatement> live;
+  std::vector<MemberStatus> live;
   for (const auto& [name, member] : this->members) {
     if (name == except) continue;
     if (member.statement.state == MemberState::kAlive) {
@@ -92,7 +92,7 @@
 // an instance is dead waits behind them, callers are sent to that instance
 // meanwhile. So urgent updates are sent first, then those that were sent least
 // often: new updates overtake those that most instances have already.
-std::vector<MemberStatement> Membership::Updates(std::string_view to) {
+std::vector<MemberStatus> Membership::Updates(std::string_view to) {
   absl::MutexLock lock(&this->mutex);
   const std::size_t count =
       std::min(this->options.updates_per_message, this->queue.size());
@@ -103,7 +103,7 @@
                       return std::make_pair(!a.urgent, a.times_sent) <
                              std::make_pair(!b.urgent, b.times_sent);
                     });
-  std::vector<MemberStatement> updates;
+  std::vector<MemberStatus> updates;
   for (std::size_t i = 0; i < count; ++i) {
     QueuedUpdate& next = this->queue[i];
     ++next.times_sent;
@@ -133,8 +133,8 @@
   return updates;
 }
 
-void Membership::Receive(const MemberStatement& sender,
-                         absl::Span<const MemberStatement> updates) {
+void Membership::Receive(const MemberStatus& sender,
+                         absl::Span<const MemberStatus> updates) {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(sender.info.name);
   const bool was_current = found != this->members.end() &&
@@ -150,10 +150,10 @@
       this->SetState(member, MemberState::kAlive);
     }
   }
-  for (const MemberStatement& update : updates) this->Apply(update);
+  for (const MemberStatus& update : updates) this->Apply(update);
 }
 
-bool Membership::Apply(const MemberStatement& statement) {
+bool Membership::Apply(const MemberStatus& statement) {
   if (statement.info.name.empty()) return false;
   if (statement.info.name == this->self.info.name) {
     this->Refute(statement);
@@ -181,7 +181,7 @@
 // callers are sent elsewhere. Only the instance itself increases its sequence,
 // so an update with a higher sequence proves that it is alive and overrules
 // every suspicion.
-void Membership::Refute(const MemberStatement& statement) {
+void Membership::Refute(const MemberStatus& statement) {
   if (statement.incarnation > this->self.incarnation) return;
   if (statement.state == MemberState::kAlive) return;
   // An instance that knew this one only from the list suspects incarnation 0.
@@ -193,7 +193,7 @@
   this->self.sequence = std::max(this->self.sequence, refuted + 1);
 }
 
-void Membership::Missed(std::string_view name) {
+void Membership::ReportProbeFailure(std::string_view name) {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(name);
   if (found == this->members.end()) return;
@@ -255,14 +255,14 @@
   this->self.load_permille = load_permille;
 }
 
-MemberStatement Membership::Self() const {
+MemberStatus Membership::Self() const {
   absl::MutexLock lock(&this->mutex);
   return this->self;
 }
 
-std::vector<MemberStatement> Membership::All() const {
+std::vector<MemberStatus> Membership::All() const {
   absl::MutexLock lock(&this->mutex);
-  std::vector<MemberStatement> all = {this->self};
+  std::vector<MemberStatus> all = {this->self};
   for (const auto& [name, member] : this->members) {
     all.push_back(member.statement);
   }
@@ -274,7 +274,7 @@
   std::vector<std::string> names;
   if (!this->self.leaving) names.push_back(this->self.info.name);
   for (const auto& [name, member] : this->members) {
-    const MemberStatement& statement = member.statement;
+    const MemberStatus& statement = member.statement;
     if (statement.state == MemberState::kDead || statement.leaving) continue;
     if (statement.incarnation == 0 && !this->IsListed(name)) continue;
     names.push_back(name);
@@ -282,7 +282,7 @@
   return names;
 }
 
-std::optional<MemberStatement> Membership::Find(std::string_view name) const {
+std::optional<MemberStatus> Membership::Find(std::string_view name) const {
   absl::MutexLock lock(&this->mutex);
   if (name == this->self.info.name) return this->self;
   const auto found = this->members.find(name);
@@ -295,7 +295,7 @@
   return this->list;
 }
 
-std::pair<int, int> Membership::ListedAndAlive() const {
+std::pair<int, int> Membership::CountListedAndAlive() const {
   absl::MutexLock lock(&this->mutex);
   int listed = 0;
   int alive = 0;
@@ -313,7 +313,7 @@
   return {listed, alive};
 }
 
-void Membership::Queue(const MemberStatement& statement) {
+void Membership::Queue(const MemberStatus& statement) {
   QueuedUpdate entry;
   entry.name = statement.info.name;
   entry.urgent = statement.state != MemberState::kAlive || statement.leaving ||
--- a/dragonflyglade/decision/membership.h
+++ b/dragonflyglade/decision/membership.h
@@ -33,7 +33,7 @@
 
 /// What is known of one instance, as heartbeats carry it. Of two for the same
 /// instance, the one with the higher (incarnation, sequence, state) is newer.
-struct MemberStatement {
+struct MemberStatus {
   MemberInfo info;
   std::int64_t incarnation = 0;  ///< start time of its process, in µs
   std::int64_t sequence = 0;     ///< increased by the instance itself only
@@ -82,7 +82,7 @@
 /// Thread-safe.
 class Membership {
  public:
-  Membership(MemberStatement self, MembershipOptions options, Clock clock,
+  Membership(MemberStatus self, MembershipOptions options, Clock clock,
              std::uint64_t seed);
 
   /// Applies the platform's list of instances, unless it is older than the
@@ -91,25 +91,25 @@
 
   /// The instance to send the next heartbeat to; nothing if no other instance
   /// is known.
-  std::optional<MemberStatement> NextToProbe();
+  std::optional<MemberStatus> NextToProbe();
 
   /// Up to count instances that are alive, chosen at random, without this one
   /// and the one named except.
-  std::vector<MemberStatement> RandomLive(std::size_t count,
-                                          std::string_view except);
+  std::vector<MemberStatus> SampleAlive(std::size_t count,
+                                        std::string_view except);
 
   /// The updates to send with the next heartbeat to an instance, and counts
   /// them as sent.
-  std::vector<MemberStatement> Updates(std::string_view to);
+  std::vector<MemberStatus> Updates(std::string_view to);
 
   /// Applies a heartbeat: what its sender says of itself, and the updates that
   /// it passes on.
-  void Receive(const MemberStatement& sender,
-               absl::Span<const MemberStatement> updates);
+  void Receive(const MemberStatus& sender,
+               absl::Span<const MemberStatus> updates);
 
   /// Suspects an instance that responded neither to this instance's probe nor
   /// to those of others.
-  void Missed(std::string_view name);
+  void ReportProbeFailure(std::string_view name);
 
   /// The interval between heartbeats at the fleet's present size.
   absl::Duration Period() const;
@@ -128,10 +128,10 @@
   void SetLoad(int load_permille);
 
   /// What this instance announces of itself.
-  MemberStatement Self() const;
+  MemberStatus Self() const;
 
   /// All known instances, including this one.
-  std::vector<MemberStatement> All() const;
+  std::vector<MemberStatus> All() const;
 
   /// Names of the instances, including this one, that are neither dead nor
   /// leaving. Listed instances count before their first heartbeat, so that all
@@ -139,18 +139,18 @@
   std::vector<std::string> Active() const;
 
   /// An instance by name.
-  std::optional<MemberStatement> Find(std::string_view name) const;
+  std::optional<MemberStatus> Find(std::string_view name) const;
 
   /// The newest platform list received.
   InstanceList List() const;
 
   /// How many instances the list names, without this one and those that are
   /// leaving, and how many of these are alive.
-  std::pair<int, int> ListedAndAlive() const;
+  std::pair<int, int> CountListedAndAlive() const;
 
  private:
   struct Member {
-    MemberStatement statement;
+    MemberStatus statement;
     Instant state_since;  ///< when it entered its present state
   };
   /// An update that still has to be sent to other instances.
@@ -162,13 +162,13 @@
 
   /// Applies an update if it is newer than what is known.
   /// @return whether it was applied
-  bool Apply(const MemberStatement& statement)
+  bool Apply(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   /// Overrules an update that says this instance is suspect or dead.
-  void Refute(const MemberStatement& statement)
+  void Refute(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   /// Queues an update to be sent to other instances.
-  void Queue(const MemberStatement& statement)
+  void Queue(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   void SetState(Member& member, MemberState state)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
@@ -180,7 +180,7 @@
   const MembershipOptions options;
   const Clock clock;
   mutable absl::Mutex mutex;
-  MemberStatement self ABSL_GUARDED_BY(mutex);
+  MemberStatus self ABSL_GUARDED_BY(mutex);
   std::map<std::string, Member, std::less<>> members ABSL_GUARDED_BY(mutex);
   InstanceList list ABSL_GUARDED_BY(mutex);
   std::vector<QueuedUpdate> queue ABSL_GUARDED_BY(mutex);
--- a/dragonflyglade/decision/load_ceiling.cc
+++ b/dragonflyglade/decision/model_load_limiter.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 
 #include <algorithm>
 #include <utility>
@@ -14,33 +14,35 @@
 
 }  // namespace
 
-LoadCeiling::LoadCeiling(LoadCeilingOptions options, Clock clock)
+ModelLoadLimiter::ModelLoadLimiter(ModelLoadLimiterOptions options, Clock clock)
     : options(options), clock(std::move(clock)) {}
 
-int LoadCeiling::AllowedPerWindow(double loads_per_second) const {
+int ModelLoadLimiter::AllowedPerWindow(double loads_per_second) const {
   const double window = absl::ToDoubleSeconds(this->options.window);
   const double by_rate = loads_per_second * window * this->options.overage;
   return static_cast<int>(by_rate) + kExtraLoads - kReservedLoads;
 }
 
-int LoadCeiling::CountSince(absl::Duration span) const {
+int ModelLoadLimiter::CountSince(absl::Duration span) const {
   const Instant from = this->clock.Now() - span;
   return static_cast<int>(
       std::count_if(this->begun.begin(), this->begun.end(),
                     [&](Instant at) { return at >= from; }));
 }
 
-void LoadCeiling::TakenOver(double loads_per_second) {
+void ModelLoadLimiter::OnLeadershipAcquired(double loads_per_second) {
   // The latest time at which the previous leader can have begun loads.
   const Instant latest =
-      this->clock.Now() - this->options.quiet_between_holders;
+      this->clock.Now() - this->options.leader_handover_delay;
   const int half = (this->AllowedPerWindow(loads_per_second) + 1) / 2;
   this->begun.assign(static_cast<std::size_t>(half), latest);
 }
 
-void LoadCeiling::Began() { this->begun.push_back(this->clock.Now()); }
+void ModelLoadLimiter::RecordLoadStart() {
+  this->begun.push_back(this->clock.Now());
+}
 
-int LoadCeiling::Left(double loads_per_second) {
+int ModelLoadLimiter::Left(double loads_per_second) {
   const Instant oldest = this->clock.Now() - this->options.window;
   while (!this->begun.empty() && this->begun.front() < oldest) {
     this->begun.pop_front();
@@ -48,7 +50,7 @@
   const int allowed = this->AllowedPerWindow(loads_per_second);
   const int left_in_window = allowed - static_cast<int>(this->begun.size());
   const absl::Duration remainder =
-      this->options.window - this->options.quiet_between_holders;
+      this->options.window - this->options.leader_handover_delay;
   const int left_in_remainder = (allowed + 1) / 2 - this->CountSince(remainder);
   return std::max(0, std::min(left_in_window, left_in_remainder));
 }
--- a/dragonflyglade/decision/load_ceiling.h
+++ b/dragonflyglade/decision/model_load_limiter.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
-#define DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
+#ifndef DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
+#define DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
 
 #include <deque>
 
@@ -9,11 +9,11 @@
 namespace dragonflyglade {
 
 /// How many model loads the weight store accepts.
-struct LoadCeilingOptions {
+struct ModelLoadLimiterOptions {
   absl::Duration window = absl::Seconds(5);
   double overage = 1;  ///< factor on the rate over a window
   /// Least time between the last order of one leader and the first of the next.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
 };
 
 /// Limits how many model loads begin in any window to what the weight store
@@ -24,15 +24,15 @@
 /// predecessor may have begun loads in that remainder. So no leader begins more
 /// than half of a window's loads within a time as long as the remainder, and
 /// each new leader counts that half as begun already.
-class LoadCeiling {
+class ModelLoadLimiter {
  public:
-  LoadCeiling(LoadCeilingOptions options, Clock clock);
+  ModelLoadLimiter(ModelLoadLimiterOptions options, Clock clock);
 
   /// To be called when this instance has become leader and may give orders.
-  void TakenOver(double loads_per_second);
+  void OnLeadershipAcquired(double loads_per_second);
 
   /// Counts a load that begins or may have begun.
-  void Began();
+  void RecordLoadStart();
 
   /// How many loads may begin now.
   int Left(double loads_per_second);
@@ -41,11 +41,11 @@
   int AllowedPerWindow(double loads_per_second) const;
   int CountSince(absl::Duration span) const;
 
-  const LoadCeilingOptions options;
+  const ModelLoadLimiterOptions options;
   const Clock clock;
   std::deque<Instant> begun;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
+#endif  // DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
--- a/dragonflyglade/decision/quota_owners.cc
+++ b/dragonflyglade/decision/quota_participants.cc
@@ -1,20 +1,20 @@
-#include "dragonflyglade/decision/quota_owners.h"
+#include "dragonflyglade/decision/quota_participants.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 namespace dragonflyglade {
 
-QuotaOwners::QuotaOwners(absl::Duration window, Clock clock)
+QuotaParticipants::QuotaParticipants(absl::Duration window, Clock clock)
     : window(window), clock(std::move(clock)), started(this->clock.Now()) {}
 
-Instant QuotaOwners::OldestRelevant() const {
+Instant QuotaParticipants::OldestRelevant() const {
   return this->clock.Now() - (kCutOff + this->window);
 }
 
-void QuotaOwners::Follow(absl::Span<const std::string_view> listed) {
+void QuotaParticipants::Follow(absl::Span<const std::string_view> listed) {
   const Instant now = this->clock.Now();
   this->RemoveExpired();
   if (listed.empty()) return;
@@ -22,7 +22,7 @@
   for (const std::string_view name : listed) {
     auto participant = this->participants.find(name);
     if (participant == this->participants.end()) {
-      const bool from_start = now - this->started < kFleetStarts;
+      const bool from_start = now - this->started < kFleetStartupTime;
       participant =
           this->participants
               .emplace(std::string(name), Participant{from_start, now, now})
@@ -34,7 +34,7 @@
 
 // Participants from the fleet's start are kept: when they are listed again,
 // they have their own share again at once.
-void QuotaOwners::RemoveExpired() {
+void QuotaParticipants::RemoveExpired() {
   const Instant oldest = this->OldestRelevant();
   std::erase_if(this->participants, [&](const auto& item) {
     return !item.second.from_start && item.second.last_listed < oldest;
@@ -45,15 +45,17 @@
 
 // An instance that is listed in the place of another one may spend nothing on
 // its own at first.
-double QuotaOwners::SpendableFraction(const Participant& participant) const {
+double QuotaParticipants::SpendableFraction(
+    const Participant& participant) const {
   if (participant.from_start) return 1;
-  return JoinedPart(this->clock.Now() - participant.listed_since, this->window);
+  return SpendableFractionAfterJoin(
+      this->clock.Now() - participant.listed_since, this->window);
 }
 
 // An instance that does not report divides the quotas by the number of listed
 // instances that it last knew. To withhold enough, this assumes the smallest
 // number of instances that was recently listed.
-double QuotaOwners::MissingPart(
+double QuotaParticipants::MissingPart(
     const std::set<std::string_view>& reporting) const {
   if (this->listed_counts.empty()) return 0;
   double unreported_shares = 0;
--- a/dragonflyglade/decision/quota_owners.h
+++ b/dragonflyglade/decision/quota_participants.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
+#ifndef DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
+#define DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
 
 #include <cstddef>
 #include <map>
@@ -21,10 +21,10 @@
 /// that lost only the store goes on reporting its spending; nothing is withheld
 /// for it, nor for the instances that are listed in its place.
 /// Not synchronised.
-class QuotaOwners {
+class QuotaParticipants {
  public:
   /// @param window length of the window in which quotas are counted
-  QuotaOwners(absl::Duration window, Clock clock);
+  QuotaParticipants(absl::Duration window, Clock clock);
 
   /// Updates the instances that callers are sent to. To be called several times
   /// a window, also when the list has not changed.
@@ -60,4 +60,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
+#endif  // DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
--- a/dragonflyglade/decision/quota_window.cc
+++ b/dragonflyglade/decision/quota_windows.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,8 +14,9 @@
 // requests that reach a target later than they are counted here, and the moment
 // in which an instance falls back from the fleet's spending to its own.
 constexpr double kUsedExcessFraction = 0.5;
-// See EarnedPart. With 1, a workspace that floods the fleet for 3 s before a
-// restart of all instances exceeds its limit in a window by 0.6 %.
+// See SpendableFractionAfterRestart. With 1, a workspace that floods the fleet
+// for 3 s before a restart of all instances exceeds its limit in a window by
+// 0.6 %.
 constexpr double kRestartGrowthExponent = 1.5;
 // The fraction of its share that an instance spends without asking the leader
 // for a grant.
@@ -29,25 +30,29 @@
 
 // Grows slowly at first, since a flooding workspace spends most of a window's
 // quota within a few seconds.
-double EarnedPart(absl::Duration age, absl::Duration window) {
+double SpendableFractionAfterRestart(absl::Duration age,
+                                     absl::Duration window) {
   return std::pow(std::min(1.0, absl::FDivDuration(age, window)),
                   kRestartGrowthExponent);
 }
 
 // A fifth counts until the window has passed. It covers a workspace that began
 // to flood after its spending was last recorded.
-double CountedPart(absl::Duration age, absl::Duration window) {
+double CountedFractionOfPriorSpending(absl::Duration age,
+                                      absl::Duration window) {
   constexpr double kMinCountedFraction = 0.2;
   if (age >= window) return 0;
-  return 1 - (1 - kMinCountedFraction) * EarnedPart(age, window);
+  return 1 -
+         (1 - kMinCountedFraction) * SpendableFractionAfterRestart(age, window);
 }
 
-double JoinedPart(absl::Duration listed_for, absl::Duration window) {
-  return EarnedPart(std::max(absl::ZeroDuration(), listed_for - kCutOff),
-                    window);
+double SpendableFractionAfterJoin(absl::Duration listed_for,
+                                  absl::Duration window) {
+  return SpendableFractionAfterRestart(
+      std::max(absl::ZeroDuration(), listed_for - kCutOff), window);
 }
 
-QuotaWindows::QuotaWindows(QuotaAllowance allowance, bool nothing_spent_before,
+QuotaWindows::QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
                            Clock clock)
     : allowance(allowance),
       clock(std::move(clock)),
@@ -55,7 +60,7 @@
       started(this->clock.Now()),
       listed_at(this->started) {}
 
-void QuotaWindows::SetInstances(int count) {
+void QuotaWindows::SetParticipantCount(int count) {
   const Instant now = this->clock.Now();
   const bool lasted =
       now - this->instances_at > kCutOff + this->allowance.window;
@@ -73,10 +78,10 @@
   const absl::Duration age = this->clock.Now() - this->started;
   const auto spent = this->spent_before.find(workspace);
   if (spent == this->spent_before.end()) {
-    return allowed * EarnedPart(age, this->allowance.window);
+    return allowed * SpendableFractionAfterRestart(age, this->allowance.window);
   }
-  const double counted =
-      spent->second * CountedPart(age, this->allowance.window);
+  const double counted = spent->second * CountedFractionOfPriorSpending(
+                                             age, this->allowance.window);
   return std::max(0.0, allowed - counted);
 }
 
@@ -86,15 +91,16 @@
   const Instant now = this->clock.Now();
   allowed = this->SpendableAfterRestart(workspace, allowed);
   if (this->listed_since.has_value()) {
-    allowed *= JoinedPart(now - *this->listed_since, this->allowance.window);
+    allowed *= SpendableFractionAfterJoin(now - *this->listed_since,
+                                          this->allowance.window);
   }
   return allowed;
 }
 
 // An instance that was listed before its process was killed gets its own share
 // again.
-void QuotaWindows::SetBefore(std::map<std::string, double, std::less<>> spent,
-                             bool owned_share) {
+void QuotaWindows::SetPriorSpending(
+    std::map<std::string, double, std::less<>> spent, bool owned_share) {
   if (!this->spent_before.empty()) return;
   this->spent_before = std::move(spent);
   this->owns_share = this->owns_share || owned_share;
@@ -103,7 +109,7 @@
 void QuotaWindows::SetListed(bool listed) {
   if (listed == this->listed) return;
   const Instant now = this->clock.Now();
-  const bool after_startup = now - this->listed_at >= kFleetStarts;
+  const bool after_startup = now - this->listed_at >= kFleetStartupTime;
   if (!listed && after_startup && !this->listed_since.has_value()) {
     this->owns_share = true;
   }
@@ -136,7 +142,8 @@
   return spending;
 }
 
-void QuotaWindows::SetFleetSpend(std::string_view workspace, FleetSpend spend) {
+void QuotaWindows::SetFleetSpending(std::string_view workspace,
+                                    FleetSpending spend) {
   Spending& spending = this->Current(workspace);
   spending.fleet = spend;
   spending.fleet_at = this->clock.Now();
@@ -154,13 +161,14 @@
          this->clock.Now() - *spending.fleet_at < kSummaryLifetime;
 }
 
-int QuotaWindows::SharingInstances(const FleetSpend& spend) const {
+int QuotaWindows::SharingInstances(const FleetSpending& spend) const {
   return std::max(this->instances, spend.instances);
 }
 
 // If negative, the fleet must wait until that much spending has left the
 // window.
-double QuotaWindows::FleetLeft(double allowed, const FleetSpend& spend) const {
+double QuotaWindows::FleetLeft(double allowed,
+                               const FleetSpending& spend) const {
   // A restarted process may have spent its share before the restart.
   const double unknown_spending =
       spend.unknown_shares * allowed / this->SharingInstances(spend);
@@ -205,8 +213,9 @@
 // decides most requests there. Half of what the fleet has left is kept for its
 // grants: between two summaries, spending without a grant and grants together
 // stay within what is left.
-QuotaVerdict QuotaWindows::TakePart(std::string_view workspace,
-                                    const QuotaLimit& limit, double tokens) {
+QuotaVerdict QuotaWindows::AdmitWithoutGrant(std::string_view workspace,
+                                             const QuotaLimit& limit,
+                                             double tokens) {
   if (limit.rate <= 0 && limit.burst <= 0) return {};
   Spending& spending = this->Current(workspace);
   if (!this->HasRecentSummary(spending))
@@ -220,7 +229,7 @@
 }
 
 QuotaVerdict QuotaWindows::Grant(const QuotaLimit& limit, double tokens,
-                                 const FleetSpend& spend) const {
+                                 const FleetSpending& spend) const {
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   verdict.left = this->FleetLeft(this->FleetAllowance(limit), spend);
@@ -233,7 +242,7 @@
   return verdict;
 }
 
-void QuotaWindows::Granted(std::string_view workspace, double tokens) {
+void QuotaWindows::RecordGrant(std::string_view workspace, double tokens) {
   this->Count(this->Current(workspace), tokens);
 }
 
--- a/dragonflyglade/decision/quota_window.h
+++ b/dragonflyglade/decision/quota_windows.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
+#ifndef DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
+#define DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
 
 #include <cstdint>
 #include <deque>
@@ -21,7 +21,7 @@
 
 /// The window in which limits are counted, and by how much the fleet may exceed
 /// them. The excess covers spending that instances do not know of each other.
-struct QuotaAllowance {
+struct QuotaTolerance {
   absl::Duration window = absl::Seconds(8);
   double overage = 0;  ///< fraction of the limit
   double slack = 0;    ///< tokens in a window
@@ -40,7 +40,7 @@
 };
 
 /// What the whole fleet spent in the window, by the newest summary.
-struct FleetSpend {
+struct FleetSpending {
   double total = 0;   ///< tokens spent by all instances, including this one
   double own = 0;     ///< tokens of the total that this instance spent
   int instances = 1;  ///< number of instances that the total covers
@@ -48,7 +48,7 @@
   /// the total, each weighted by the fraction of the window that is not known.
   double unknown_shares = 0;
   /// Fraction of the quota that instances may be spending which do not report;
-  /// see QuotaOwners.
+  /// see QuotaParticipants.
   double missing_part = 0;
 };
 
@@ -61,23 +61,25 @@
 /// While a fleet starts, weaker instances are listed until stronger ones
 /// replace them. An instance that was listed for longer than this is one that
 /// the quotas were divided by, so it gets its own share again when it is back.
-inline constexpr absl::Duration kFleetStarts = absl::Seconds(5);
+inline constexpr absl::Duration kFleetStartupTime = absl::Seconds(5);
 
 /// The fraction of a window's quota that a restarted process may spend when the
 /// spending before the restart is unknown. Grows from 0 to 1.
 /// @param age time since the process started
-double EarnedPart(absl::Duration age, absl::Duration window);
+double SpendableFractionAfterRestart(absl::Duration age, absl::Duration window);
 
 /// The fraction of the known spending before a restart that still counts. The
 /// amount is known, but not when it was spent within the window.
 /// @param age time since the process started
-double CountedPart(absl::Duration age, absl::Duration window);
+double CountedFractionOfPriorSpending(absl::Duration age,
+                                      absl::Duration window);
 
 /// The fraction of its share that an instance may spend after it was newly
 /// listed. It takes the place of an instance that is no longer listed, but that
 /// may be running on the other side of a partition and spending the same share.
 /// @param listed_for time since it was listed
-double JoinedPart(absl::Duration listed_for, absl::Duration window);
+double SpendableFractionAfterJoin(absl::Duration listed_for,
+                                  absl::Duration window);
 
 /// Counts this instance's spending of each workspace's quota in a sliding
 /// window, and decides how much more it may spend. Not synchronised.
@@ -91,26 +93,26 @@
  public:
   /// @param nothing_spent_before false after a restart, when the spending of
   ///   the previous process is unknown and counts for a whole window
-  QuotaWindows(QuotaAllowance allowance, bool nothing_spent_before,
+  QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
                Clock clock);
 
   /// Sets how many instances share the quotas: those that callers are sent to.
   /// A lower count takes effect only after it has lasted longer than network
   /// partitions do, since an instance that is no longer listed in the store may
   /// go on spending during a partition or may come back.
-  void SetInstances(int count);
+  void SetParticipantCount(int count);
 
   /// Sets by how much the fleet may exceed limits, when the settings change.
-  void SetAllowance(const QuotaAllowance& newer) { this->allowance = newer; }
+  void SetTolerance(const QuotaTolerance& newer) { this->allowance = newer; }
 
   /// Sets what the fleet had spent by workspace when this process started, and
   /// whether the previous process of this instance owned a share. The spending
   /// counts for one window. Has no effect once spending was set.
-  void SetBefore(std::map<std::string, double, std::less<>> spent,
-                 bool owned_share);
+  void SetPriorSpending(std::map<std::string, double, std::less<>> spent,
+                        bool owned_share);
 
   /// Sets the fleet's spending of a workspace by a summary just received.
-  void SetFleetSpend(std::string_view workspace, FleetSpend spend);
+  void SetFleetSpending(std::string_view workspace, FleetSpending spend);
 
   /// Sets whether callers are sent to this instance; if not, it has no share of
   /// its own. A newly listed instance gets its share with a delay, since the
@@ -124,16 +126,16 @@
 
   /// Admits a request if it fits into the part of this instance's share that
   /// may be spent without asking the leader for a grant, and counts its tokens.
-  QuotaVerdict TakePart(std::string_view workspace, const QuotaLimit& limit,
-                        double tokens);
+  QuotaVerdict AdmitWithoutGrant(std::string_view workspace,
+                                 const QuotaLimit& limit, double tokens);
 
   /// Decides, at the leader, whether an instance may spend tokens beyond its
   /// share. The instance then counts them with Granted.
   QuotaVerdict Grant(const QuotaLimit& limit, double tokens,
-                     const FleetSpend& spend) const;
+                     const FleetSpending& spend) const;
 
   /// Counts tokens that the leader granted to this instance.
-  void Granted(std::string_view workspace, double tokens);
+  void RecordGrant(std::string_view workspace, double tokens);
 
   /// Admits a request if it fits into this instance's share and counts its
   /// tokens; else returns when they will fit.
@@ -158,7 +160,7 @@
   struct Spending {
     std::deque<Slice> slices;  ///< of this instance, the oldest first
     double sum = 0;            ///< of the slices
-    FleetSpend fleet;
+    FleetSpending fleet;
     std::optional<Instant> fleet_at;  ///< when the summary came
   };
 
@@ -168,14 +170,14 @@
   struct Share {
     double tokens = 0;
     double spent = 0;
-    double at_once = 1;  ///< see QuotaAllowance
+    double at_once = 1;  ///< see QuotaTolerance
   };
 
   bool HasRecentSummary(const Spending& spending) const;
   /// How many instances share what the fleet has left.
-  int SharingInstances(const FleetSpend& spend) const;
+  int SharingInstances(const FleetSpending& spend) const;
   /// Tokens that the fleet has left in the window; may be negative.
-  double FleetLeft(double allowed, const FleetSpend& spend) const;
+  double FleetLeft(double allowed, const FleetSpending& spend) const;
   void Count(Spending& spending, double tokens);
   Share ShareWithoutSummary(std::string_view workspace,
                             const Spending& spending, double allowed) const;
@@ -186,7 +188,7 @@
                                double allowed) const;
   double Spendable(std::string_view workspace, double allowed) const;
 
-  QuotaAllowance allowance;
+  QuotaTolerance allowance;
   const Clock clock;
   const bool nothing_spent_before;
   const Instant started;
@@ -203,4 +205,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
+#endif  // DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
--- a/dragonflyglade/decision/record_store.cc
+++ b/dragonflyglade/decision/record_store.cc
@@ -19,26 +19,26 @@
 // an older copy, delivers an old version of a record, and a withdrawn key works
 // again. Comparing the record's own revision refuses old versions on every
 // path, since the key-value service never assigns a revision twice.
-RecordFate RecordStore::Offer(const RecordVersion& version) {
+ApplyResult RecordStore::ApplyVersion(const RecordVersion& version) {
   std::optional<std::string> reason;
   if (!version.deleted) reason = this->validator(version);
   absl::MutexLock lock(&this->mutex);
   Entry& entry = this->entries[version.key];
   const std::int64_t valid = RevisionOf(entry.valid);
   const std::int64_t rejected = RevisionOf(entry.rejected);
-  if (version.revision <= valid) return RecordFate::kOld;
+  if (version.revision <= valid) return ApplyResult::kStale;
   if (reason.has_value()) {
-    if (version.revision <= rejected) return RecordFate::kOld;
+    if (version.revision <= rejected) return ApplyResult::kStale;
     entry.rejected = version;
     entry.reason = *reason;
-    return RecordFate::kRejected;
+    return ApplyResult::kRejected;
   }
   entry.valid = version;
   if (rejected < version.revision) entry.rejected.reset();
-  return RecordFate::kInForce;
+  return ApplyResult::kApplied;
 }
 
-void RecordStore::CompleteUpTo(std::int64_t revision) {
+void RecordStore::MarkCompleteThrough(std::int64_t revision) {
   absl::MutexLock lock(&this->mutex);
   this->complete_revision = std::max(this->complete_revision, revision);
 }
@@ -48,7 +48,7 @@
   return this->complete_revision;
 }
 
-std::vector<RecordVersion> RecordStore::Good() const {
+std::vector<RecordVersion> RecordStore::ValidRecords() const {
   absl::MutexLock lock(&this->mutex);
   std::vector<RecordVersion> records;
   for (const auto& [key, entry] : this->entries) {
@@ -79,18 +79,18 @@
   return records;
 }
 
-std::vector<Rejection> RecordStore::Rejected() const {
+std::vector<RejectedRecord> RecordStore::RejectedRecords() const {
   absl::MutexLock lock(&this->mutex);
-  std::vector<Rejection> rejections;
+  std::vector<RejectedRecord> rejections;
   for (const auto& [key, entry] : this->entries) {
     if (!entry.rejected.has_value()) continue;
     rejections.push_back(
-        Rejection{key, entry.rejected->revision, entry.reason});
+        RejectedRecord{key, entry.rejected->revision, entry.reason});
   }
   return rejections;
 }
 
-bool RecordStore::HasGood(std::string_view key) const {
+bool RecordStore::HasValidVersion(std::string_view key) const {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->entries.find(key);
   return found != this->entries.end() && found->second.valid.has_value();
--- a/dragonflyglade/decision/record_store.h
+++ b/dragonflyglade/decision/record_store.h
@@ -23,14 +23,14 @@
 };
 
 /// The outcome of offering a record version to the store.
-enum class RecordFate {
-  kInForce,   ///< applied; it replaces the previous version
-  kOld,       ///< ignored; a version at least as new is stored already
+enum class ApplyResult {
+  kApplied,   ///< applied; it replaces the previous version
+  kStale,     ///< ignored; a version at least as new is stored already
   kRejected,  ///< invalid; the last valid version stays in force
 };
 
 /// A record version that the validator rejected, and why.
-struct Rejection {
+struct RejectedRecord {
   std::string key;
   std::int64_t revision = 0;
   std::string reason;
@@ -52,27 +52,27 @@
   explicit RecordStore(Validator validator);
 
   /// Applies a version of a record if it is valid and newer.
-  RecordFate Offer(const RecordVersion& version);
+  ApplyResult ApplyVersion(const RecordVersion& version);
 
   /// Records that every change up to a revision has been offered.
-  void CompleteUpTo(std::int64_t revision);
+  void MarkCompleteThrough(std::int64_t revision);
 
   /// The revision up to which no change is missing.
   std::int64_t CompleteRevision() const;
 
   /// The newest valid version of every record, ordered by key. Includes
   /// deletions.
-  std::vector<RecordVersion> Good() const;
+  std::vector<RecordVersion> ValidRecords() const;
 
   /// The versions that an instance which is complete up to a revision lacks,
   /// the oldest first: valid ones and the rejected ones that are newer.
   std::vector<RecordVersion> Since(std::int64_t revision) const;
 
   /// The records whose newest version was rejected.
-  std::vector<Rejection> Rejected() const;
+  std::vector<RejectedRecord> RejectedRecords() const;
 
   /// Whether a valid version of the key was ever applied.
-  bool HasGood(std::string_view key) const;
+  bool HasValidVersion(std::string_view key) const;
 
  private:
   struct Entry {
--- a/dragonflyglade/decision/quota_ledger.h
+++ b/dragonflyglade/decision/unreported_grants.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
+#ifndef DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
+#define DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
 
 #include <cstdint>
 #include <map>
@@ -14,10 +14,10 @@
 
 /// The quota grants that the leader has made and that the instances' reports of
 /// spending do not cover yet. Not synchronised.
-class QuotaLedger {
+class UnreportedGrants {
  public:
   /// @param window time after which a grant is dropped even if unreported
-  QuotaLedger(absl::Duration window, Clock clock);
+  UnreportedGrants(absl::Duration window, Clock clock);
 
   /// Records a grant. Idempotent: a number that the process has used already
   /// denotes the same grant.
@@ -53,4 +53,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
+#endif  // DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -14,13 +14,13 @@
 ClaimExists ExistingClaim(const char* nonce, const char* digest,
                           ClaimState state) {
   Claim claim{nonce, digest, state, {}};
-  claim.answer = StoredAnswer{201, "text/plain", std::string("\0\xff ok", 5)};
-  return ClaimExists{EncodeClaim(claim), 7};
+  claim.answer = StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
+  return ClaimExists{SerializeClaim(claim), 7};
 }
 
 struct StepCase {
   const char* name;
-  ClaimWrite write;
+  ClaimWriteResult write;
   bool may_retry;
   std::size_t expected;  ///< index in ClaimStep
 };
@@ -43,42 +43,43 @@
   // is known.
   void DecidesTheStepAfterAWrite() {
     const std::vector<StepCase> cases = {
-        {"created", ClaimCreated{3}, true, IndexOf<Dispatch>()},
+        {"created", ClaimCreated{3}, true, IndexOf<DispatchCall>()},
         {"own claim found after a lost answer",
          ExistingClaim("nonce-1", "digest-1", ClaimState::kRunning), true,
-         IndexOf<Dispatch>()},
+         IndexOf<DispatchCall>()},
         {"another caller's, running",
          ExistingClaim("nonce-2", "digest-1", ClaimState::kRunning), true,
-         IndexOf<InDoubt>()},
+         IndexOf<InProgressOrUnknown>()},
         {"another caller's, unknown",
          ExistingClaim("nonce-2", "digest-1", ClaimState::kUnknown), true,
-         IndexOf<InDoubt>()},
+         IndexOf<InProgressOrUnknown>()},
         {"another caller's, done",
          ExistingClaim("nonce-2", "digest-1", ClaimState::kDone), true,
-         IndexOf<Replay>()},
+         IndexOf<ReplayResponse>()},
         {"the key of another request",
          ExistingClaim("nonce-2", "digest-2", ClaimState::kDone), true,
-         IndexOf<KeyReused>()},
-        {"an unreadable claim", ClaimExists{"{", 4}, true, IndexOf<InDoubt>()},
+         IndexOf<IdempotencyKeyReused>()},
+        {"an unreadable claim", ClaimExists{"{", 4}, true,
+         IndexOf<InProgressOrUnknown>()},
         {"no answer, time left", ClaimOutcomeUnknown{}, true,
-         IndexOf<TryAgain>()},
+         IndexOf<RetryClaimWrite>()},
         {"no answer, no time left", ClaimOutcomeUnknown{}, false,
-         IndexOf<NotDispatched>()},
+         IndexOf<AbandonCall>()},
         {"not written, no time left", ClaimNotWritten{}, false,
-         IndexOf<NotDispatched>()},
+         IndexOf<AbandonCall>()},
     };
     for (const StepCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
-          AfterClaimWrite(OwnClaim(), item.write, item.may_retry).index());
+          DecideClaimStep(OwnClaim(), item.write, item.may_retry).index());
     }
   }
 
   void KeepsResponseBodiesByteForByte() {
-    const ClaimStep step = AfterClaimWrite(
+    const ClaimStep step = DecideClaimStep(
         OwnClaim(), ExistingClaim("nonce-2", "digest-1", ClaimState::kDone),
         true);
-    const StoredAnswer& answer = std::get<Replay>(step).answer;
+    const StoredResponse& answer = std::get<ReplayResponse>(step).answer;
     CPPUNIT_ASSERT_EQUAL(201, answer.status);
     CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), answer.body);
   }
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -4,13 +4,13 @@
 #include <deque>
 #include <memory>
 
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 
 namespace dragonflyglade {
 namespace {
 
 constexpr double kLoadsPerSecond = 2;
-const LoadCeilingOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
+const ModelLoadLimiterOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
 constexpr int kLoadsPerWindow = 13;  // by the rate, and 3 extra loads
 
 class LoadCeilingTest : public CppUnit::TestFixture {
@@ -23,14 +23,14 @@
   void AllowsHalfOfAWindowAtOnce() {
     ManualClock manual;
     manual.Advance(absl::Seconds(100));
-    LoadCeiling limiter(kOptions, Clock(&manual));
+    ModelLoadLimiter limiter(kOptions, Clock(&manual));
     CPPUNIT_ASSERT_EQUAL(6, limiter.Left(kLoadsPerSecond));
-    for (int i = 0; i < 6; ++i) limiter.Began();
+    for (int i = 0; i < 6; ++i) limiter.RecordLoadStart();
     CPPUNIT_ASSERT_EQUAL(0, limiter.Left(kLoadsPerSecond));
     manual.Advance(absl::Milliseconds(2001));
     CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
     manual.Advance(absl::Seconds(5));
-    limiter.TakenOver(kLoadsPerSecond);
+    limiter.OnLeadershipAcquired(kLoadsPerSecond);
     CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
   }
 
@@ -43,19 +43,19 @@
       manual.Advance(absl::Seconds(100));
       std::deque<Instant> begun;
       for (int leader = 0; leader < 4; ++leader) {
-        LoadCeiling limiter(kOptions, Clock(&manual));
-        limiter.TakenOver(kLoadsPerSecond);
+        ModelLoadLimiter limiter(kOptions, Clock(&manual));
+        limiter.OnLeadershipAcquired(kLoadsPerSecond);
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
           int left = limiter.Left(kLoadsPerSecond);
           if (*rc::gen::inRange(0, 2) == 0) left = 0;
           for (int i = 0; i < left; ++i) {
-            limiter.Began();
+            limiter.RecordLoadStart();
             begun.push_back(manual.Now());
           }
           manual.Advance(absl::Milliseconds(100));
         }
-        manual.Advance(kOptions.quiet_between_holders);
+        manual.Advance(kOptions.leader_handover_delay);
       }
       for (std::size_t first = 0; first < begun.size(); ++first) {
         int count = 0;
--- a/tests/unit/unit-membership.cc
+++ b/tests/unit/unit-membership.cc
@@ -10,9 +10,9 @@
 namespace dragonflyglade {
 namespace {
 
-MemberStatement MakeStatus(const char* name, std::int64_t incarnation,
-                           std::int64_t sequence, MemberState state) {
-  MemberStatement status;
+MemberStatus MakeStatus(const char* name, std::int64_t incarnation,
+                        std::int64_t sequence, MemberState state) {
+  MemberStatus status;
   status.info.name = name;
   status.incarnation = incarnation;
   status.sequence = sequence;
@@ -22,8 +22,8 @@
 
 struct StatusCase {
   const char* name;
-  MemberStatement first;
-  MemberStatement second;
+  MemberStatus first;
+  MemberStatus second;
   MemberState expected;
 };
 
@@ -87,7 +87,7 @@
     Membership membership(MakeStatus("a", 1, 0, MemberState::kAlive), {},
                           Clock(&manual), 1);
     membership.Receive(MakeStatus("b", 1, 0, MemberState::kAlive), {});
-    membership.Missed("b");
+    membership.ReportProbeFailure("b");
     CPPUNIT_ASSERT(membership.Find("b")->state == MemberState::kSuspect);
     manual.Advance(absl::Seconds(2));
     membership.Tick();
--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_ledger.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
+#include "dragonflyglade/decision/unreported_grants.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -16,7 +16,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
 const double kAllowedTokens = 900000 * 1.1 + 100000;
 
 // Number of random schedules per test; a failed assertion names the seed.
@@ -31,7 +31,7 @@
     for (int i = 0; i < listed; ++i) {
       this->instances.push_back(std::make_unique<QuotaWindows>(
           kAllowance, true, Clock(&this->manual)));
-      this->instances.back()->SetInstances(listed);
+      this->instances.back()->SetParticipantCount(listed);
     }
   }
 
@@ -40,19 +40,19 @@
   // A request at an instance. Without a leader it is decided there.
   bool Request(int at, double tokens) {
     QuotaWindows& quotas = *this->instances[at];
-    if (quotas.TakePart("w", kLimit, tokens).admitted) {
+    if (quotas.AdmitWithoutGrant("w", kLimit, tokens).admitted) {
       return this->Count(tokens);
     }
     if (!this->has_leader) {
       return quotas.Take("w", kLimit, tokens).admitted && this->Count(tokens);
     }
-    FleetSpend spend = this->summary;
+    FleetSpending spend = this->summary;
     spend.total += this->unreported.Open("w");
     const QuotaVerdict verdict =
         this->instances.front()->Grant(kLimit, tokens, spend);
     if (!verdict.admitted) return false;
     this->unreported.Add(std::to_string(at), ++this->number, "w", tokens);
-    quotas.Granted("w", tokens);
+    quotas.RecordGrant("w", tokens);
     return this->Count(tokens);
   }
 
@@ -60,9 +60,9 @@
     this->SummarizeReports();
     for (int i = 0; i < this->Size() && this->has_leader; ++i) {
       this->unreported.Reported(std::to_string(i), this->number);
-      FleetSpend spend = this->summary;
+      FleetSpending spend = this->summary;
       spend.own = this->instances[i]->Spent()["w"];
-      this->instances[i]->SetFleetSpend("w", spend);
+      this->instances[i]->SetFleetSpending("w", spend);
     }
     this->manual.Advance(kStep);
     this->spent.push_back(0);
@@ -85,7 +85,7 @@
 
  private:
   void SummarizeReports() {
-    this->summary = FleetSpend();
+    this->summary = FleetSpending();
     this->summary.instances = this->Size();
     for (auto& quotas : this->instances) {
       this->summary.total += quotas->Spent()["w"];
@@ -99,8 +99,8 @@
 
   ManualClock manual;
   std::vector<std::unique_ptr<QuotaWindows>> instances;
-  QuotaLedger unreported;
-  FleetSpend summary;
+  UnreportedGrants unreported;
+  FleetSpending summary;
   bool has_leader = true;
   std::int64_t number = 0;
   std::vector<double> spent = {0};
@@ -174,11 +174,11 @@
   void GivesNoShareToUnlistedInstances() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
-    quotas.SetInstances(8);
+    quotas.SetParticipantCount(8);
     quotas.SetListed(false);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 1).admitted);
-    quotas.SetFleetSpend("w", {0, 0, 8, 0});
-    CPPUNIT_ASSERT(!quotas.TakePart("w", kLimit, 1).admitted);
+    quotas.SetFleetSpending("w", {0, 0, 8, 0});
+    CPPUNIT_ASSERT(!quotas.AdmitWithoutGrant("w", kLimit, 1).admitted);
     CPPUNIT_ASSERT(quotas.Grant(kLimit, 20000, {0, 0, 8, 0}).admitted);
   }
 
@@ -188,7 +188,7 @@
   void GrowsTheShareOfANewlyListedInstance() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     quotas.SetListed(false);
     manual.Advance(absl::Minutes(1));
     quotas.SetListed(true);
@@ -220,7 +220,7 @@
     for (const Case& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kAllowance, true, Clock(&manual));
-      quotas.SetInstances(7);
+      quotas.SetParticipantCount(7);
       quotas.SetListed(true);
       manual.Advance(item.listed);
       quotas.SetListed(false);
@@ -239,7 +239,7 @@
   // whole window, since whether it was spent is unknown.
   void CountsAGrantOnceUntilItIsReported() {
     ManualClock manual;
-    QuotaLedger unreported(kWindow, Clock(&manual));
+    UnreportedGrants unreported(kWindow, Clock(&manual));
     CPPUNIT_ASSERT(unreported.Add("p", 1, "w", 100));
     CPPUNIT_ASSERT(!unreported.Add("p", 1, "w", 100));
     CPPUNIT_ASSERT(unreported.Add("q", 1, "w", 10));
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -18,7 +18,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
 const double kAllowedTokens = 900000 * 1.1 + 100000;
 constexpr int kStrongInstances = 18;
 constexpr int kWeakInstances = 80;
@@ -67,16 +67,16 @@
   bool Request(int at, double tokens) {
     Instance& instance = this->instances[at];
     QuotaWindows& quotas = *instance.quotas;
-    bool admitted = quotas.TakePart("w", kLimit, tokens).admitted;
+    bool admitted = quotas.AdmitWithoutGrant("w", kLimit, tokens).admitted;
     if (!admitted && !instance.reporting) {
       admitted = quotas.Take("w", kLimit, tokens).admitted;
     } else if (!admitted) {
-      FleetSpend spend = this->summary;
+      FleetSpending spend = this->summary;
       spend.total += this->granted;
       admitted =
           this->instances.front().quotas->Grant(kLimit, tokens, spend).admitted;
       if (admitted) this->granted += tokens;
-      if (admitted) quotas.Granted("w", tokens);
+      if (admitted) quotas.RecordGrant("w", tokens);
     }
     if (admitted) this->spent.back() += tokens;
     return admitted;
@@ -89,9 +89,9 @@
     this->SummarizeReports();
     for (Instance& instance : this->instances) {
       if (!instance.reporting) continue;
-      FleetSpend spend = this->summary;
+      FleetSpending spend = this->summary;
       spend.own = instance.quotas->Spent()["w"];
-      instance.quotas->SetFleetSpend("w", spend);
+      instance.quotas->SetFleetSpending("w", spend);
     }
     this->manual.Advance(kStep);
     this->spent.push_back(0);
@@ -134,14 +134,15 @@
                                            this->listed.end());
     for (Instance& instance : this->instances) {
       if (!instance.in_store && !instance.reporting) continue;
-      instance.quotas->SetInstances(static_cast<int>(this->listed.size()));
+      instance.quotas->SetParticipantCount(
+          static_cast<int>(this->listed.size()));
       instance.quotas->SetListed(names.count(instance.name) > 0);
     }
   }
 
   void SummarizeReports() {
     this->granted = 0;
-    this->summary = FleetSpend();
+    this->summary = FleetSpending();
     this->summary.instances = 0;
     const std::set<std::string_view> names(this->listed.begin(),
                                            this->listed.end());
@@ -161,10 +162,10 @@
   }
 
   ManualClock manual;
-  QuotaOwners participants;
+  QuotaParticipants participants;
   std::vector<Instance> instances;
   std::vector<std::string_view> listed;
-  FleetSpend summary;
+  FleetSpending summary;
   double granted = 0;            ///< tokens since the last summary
   int steps_to_list_update = 0;  ///< 0: none is due
   std::vector<double> spent = {0};
@@ -268,7 +269,7 @@
     };
     for (const ParticipantCase& item : cases) {
       ManualClock manual;
-      QuotaOwners participants(kWindow, Clock(&manual));
+      QuotaParticipants participants(kWindow, Clock(&manual));
       participants.Follow(std::vector<std::string_view>{"a", "b"});
       manual.Advance(item.listed_after);
       participants.Follow(std::vector<std::string_view>{"a", "b", "c"});
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -18,7 +18,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 const QuotaLimit kLimit{1000, 1000};
 // No overage or slack, so that the expected values follow from the limit alone.
-const QuotaAllowance kExact{kWindow, 0, 0, 1};
+const QuotaTolerance kExact{kWindow, 0, 0, 1};
 // In a window: eight seconds of the rate and the burst.
 const double kAllowedTokens = 9000;
 
@@ -31,14 +31,14 @@
 struct ShareCase {
   const char* what;
   int listed;
-  std::optional<FleetSpend> fleet;
+  std::optional<FleetSpending> fleet;
   double expected;
 };
 
 // Simulates a fleet whose instances are all killed and restarted while a
 // workspace floods it. Returns the most tokens spent in a window.
 double MostSpentAroundARestart(std::mt19937& random,
-                               const QuotaAllowance& allowance,
+                               const QuotaTolerance& allowance,
                                const QuotaLimit& limit) {
   constexpr int kInstances = 8;
   constexpr double kRequest = 700;        // tokens
@@ -66,8 +66,9 @@
       for (int i = 0; i < kInstances; ++i) {
         after_restart.push_back(
             std::make_unique<QuotaWindows>(allowance, false, Clock(&manual)));
-        after_restart.back()->SetInstances(kInstances);
-        after_restart.back()->SetBefore({{"w", 1.3 * recorded_spending}}, true);
+        after_restart.back()->SetParticipantCount(kInstances);
+        after_restart.back()->SetPriorSpending({{"w", 1.3 * recorded_spending}},
+                                               true);
       }
     }
     for (double offered = 0; offered < rate / 5; offered += kRequest) {
@@ -103,18 +104,19 @@
         {"alone", 1, std::nullopt, kAllowedTokens},
         {"an equal part, nothing known of others", 3, std::nullopt,
          kAllowedTokens / 3},
-        {"a part of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
-        {"nothing is left", 3, FleetSpend{9000, 0, 3}, 0},
+        {"a part of what the fleet has left", 3, FleetSpending{6000, 0, 3},
+         1000},
+        {"nothing is left", 3, FleetSpending{9000, 0, 3}, 0},
         {"two of four report and share half of the limit", 4,
-         FleetSpend{0, 0, 2, 0, 0.5}, kAllowedTokens / 2 / 4},
+         FleetSpending{0, 0, 2, 0, 0.5}, kAllowedTokens / 2 / 4},
         {"one process may have spent its part before a restart", 3,
-         FleetSpend{0, 0, 3, 1}, kAllowedTokens * 2 / 3 / 3},
+         FleetSpending{0, 0, 3, 1}, kAllowedTokens * 2 / 3 / 3},
     };
     for (const ShareCase& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kExact, true, Clock(&manual));
-      quotas.SetInstances(item.listed);
-      if (item.fleet.has_value()) quotas.SetFleetSpend("w", *item.fleet);
+      quotas.SetParticipantCount(item.listed);
+      if (item.fleet.has_value()) quotas.SetFleetSpending("w", *item.fleet);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
                                            SpendAll(quotas, 1), 2);
     }
@@ -161,7 +163,7 @@
     for (const KnownCase& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kExact, false, Clock(&manual));
-      quotas.SetBefore({{"w", item.spent}}, true);
+      quotas.SetPriorSpending({{"w", item.spent}}, true);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
                                            SpendAll(quotas, 1), 2);
     }
@@ -173,7 +175,7 @@
   // after the restart must stay within the limit and its tolerance.
   void KeepsTheLimitWhenAllRestartInAFlood() {
     constexpr int kSeeds = 200;
-    const QuotaAllowance allowance{kWindow, 0.1, 7500};
+    const QuotaTolerance allowance{kWindow, 0.1, 7500};
     const QuotaLimit limit{50000, 50000};
     const double allowed = 450000 * 1.1 + 7500;
     for (int seed = 1; seed <= kSeeds; ++seed) {
@@ -211,15 +213,15 @@
   void DelaysALowerInstanceCount() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
-    quotas.SetInstances(3);
+    quotas.SetParticipantCount(3);
     manual.Advance(absl::Seconds(1));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens / 3, SpendAll(quotas, 1), 2);
     manual.Advance(2 * kWindow);
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens / 3, SpendAll(quotas, 1), 2);
     manual.Advance(absl::Seconds(20));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens, SpendAll(quotas, 1), 2);
   }
 
@@ -237,11 +239,11 @@
           for (int i = 0; i < kInstances; ++i) {
             all.push_back(
                 std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
-            all.back()->SetInstances(kInstances);
+            all.back()->SetParticipantCount(kInstances);
           }
           const std::vector<std::string_view> names = {"0", "1", "2", "3",
                                                        "4", "5", "6"};
-          QuotaOwners owners(kWindow, Clock(&manual));
+          QuotaParticipants owners(kWindow, Clock(&manual));
           owners.Follow(names);
           const int steps = *rc::gen::inRange(20, 60);
           std::vector<double> spent(steps, 0);
@@ -262,7 +264,7 @@
               const double missing = owners.MissingPart(
                   {names.begin() + from, names.begin() + to});
               for (int i = from; i < to; ++i) {
-                all[i]->SetFleetSpend(
+                all[i]->SetFleetSpending(
                     "w", {total, all[i]->Spent()["w"], to - from, 0, missing});
               }
             }
@@ -278,11 +280,11 @@
   // of what is left, and refuses it although the workspace is within its quota.
   void AdmitsALargeRequestWithinTheFleetsQuota() {
     ManualClock manual;
-    QuotaAllowance allowance = kExact;
+    QuotaTolerance allowance = kExact;
     allowance.at_once = 2;
     QuotaWindows quotas(allowance, true, Clock(&manual));
-    quotas.SetInstances(7);
-    quotas.SetFleetSpend("w", {kAllowedTokens - 7000, 0, 7, 0});
+    quotas.SetParticipantCount(7);
+    quotas.SetFleetSpending("w", {kAllowedTokens - 7000, 0, 7, 0});
     CPPUNIT_ASSERT(quotas.Take("w", kLimit, 1500).admitted);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
   }
@@ -293,7 +295,7 @@
   void KeepsTheLimitUnderAFlood() {
     constexpr int kInstances = 7;
     const QuotaLimit limit{100000, 100000};
-    const QuotaAllowance allowance{kWindow, 0.1, 100000, 2};
+    const QuotaTolerance allowance{kWindow, 0.1, 100000, 2};
     const double allowed = 900000 * 1.1 + 100000;
     const bool kept = rc::check("the limit and its tolerance hold", [&] {
       ManualClock manual;
@@ -301,7 +303,7 @@
       for (int i = 0; i < kInstances; ++i) {
         all.push_back(
             std::make_unique<QuotaWindows>(allowance, true, Clock(&manual)));
-        all.back()->SetInstances(kInstances);
+        all.back()->SetParticipantCount(kInstances);
       }
       const int steps = *rc::gen::inRange(50, 90);
       std::vector<double> spent(steps, 0);
@@ -320,8 +322,8 @@
         double total = 0;
         for (auto& quotas : all) total += quotas->Spent()["w"];
         for (auto& quotas : all) {
-          quotas->SetFleetSpend("w",
-                                {total, quotas->Spent()["w"], kInstances, 0});
+          quotas->SetFleetSpending(
+              "w", {total, quotas->Spent()["w"], kInstances, 0});
         }
         manual.Advance(absl::Milliseconds(200));
       }
--- a/tests/unit/unit-share-book.cc
+++ b/tests/unit/unit-share-book.cc
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "dragonflyglade/decision/share_book.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 
 namespace dragonflyglade {
 namespace {
@@ -13,27 +13,28 @@
 // An instance that owns no share; two others own half of the rate each.
 class ShareBorrower {
  public:
-  ShareBorrower() : limiter("self", 1, ShareOptions{}, Clock(&this->manual)) {
+  ShareBorrower()
+      : limiter("self", 1, RateLimiterOptions{}, Clock(&this->manual)) {
     this->manual.Advance(absl::Hours(1));
     Allotment allotment{"w", 1, {}};
     for (const char* name : {"a", "b"}) {
-      allotment.holders.push_back(
-          HolderShare{name, 1, kWholeShare / 2, kWholeShare / 2, 0});
+      allotment.holders.push_back(OwnerShare{name, 1, kFullShareMillionths / 2,
+                                             kFullShareMillionths / 2, 0});
     }
     this->limiter.SetRate("w", RateLimit{kRate, kBurst});
-    this->limiter.Adopt(allotment);
+    this->limiter.ApplyAllotment(allotment);
   }
 
   // Runs an admission to its last step; peers respond from `responds_from` on.
   AdmissionStep Finish(Admission& admission, Instant responds_from) {
     while (true) {
       AdmissionStep step = this->limiter.Next(admission);
-      if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
+      if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
         std::optional<Loan> loan;
         if (this->manual.Now() >= responds_from) {
           loan = Loan{borrow->tokens, {}, absl::Milliseconds(100), 1, 0, 500};
         }
-        this->limiter.FinishLoan(admission, borrow->peer, loan);
+        this->limiter.CompleteLoan(admission, borrow->peer, loan);
       } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
         ++this->waits;
         this->manual.Advance(wait->delay);
@@ -44,7 +45,7 @@
   }
 
   ManualClock manual;
-  ShareBook limiter;
+  DistributedRateLimiter limiter;
   int waits = 0;
 };
 
@@ -79,7 +80,7 @@
         borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(admission, absl::InfiniteDuration());
-    CPPUNIT_ASSERT(std::holds_alternative<NoShare>(step));
+    CPPUNIT_ASSERT(std::holds_alternative<NoShareOwnerReachable>(step));
     CPPUNIT_ASSERT(borrower.manual.Now() - admission.started <=
                    absl::Milliseconds(250));
   }
@@ -89,15 +90,17 @@
   // spend the loans. It confirms only after the loans have expired.
   void ConfirmsASmallerShareAfterLoansExpire() {
     ManualClock manual;
-    ShareBook limiter("a", 1, ShareOptions{}, Clock(&manual));
+    DistributedRateLimiter limiter("a", 1, RateLimiterOptions{},
+                                   Clock(&manual));
     limiter.SetRate("w", RateLimit{kRate, kBurst});
-    limiter.Adopt(Allotment{"w", 1, {{"a", 1, kWholeShare, kWholeShare, 0}}});
+    limiter.ApplyAllotment(Allotment{
+        "w", 1, {{"a", 1, kFullShareMillionths, kFullShareMillionths, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, limiter.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{10},
-                         limiter.Lend("w", 10, absl::Seconds(1)).granted);
-    limiter.Adopt(
-        Allotment{"w", 2, {{"a", 1, kWholeShare / 2, kWholeShare, 0}}});
+                         limiter.LendTokens("w", 10, absl::Seconds(1)).granted);
+    limiter.ApplyAllotment(Allotment{
+        "w", 2, {{"a", 1, kFullShareMillionths / 2, kFullShareMillionths, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, limiter.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, limiter.ConfirmedEpoch("w"));
