--- a/dragonflyglade/caller/request_handler.cc
+++ b/dragonflyglade/caller/request_handler.cc
@@ -69,14 +69,14 @@
 
 std::variant<ServingState, Refusal> RequestHandler::Readiness() const {
   const auto [listed, alive] = this->membership.CountListedAndAlive();
-  switch (this->freshness.Right(PeerReachability{listed, alive})) {
+  switch (this->freshness.StateFor(PeerReachability{listed, alive})) {
     case ConfigFreshnessState::kFresh:
     case ConfigFreshnessState::kStoreOutage:
       break;
     case ConfigFreshnessState::kNeverComplete:
       return Refusal{RefusalCode::kNotReady,
                      "the configuration is not complete yet"};
-    case ConfigFreshnessState::kCutOff:
+    case ConfigFreshnessState::kPartitioned:
       return Refusal{RefusalCode::kConfigurationStale,
                      "the configuration may be out of date here"};
   }
@@ -201,7 +201,7 @@
   const Allotment* allotment =
       FindRecord(catalog->allotments, question.workspace);
   if (allotment != nullptr) {
-    for (const OwnerShare& holder : allotment->holders) {
+    for (const OwnerShare& holder : allotment->owners) {
       if (holder.share > 0) holders.push_back(holder.instance);
     }
   }
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -264,8 +264,8 @@
   }
   if (const auto* replay = std::get_if<ReplayResponse>(&step)) {
     this->metrics.Count("dragonflyglade_claims_replayed_total");
-    return WholeAnswer{replay->answer.status, replay->answer.content_type,
-                       replay->answer.body};
+    return WholeAnswer{replay->response.status, replay->response.content_type,
+                       replay->response.body};
   }
   if (std::holds_alternative<IdempotencyKeyReused>(step)) {
     return Refusal{RefusalCode::kIdempotencyKeyReused,
@@ -296,7 +296,7 @@
     if (answer->body.size() > kLongestStoredAnswer) {
       claim.state = ClaimState::kUnknown;
     } else {
-      claim.answer =
+      claim.response =
           StoredResponse{answer->status, answer->content_type, answer->body};
     }
   }
--- a/dragonflyglade/decision/allotment.cc
+++ b/dragonflyglade/decision/allotment.cc
@@ -7,36 +7,36 @@
 namespace {
 
 std::int64_t MaxInUse(const OwnerShare& owner) {
-  return std::max(owner.share, owner.held);
+  return std::max(owner.share, owner.in_use);
 }
 
 bool HasConfirmed(const OwnerShare& owner, std::int64_t epoch,
-                  const AllotmentInputs& view) {
-  const auto confirmed = view.confirmed.find(owner.instance);
-  if (confirmed == view.confirmed.end() || confirmed->second < epoch) {
+                  const AllotmentInputs& inputs) {
+  const auto confirmed = inputs.confirmed_epochs.find(owner.instance);
+  if (confirmed == inputs.confirmed_epochs.end() || confirmed->second < epoch) {
     return false;
   }
-  const auto answering = view.answering.find(owner.instance);
-  return answering != view.answering.end() &&
-         answering->second == owner.incarnation;
+  const auto responding = inputs.responding.find(owner.instance);
+  return responding != inputs.responding.end() &&
+         responding->second == owner.incarnation;
 }
 
 std::vector<OwnerShare> RetainedOwners(const Allotment& current,
-                                       const AllotmentInputs& view) {
-  std::vector<OwnerShare> holders;
-  for (OwnerShare owner : current.holders) {
+                                       const AllotmentInputs& inputs) {
+  std::vector<OwnerShare> owners;
+  for (OwnerShare owner : current.owners) {
     const bool reclaimable =
-        view.settled.count({owner.instance, owner.incarnation}) > 0;
-    if (reclaimable && HasTerminated(owner, view)) continue;
-    if (HasConfirmed(owner, current.epoch, view)) owner.held = owner.share;
-    holders.push_back(owner);
+        inputs.reclaimable.count({owner.instance, owner.incarnation}) > 0;
+    if (reclaimable && HasTerminated(owner, inputs)) continue;
+    if (HasConfirmed(owner, current.epoch, inputs)) owner.in_use = owner.share;
+    owners.push_back(owner);
   }
-  return holders;
+  return owners;
 }
 
-OwnerShare* FindOwner(std::vector<OwnerShare>& holders,
+OwnerShare* FindOwner(std::vector<OwnerShare>& owners,
                       const OwnerCandidate& candidate) {
-  for (OwnerShare& owner : holders) {
+  for (OwnerShare& owner : owners) {
     if (owner.instance == candidate.instance &&
         owner.incarnation == candidate.incarnation) {
       return &owner;
@@ -48,44 +48,44 @@
 // The final share of each candidate: equal shares, with the remainder added to
 // the first by name, so that every instance computes the same result.
 std::map<std::string, std::int64_t> DesiredShares(
-    std::vector<OwnerCandidate> wanted) {
+    std::vector<OwnerCandidate> candidates) {
   std::map<std::string, std::int64_t> desired;
-  if (wanted.empty()) return desired;
-  std::sort(wanted.begin(), wanted.end(),
+  if (candidates.empty()) return desired;
+  std::sort(candidates.begin(), candidates.end(),
             [](const OwnerCandidate& a, const OwnerCandidate& b) {
               return a.instance < b.instance;
             });
-  const auto count = static_cast<std::int64_t>(wanted.size());
+  const auto count = static_cast<std::int64_t>(candidates.size());
   std::int64_t remainder = kFullShareMillionths % count;
-  for (const OwnerCandidate& candidate : wanted) {
+  for (const OwnerCandidate& candidate : candidates) {
     desired[candidate.instance] = kFullShareMillionths / count + remainder;
     remainder = 0;
   }
   return desired;
 }
 
-void ShrinkShares(std::vector<OwnerShare>& holders,
+void ShrinkShares(std::vector<OwnerShare>& owners,
                   const std::map<std::string, std::int64_t>& desired) {
-  for (OwnerShare& owner : holders) {
+  for (OwnerShare& owner : owners) {
     const auto entry = desired.find(owner.instance);
     const std::int64_t desired_share =
         entry == desired.end() ? 0 : entry->second;
     if (desired_share >= owner.share) continue;
-    owner.held = MaxInUse(owner);
+    owner.in_use = MaxInUse(owner);
     owner.share = desired_share;
   }
 }
 
-void GrowShares(std::vector<OwnerShare>& holders, const AllotmentInputs& view,
+void GrowShares(std::vector<OwnerShare>& owners, const AllotmentInputs& inputs,
                 const std::map<std::string, std::int64_t>& desired) {
   std::int64_t unassigned = kFullShareMillionths;
-  for (const OwnerShare& owner : holders) unassigned -= MaxInUse(owner);
-  for (const OwnerCandidate& candidate : view.wanted) {
-    OwnerShare* owner = FindOwner(holders, candidate);
+  for (const OwnerShare& owner : owners) unassigned -= MaxInUse(owner);
+  for (const OwnerCandidate& candidate : inputs.candidates) {
+    OwnerShare* owner = FindOwner(owners, candidate);
     if (owner == nullptr) {
-      holders.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
-                                   0, view.list_version});
-      owner = &holders.back();
+      owners.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
+                                  0, inputs.list_version});
+      owner = &owners.back();
     }
     const std::int64_t shortfall =
         desired.at(candidate.instance) - MaxInUse(*owner);
@@ -93,16 +93,16 @@
         std::clamp<std::int64_t>(shortfall, 0, unassigned);
     if (granted == 0) continue;
     owner->share = MaxInUse(*owner) + granted;
-    owner->held = owner->share;
+    owner->in_use = owner->share;
     unassigned -= granted;
   }
 }
 
-void RemoveEmptyShares(std::vector<OwnerShare>& holders) {
-  holders.erase(
-      std::remove_if(holders.begin(), holders.end(),
+void RemoveEmptyShares(std::vector<OwnerShare>& owners) {
+  owners.erase(
+      std::remove_if(owners.begin(), owners.end(),
                      [](const OwnerShare& h) { return MaxInUse(h) == 0; }),
-      holders.end());
+      owners.end());
 }
 
 }  // namespace
@@ -115,14 +115,14 @@
 // incarnation responds at its address, which can start only after the old
 // process has ended. A list that is older than the grant proves nothing, since
 // it may not have the instance yet.
-bool HasTerminated(const OwnerShare& owner, const AllotmentInputs& view) {
-  const auto answering = view.answering.find(owner.instance);
-  if (answering != view.answering.end() &&
-      answering->second > owner.incarnation) {
+bool HasTerminated(const OwnerShare& owner, const AllotmentInputs& inputs) {
+  const auto responding = inputs.responding.find(owner.instance);
+  if (responding != inputs.responding.end() &&
+      responding->second > owner.incarnation) {
     return true;
   }
-  return view.list_version > owner.listed_at &&
-         view.listed.count(owner.instance) == 0;
+  return inputs.list_version > owner.list_version &&
+         inputs.listed.count(owner.instance) == 0;
 }
 
 TerminatedOwners::TerminatedOwners(absl::Duration settle_time, Clock clock)
@@ -134,13 +134,13 @@
 // after that.
 std::set<std::pair<std::string, std::int64_t>>
 TerminatedOwners::UpdateReclaimable(const Allotment& allotment,
-                                    const AllotmentInputs& view) {
+                                    const AllotmentInputs& inputs) {
   const Instant now = this->clock.Now();
   std::set<std::pair<std::string, std::int64_t>> reclaimable;
-  for (const OwnerShare& owner : allotment.holders) {
+  for (const OwnerShare& owner : allotment.owners) {
     const std::pair<std::string, std::int64_t> process = {owner.instance,
                                                           owner.incarnation};
-    if (!HasTerminated(owner, view)) {
+    if (!HasTerminated(owner, inputs)) {
       this->first_seen.erase(process);
       continue;
     }
@@ -151,32 +151,33 @@
 }
 
 bool OwnerShare::operator==(const OwnerShare& other) const {
-  return std::tie(this->instance, this->incarnation, this->share, this->held) ==
-         std::tie(other.instance, other.incarnation, other.share, other.held);
+  return std::tie(this->instance, this->incarnation, this->share,
+                  this->in_use) ==
+         std::tie(other.instance, other.incarnation, other.share, other.in_use);
 }
 
 bool Allotment::operator==(const Allotment& other) const {
   return this->workspace == other.workspace && this->epoch == other.epoch &&
-         this->holders == other.holders;
+         this->owners == other.owners;
 }
 
 std::optional<Allotment> PlanNextAllotment(const Allotment& current,
-                                           const AllotmentInputs& view) {
+                                           const AllotmentInputs& inputs) {
   Allotment next = current;
-  next.holders = RetainedOwners(current, view);
+  next.owners = RetainedOwners(current, inputs);
   const std::map<std::string, std::int64_t> desired =
-      DesiredShares(view.wanted);
-  ShrinkShares(next.holders, desired);
-  GrowShares(next.holders, view, desired);
-  RemoveEmptyShares(next.holders);
-  if (next.holders == current.holders) return std::nullopt;
+      DesiredShares(inputs.candidates);
+  ShrinkShares(next.owners, desired);
+  GrowShares(next.owners, inputs, desired);
+  RemoveEmptyShares(next.owners);
+  if (next.owners == current.owners) return std::nullopt;
   next.epoch = current.epoch + 1;
   return next;
 }
 
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation) {
-  for (const OwnerShare& owner : allotment.holders) {
+  for (const OwnerShare& owner : allotment.owners) {
     if (owner.instance == instance && owner.incarnation == incarnation) {
       return owner.share;
     }
@@ -186,7 +187,7 @@
 
 std::int64_t MaxTotalInUse(const Allotment& allotment) {
   std::int64_t total = 0;
-  for (const OwnerShare& owner : allotment.holders) total += MaxInUse(owner);
+  for (const OwnerShare& owner : allotment.owners) total += MaxInUse(owner);
   return total;
 }
 
--- a/dragonflyglade/decision/claim.cc
+++ b/dragonflyglade/decision/claim.cc
@@ -42,7 +42,7 @@
   // sent yet.
   if (other.nonce == own.nonce) return DispatchCall{existing.revision};
   if (other.digest != own.digest) return IdempotencyKeyReused{};
-  if (other.state == ClaimState::kDone) return ReplayResponse{other.answer};
+  if (other.state == ClaimState::kDone) return ReplayResponse{other.response};
   return InProgressOrUnknown{};
 }
 
@@ -54,9 +54,9 @@
                    {"state", StateName(claim.state)}};
   if (claim.state == ClaimState::kDone) {
     document["answer"] = {
-        {"status", claim.answer.status},
-        {"content_type", claim.answer.content_type},
-        {"body_base64", absl::Base64Escape(claim.answer.body)}};
+        {"status", claim.response.status},
+        {"content_type", claim.response.content_type},
+        {"body_base64", absl::Base64Escape(claim.response.body)}};
   }
   return document.dump();
 }
@@ -74,10 +74,11 @@
     claim.state = ParseState(document.at("state").get<std::string>());
     if (claim.state == ClaimState::kDone) {
       const json& answer = document.at("answer");
-      claim.answer.status = answer.at("status").get<int>();
-      claim.answer.content_type = answer.at("content_type").get<std::string>();
+      claim.response.status = answer.at("status").get<int>();
+      claim.response.content_type =
+          answer.at("content_type").get<std::string>();
       const auto encoded = answer.at("body_base64").get<std::string>();
-      if (!absl::Base64Unescape(encoded, &claim.answer.body)) {
+      if (!absl::Base64Unescape(encoded, &claim.response.body)) {
         return malformed("body is not base64");
       }
     }
--- a/dragonflyglade/decision/claim.h
+++ b/dragonflyglade/decision/claim.h
@@ -31,7 +31,7 @@
   std::string nonce;   ///< random; identifies the writer of the claim
   std::string digest;  ///< of the request's method, path and body
   ClaimState state = ClaimState::kRunning;
-  StoredResponse answer;  ///< only set in kDone
+  StoredResponse response;  ///< only set in kDone
 };
 
 /// Writes a claim as JSON.
@@ -63,7 +63,7 @@
 };
 /// Next step: return the stored response to the caller.
 struct ReplayResponse {
-  StoredResponse answer;
+  StoredResponse response;
 };
 /// Next step: refuse; another call with this key is in progress, or its outcome
 /// is unknown.
--- a/dragonflyglade/decision/config_freshness.cc
+++ b/dragonflyglade/decision/config_freshness.cc
@@ -7,7 +7,7 @@
 ConfigFreshness::ConfigFreshness(absl::Duration bound, Clock clock)
     : bound(bound), clock(clock) {}
 
-void ConfigFreshness::ConfirmedAt(Instant at) {
+void ConfigFreshness::MarkCurrentAt(Instant at) {
   absl::MutexLock lock(&this->mutex);
   this->confirmed = std::max(this->confirmed, at);
 }
@@ -26,7 +26,7 @@
 // can have taken effect anywhere, and it is safe to go on serving. If one of
 // them is unreachable, it may have a newer configuration, so new work is
 // refused.
-ConfigFreshnessState ConfigFreshness::Right(
+ConfigFreshnessState ConfigFreshness::StateFor(
     const PeerReachability& reach) const {
   const absl::Duration age = this->Age();
   if (age == absl::InfiniteDuration())
@@ -35,7 +35,7 @@
   const bool has_no_peers = reach.listed_peers == 0;
   const bool all_reachable = reach.reachable_peers >= reach.listed_peers;
   if (!has_no_peers && all_reachable) return ConfigFreshnessState::kStoreOutage;
-  return ConfigFreshnessState::kCutOff;
+  return ConfigFreshnessState::kPartitioned;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/config_freshness.h
+++ b/dragonflyglade/decision/config_freshness.h
@@ -11,7 +11,7 @@
 enum class ConfigFreshnessState {
   kFresh,          ///< known to be current within the bound; admit
   kStoreOutage,    ///< no instance reaches the key-value service; admit
-  kCutOff,         ///< other instances may have a newer one; refuse new work
+  kPartitioned,    ///< other instances may have a newer one; refuse new work
   kNeverComplete,  ///< no complete configuration was ever received; refuse
 };
 
@@ -29,14 +29,14 @@
   ConfigFreshness(absl::Duration bound, Clock clock);
 
   /// Records that the configuration was current at this time.
-  void ConfirmedAt(Instant at);
+  void MarkCurrentAt(Instant at);
 
   /// Time since the configuration was last known to be current; infinite if it
   /// never was.
   absl::Duration Age() const;
 
   /// Decides whether new work may be admitted.
-  ConfigFreshnessState Right(const PeerReachability& reach) const;
+  ConfigFreshnessState StateFor(const PeerReachability& reach) const;
 
  private:
   const absl::Duration bound;
--- a/dragonflyglade/decision/distributed_rate_limiter.cc
+++ b/dragonflyglade/decision/distributed_rate_limiter.cc
@@ -127,8 +127,8 @@
   return found->second.allotment;
 }
 
-Admission DistributedRateLimiter::Begin(std::string_view workspace, double cost,
-                                        absl::Duration max_wait) const {
+Admission DistributedRateLimiter::BeginAdmission(
+    std::string_view workspace, double cost, absl::Duration max_wait) const {
   Admission admission;
   admission.workspace = std::string(workspace);
   admission.cost = cost;
@@ -195,9 +195,9 @@
                              state.bucket.Cap()});
   }
   const double burst = state.rate->burst_tokens;
-  for (const OwnerShare& owner : state.allotment->holders) {
+  for (const OwnerShare& owner : state.allotment->owners) {
     if (owner.instance == this->instance || owner.share == 0) continue;
-    if (admission.silent.count(owner.instance) > 0) continue;
+    if (admission.unresponsive.count(owner.instance) > 0) continue;
     const double fraction = FractionOf(owner.share);
     Source source{owner.instance, fraction * burst,
                   fraction * state.rate->tokens_per_second, fraction * burst};
@@ -273,8 +273,8 @@
                                                     Instant now) const {
   const bool may_wait =
       now + kPeerRetryPause < admission.started + admission.max_wait;
-  if (!admission.silent.empty() && may_wait) {
-    admission.silent.clear();
+  if (!admission.unresponsive.empty() && may_wait) {
+    admission.unresponsive.clear();
     return WaitFor{kPeerRetryPause};
   }
   const std::vector<Source> sources =
@@ -309,8 +309,8 @@
     if (source.peer.empty()) continue;
     // A peer that has fewer tokens than expected is asked for fewer the next
     // time; the number of requests is bounded.
-    if (++admission.asks > kMaxLoanRequests) break;
-    admission.asked_at = now;
+    if (++admission.loan_requests > kMaxLoanRequests) break;
+    admission.loan_requested_at = now;
     const double rounded = std::min(std::ceil(tokens), std::floor(source.cap));
     return BorrowFromPeer{source.peer, static_cast<std::int64_t>(rounded),
                           max_wait};
@@ -321,7 +321,7 @@
     return Admitted{};
   }
   std::optional<Reservation> reserved;
-  if (admission.asks <= kMaxLoanRequests) {
+  if (admission.loan_requests <= kMaxLoanRequests) {
     reserved =
         state.bucket.Reserve(missing, max_wait, this->options.min_hold, now);
   }
@@ -337,7 +337,8 @@
                                              Admission& admission,
                                              absl::Duration retry_after,
                                              Instant now) const {
-  if (state.share == 0 && !admission.answered) return NoShareOwnerReachable{};
+  if (state.share == 0 && !admission.any_responded)
+    return NoShareOwnerReachable{};
   OverRate refusal;
   refusal.retry_after = std::max(retry_after, kMinRetryAfter);
   for (const CollectedTokens& taken : admission.collected) {
@@ -362,21 +363,22 @@
   PeerBucket& peer_bucket = state.peers[std::string(peer)];
   peer_bucket.updated = now;
   if (!loan.has_value()) {
-    admission.silent.insert(std::string(peer));
+    admission.unresponsive.insert(std::string(peer));
     // The next requests must not wait for this peer, too.
     peer_bucket.level = 0;
     peer_bucket.skipped_until = now + kPeerSkipTime;
     return;
   }
-  admission.answered = true;
+  admission.any_responded = true;
   peer_bucket.level = static_cast<double>(loan->level);
   if (loan->granted == 0) return;
   admission.collected.push_back(CollectedTokens{
       std::string(peer), static_cast<double>(loan->granted), loan->stamp,
-      now + loan->wait, admission.asked_at + loan->use_by});
+      now + loan->wait, admission.loan_requested_at + loan->use_by});
 }
 
-void DistributedRateLimiter::Settle(const Admission& admission, double used) {
+void DistributedRateLimiter::RefundUnused(const Admission& admission,
+                                          double used) {
   if (!admission.charged.has_value()) return;
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -459,8 +461,8 @@
       static_cast<std::int64_t>(bucket.Cap())};
 }
 
-void DistributedRateLimiter::Learn(std::string_view peer,
-                                   const WorkspaceBalance& balance) {
+void DistributedRateLimiter::ReceiveBalance(std::string_view peer,
+                                            const WorkspaceBalance& balance) {
   Shard& shard = this->ShardOf(balance.workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.workspaces.find(balance.workspace);
--- a/dragonflyglade/decision/distributed_rate_limiter.h
+++ b/dragonflyglade/decision/distributed_rate_limiter.h
@@ -58,11 +58,11 @@
   Instant started;
   absl::Duration max_wait;
   std::vector<CollectedTokens> collected;
-  std::set<std::string> silent;    ///< peers that did not respond
-  int asks = 0;                    ///< number of loans requested
-  bool answered = false;           ///< whether any peer responded
-  Instant asked_at;                ///< when the current loan was requested
-  std::optional<Instant> charged;  ///< when it was admitted
+  std::set<std::string> unresponsive;  ///< peers that did not respond
+  int loan_requests = 0;               ///< number of loans requested
+  bool any_responded = false;          ///< whether any peer responded
+  Instant loan_requested_at;           ///< when the current loan was requested
+  std::optional<Instant> charged;      ///< when it was admitted
 };
 
 /// Next step: proceed with the request; its tokens are taken.
@@ -72,7 +72,7 @@
 struct BorrowFromPeer {
   std::string peer;
   std::int64_t tokens = 0;
-  absl::Duration longest;  ///< longest acceptable wait for the tokens
+  absl::Duration max_wait;  ///< longest acceptable wait for the tokens
 };
 /// Next step: call DistributedRateLimiter::Next again after this time.
 struct WaitFor {
@@ -152,8 +152,8 @@
   /// Starts the admission of a request.
   /// @param cost tokens: the prompt's, plus the most that may be generated
   /// @param max_wait how long the request may wait for tokens
-  Admission Begin(std::string_view workspace, double cost,
-                  absl::Duration max_wait) const;
+  Admission BeginAdmission(std::string_view workspace, double cost,
+                           absl::Duration max_wait) const;
 
   /// Decides the next step of an admission.
   AdmissionStep Next(Admission& admission);
@@ -165,7 +165,7 @@
 
   /// Refunds the tokens that an admitted request did not use.
   /// @param used tokens, at most the cost
-  void Settle(const Admission& admission, double used);
+  void RefundUnused(const Admission& admission, double used);
 
   /// Lends tokens to another instance, all or none.
   /// @param max_wait longest wait that is acceptable to the borrower
@@ -184,7 +184,7 @@
   std::optional<WorkspaceBalance> BalanceOf(std::string_view workspace) const;
 
   /// Records the balance of a peer's bucket, which a heartbeat brought.
-  void Learn(std::string_view peer, const WorkspaceBalance& balance);
+  void ReceiveBalance(std::string_view peer, const WorkspaceBalance& balance);
 
  private:
   /// What was last learned of a peer's bucket.
--- a/dragonflyglade/decision/membership.cc
+++ b/dragonflyglade/decision/membership.cc
@@ -27,7 +27,7 @@
                        Clock clock, std::uint64_t seed)
     : options(options), clock(clock), self(std::move(self)), random(seed) {}
 
-void Membership::TakeList(const InstanceList& list) {
+void Membership::ApplyInstanceList(const InstanceList& list) {
   absl::MutexLock lock(&this->mutex);
   if (list.version < this->list.version) return;
   this->list = list;
@@ -92,7 +92,7 @@
 // an instance is dead waits behind them, callers are sent to that instance
 // meanwhile. So urgent updates are sent first, then those that were sent least
 // often: new updates overtake those that most instances have already.
-std::vector<MemberStatus> Membership::Updates(std::string_view to) {
+std::vector<MemberStatus> Membership::UpdatesFor(std::string_view to) {
   absl::MutexLock lock(&this->mutex);
   const std::size_t count =
       std::min(this->options.updates_per_message, this->queue.size());
@@ -269,7 +269,7 @@
   return all;
 }
 
-std::vector<std::string> Membership::Active() const {
+std::vector<std::string> Membership::ActiveNames() const {
   absl::MutexLock lock(&this->mutex);
   std::vector<std::string> names;
   if (!this->self.leaving) names.push_back(this->self.info.name);
--- a/dragonflyglade/decision/membership.h
+++ b/dragonflyglade/decision/membership.h
@@ -87,7 +87,7 @@
 
   /// Applies the platform's list of instances, unless it is older than the
   /// current one.
-  void TakeList(const InstanceList& list);
+  void ApplyInstanceList(const InstanceList& list);
 
   /// The instance to send the next heartbeat to; nothing if no other instance
   /// is known.
@@ -100,7 +100,7 @@
 
   /// The updates to send with the next heartbeat to an instance, and counts
   /// them as sent.
-  std::vector<MemberStatus> Updates(std::string_view to);
+  std::vector<MemberStatus> UpdatesFor(std::string_view to);
 
   /// Applies a heartbeat: what its sender says of itself, and the updates that
   /// it passes on.
@@ -136,7 +136,7 @@
   /// Names of the instances, including this one, that are neither dead nor
   /// leaving. Listed instances count before their first heartbeat, so that all
   /// instances soon agree on the names.
-  std::vector<std::string> Active() const;
+  std::vector<std::string> ActiveNames() const;
 
   /// An instance by name.
   std::optional<MemberStatus> Find(std::string_view name) const;
--- a/dragonflyglade/decision/model_load_limiter.cc
+++ b/dragonflyglade/decision/model_load_limiter.cc
@@ -42,7 +42,7 @@
   this->begun.push_back(this->clock.Now());
 }
 
-int ModelLoadLimiter::Left(double loads_per_second) {
+int ModelLoadLimiter::RemainingLoads(double loads_per_second) {
   const Instant oldest = this->clock.Now() - this->options.window;
   while (!this->begun.empty() && this->begun.front() < oldest) {
     this->begun.pop_front();
--- a/dragonflyglade/decision/model_load_limiter.h
+++ b/dragonflyglade/decision/model_load_limiter.h
@@ -35,7 +35,7 @@
   void RecordLoadStart();
 
   /// How many loads may begin now.
-  int Left(double loads_per_second);
+  int RemainingLoads(double loads_per_second);
 
  private:
   int AllowedPerWindow(double loads_per_second) const;
--- a/dragonflyglade/decision/quota_participants.cc
+++ b/dragonflyglade/decision/quota_participants.cc
@@ -11,10 +11,11 @@
     : window(window), clock(std::move(clock)), started(this->clock.Now()) {}
 
 Instant QuotaParticipants::OldestRelevant() const {
-  return this->clock.Now() - (kCutOff + this->window);
+  return this->clock.Now() - (kMaxPartitionDuration + this->window);
 }
 
-void QuotaParticipants::Follow(absl::Span<const std::string_view> listed) {
+void QuotaParticipants::UpdateListed(
+    absl::Span<const std::string_view> listed) {
   const Instant now = this->clock.Now();
   this->RemoveExpired();
   if (listed.empty()) return;
@@ -55,7 +56,7 @@
 // An instance that does not report divides the quotas by the number of listed
 // instances that it last knew. To withhold enough, this assumes the smallest
 // number of instances that was recently listed.
-double QuotaParticipants::MissingPart(
+double QuotaParticipants::UnreportedFraction(
     const std::set<std::string_view>& reporting) const {
   if (this->listed_counts.empty()) return 0;
   double unreported_shares = 0;
--- a/dragonflyglade/decision/quota_participants.h
+++ b/dragonflyglade/decision/quota_participants.h
@@ -28,12 +28,12 @@
 
   /// Updates the instances that callers are sent to. To be called several times
   /// a window, also when the list has not changed.
-  void Follow(absl::Span<const std::string_view> listed);
+  void UpdateListed(absl::Span<const std::string_view> listed);
 
   /// The fraction of each quota, 0 to 1, that instances which do not report may
   /// be spending.
   /// @param reporting the instances that report their spending
-  double MissingPart(const std::set<std::string_view>& reporting) const;
+  double UnreportedFraction(const std::set<std::string_view>& reporting) const;
 
  private:
   struct Participant {
--- a/dragonflyglade/decision/quota_windows.cc
+++ b/dragonflyglade/decision/quota_windows.cc
@@ -49,7 +49,8 @@
 double SpendableFractionAfterJoin(absl::Duration listed_for,
                                   absl::Duration window) {
   return SpendableFractionAfterRestart(
-      std::max(absl::ZeroDuration(), listed_for - kCutOff), window);
+      std::max(absl::ZeroDuration(), listed_for - kMaxPartitionDuration),
+      window);
 }
 
 QuotaWindows::QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
@@ -63,7 +64,7 @@
 void QuotaWindows::SetParticipantCount(int count) {
   const Instant now = this->clock.Now();
   const bool lasted =
-      now - this->instances_at > kCutOff + this->allowance.window;
+      now - this->instances_at > kMaxPartitionDuration + this->allowance.window;
   if (count < this->instances && !lasted) return;
   this->instances = std::max(1, count);
   this->instances_at = now;
@@ -172,7 +173,8 @@
   // A restarted process may have spent its share before the restart.
   const double unknown_spending =
       spend.unknown_shares * allowed / this->SharingInstances(spend);
-  return allowed * (1 - spend.missing_part) - spend.total - unknown_spending;
+  return allowed * (1 - spend.unreported_fraction) - spend.total -
+         unknown_spending;
 }
 
 QuotaWindows::Share QuotaWindows::OwnShare(std::string_view workspace,
@@ -185,7 +187,7 @@
   const double left = std::max(0.0, this->FleetLeft(allowed, spending.fleet));
   const double spent_since = std::max(0.0, spending.sum - spending.fleet.own);
   return {left / this->SharingInstances(spending.fleet), spent_since,
-          this->allowance.at_once};
+          this->allowance.share_multiple};
 }
 
 // Without a recent summary, each instance has an equal share of the limit. For
@@ -219,7 +221,7 @@
   if (limit.rate <= 0 && limit.burst <= 0) return {};
   Spending& spending = this->Current(workspace);
   if (!this->HasRecentSummary(spending))
-    return this->Take(workspace, limit, tokens);
+    return this->AdmitFromShare(workspace, limit, tokens);
   const Share share = this->OwnShare(workspace, spending, limit);
   QuotaVerdict verdict;
   verdict.left = kFractionWithoutGrant * share.tokens - share.spent;
@@ -228,8 +230,8 @@
   return verdict;
 }
 
-QuotaVerdict QuotaWindows::Grant(const QuotaLimit& limit, double tokens,
-                                 const FleetSpending& spend) const {
+QuotaVerdict QuotaWindows::DecideGrant(const QuotaLimit& limit, double tokens,
+                                       const FleetSpending& spend) const {
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   verdict.left = this->FleetLeft(this->FleetAllowance(limit), spend);
@@ -246,15 +248,16 @@
   this->Count(this->Current(workspace), tokens);
 }
 
-QuotaVerdict QuotaWindows::Take(std::string_view workspace,
-                                const QuotaLimit& limit, double tokens) {
+QuotaVerdict QuotaWindows::AdmitFromShare(std::string_view workspace,
+                                          const QuotaLimit& limit,
+                                          double tokens) {
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   Spending& spending = this->Current(workspace);
   const Share share = this->OwnShare(workspace, spending, limit);
   verdict.left = share.tokens - share.spent;
-  const bool fits =
-      verdict.left > 0 && share.spent + tokens <= share.at_once * share.tokens;
+  const bool fits = verdict.left > 0 &&
+                    share.spent + tokens <= share.share_multiple * share.tokens;
   if (!fits) {
     verdict.admitted = false;
     // Spending leaves the fleet's window at the workspace's rate, of which this
@@ -277,7 +280,7 @@
   spending.sum += tokens;
 }
 
-void QuotaWindows::GiveBack(std::string_view workspace, double tokens) {
+void QuotaWindows::Refund(std::string_view workspace, double tokens) {
   Spending& spending = this->Current(workspace);
   // Taken out of the newest slices, so that no spending leaves the window
   // earlier than it would without the refund.
--- a/dragonflyglade/decision/quota_windows.h
+++ b/dragonflyglade/decision/quota_windows.h
@@ -29,7 +29,7 @@
   /// its equal share of what is left. Above 1, a large request need not be
   /// refused while there is no leader to ask for a grant; what instances spend
   /// above their shares at the same time comes out of the slack.
-  double at_once = 1;
+  double share_multiple = 1;
 };
 
 /// Whether a request is admitted, and if not, when to retry.
@@ -49,7 +49,7 @@
   double unknown_shares = 0;
   /// Fraction of the quota that instances may be spending which do not report;
   /// see QuotaParticipants.
-  double missing_part = 0;
+  double unreported_fraction = 0;
 };
 
 /// The longest network partition, from the store and from other instances,
@@ -57,7 +57,7 @@
 /// the two sides of a 12 s partition together exceed the limit. A share that
 /// stays unused for this long costs little, since workspaces mostly stay well
 /// below their limits.
-inline constexpr absl::Duration kCutOff = absl::Seconds(20);
+inline constexpr absl::Duration kMaxPartitionDuration = absl::Seconds(20);
 /// While a fleet starts, weaker instances are listed until stronger ones
 /// replace them. An instance that was listed for longer than this is one that
 /// the quotas were divided by, so it gets its own share again when it is back.
@@ -131,19 +131,19 @@
 
   /// Decides, at the leader, whether an instance may spend tokens beyond its
   /// share. The instance then counts them with Granted.
-  QuotaVerdict Grant(const QuotaLimit& limit, double tokens,
-                     const FleetSpending& spend) const;
+  QuotaVerdict DecideGrant(const QuotaLimit& limit, double tokens,
+                           const FleetSpending& spend) const;
 
   /// Counts tokens that the leader granted to this instance.
   void RecordGrant(std::string_view workspace, double tokens);
 
   /// Admits a request if it fits into this instance's share and counts its
   /// tokens; else returns when they will fit.
-  QuotaVerdict Take(std::string_view workspace, const QuotaLimit& limit,
-                    double tokens);
+  QuotaVerdict AdmitFromShare(std::string_view workspace,
+                              const QuotaLimit& limit, double tokens);
 
   /// Refunds the tokens of a request that was counted but did not run.
-  void GiveBack(std::string_view workspace, double tokens);
+  void Refund(std::string_view workspace, double tokens);
 
   /// The tokens that this instance spent in the window, by workspace.
   std::map<std::string, double> Spent();
@@ -170,7 +170,7 @@
   struct Share {
     double tokens = 0;
     double spent = 0;
-    double at_once = 1;  ///< see QuotaTolerance
+    double share_multiple = 1;  ///< see QuotaTolerance
   };
 
   bool HasRecentSummary(const Spending& spending) const;
--- a/dragonflyglade/decision/record_store.cc
+++ b/dragonflyglade/decision/record_store.cc
@@ -57,7 +57,8 @@
   return records;
 }
 
-std::vector<RecordVersion> RecordStore::Since(std::int64_t revision) const {
+std::vector<RecordVersion> RecordStore::VersionsSince(
+    std::int64_t revision) const {
   std::vector<RecordVersion> records;
   {
     absl::MutexLock lock(&this->mutex);
--- a/dragonflyglade/decision/record_store.h
+++ b/dragonflyglade/decision/record_store.h
@@ -66,7 +66,7 @@
 
   /// The versions that an instance which is complete up to a revision lacks,
   /// the oldest first: valid ones and the rejected ones that are newer.
-  std::vector<RecordVersion> Since(std::int64_t revision) const;
+  std::vector<RecordVersion> VersionsSince(std::int64_t revision) const;
 
   /// The records whose newest version was rejected.
   std::vector<RejectedRecord> RejectedRecords() const;
--- a/dragonflyglade/decision/unreported_grants.cc
+++ b/dragonflyglade/decision/unreported_grants.cc
@@ -19,8 +19,8 @@
   return true;
 }
 
-void UnreportedGrants::Reported(std::string_view process,
-                                std::int64_t through) {
+void UnreportedGrants::MarkReported(std::string_view process,
+                                    std::int64_t through) {
   const auto found = this->grants.find(process);
   if (found == this->grants.end()) return;
   std::erase_if(found->second,
@@ -30,7 +30,7 @@
 
 // A process that terminated before it reported a grant may have spent it, so
 // the grant counts for a whole window.
-double UnreportedGrants::Open(std::string_view workspace) {
+double UnreportedGrants::UnreportedTokens(std::string_view workspace) {
   const Instant now = this->clock.Now();
   double open = 0;
   for (auto item = this->grants.begin(); item != this->grants.end();) {
--- a/dragonflyglade/decision/unreported_grants.h
+++ b/dragonflyglade/decision/unreported_grants.h
@@ -29,11 +29,11 @@
 
   /// Drops the grants of a process up to a number, since its report covers
   /// them.
-  void Reported(std::string_view process, std::int64_t through);
+  void MarkReported(std::string_view process, std::int64_t through);
 
   /// Tokens that were granted to a workspace and are not reported yet.
   /// Complexity: linear in the unreported grants of all workspaces.
-  double Open(std::string_view workspace);
+  double UnreportedTokens(std::string_view workspace);
 
   void Clear() { this->grants.clear(); }
 
--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -412,7 +412,7 @@
       if (mine != own->second.end()) fleet_spend.own = mine->second;
     }
     fleet_spend.unknown_shares = summary.unknown_shares;
-    fleet_spend.missing_part = summary.missing_part;
+    fleet_spend.unreported_fraction = summary.missing_part;
     this->quotas.SetFleetSpending(spend.workspace, fleet_spend);
   }
 }
--- a/dragonflyglade/gateway/placement_controller.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -299,9 +299,9 @@
     item.closing = !engine->closing.empty();
     holdings.push_back(std::move(item));
   }
-  const std::vector<ResidencyChange> changes =
-      this->planner.Plan(models, adapters, holdings,
-                         ceiling.Left(service.engine->loads_per_second));
+  const std::vector<ResidencyChange> changes = this->planner.Plan(
+      models, adapters, holdings,
+      ceiling.RemainingLoads(service.engine->loads_per_second));
   for (const ResidencyChange& change : changes) this->Book(service, change);
   for (const auto& [id, engine] : this->engines) {
     if (engine->inspect && !engine->ordering) {
--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -69,7 +69,7 @@
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
     names.push_back(record->name);
   }
-  this->owners.Follow(names);
+  this->owners.UpdateListed(names);
   const int listed = static_cast<int>(names.size());
   this->quotas.SetParticipantCount(listed);
   // An instance that sees nobody in the store, itself included, is at its
@@ -116,7 +116,7 @@
 QuotaVerdict QuotaAdmission::TakeUnheard(const std::string& workspace,
                                          const QuotaLimit& limit,
                                          double tokens) {
-  QuotaVerdict verdict = this->quotas.Take(workspace, limit, tokens);
+  QuotaVerdict verdict = this->quotas.AdmitFromShare(workspace, limit, tokens);
   if (!verdict.admitted) {
     verdict.retry_after = std::max(verdict.retry_after, kHolderReturns);
   }
@@ -231,8 +231,8 @@
   this->UpdateParticipants();
   FleetSpending spend = this->hub.SpendingOf(workspace);
   if (!this->HearsReports(spend)) return std::nullopt;
-  spend.total += this->ledger.Open(workspace);
-  verdict = this->quotas.Grant(known->second.quota, tokens, spend);
+  spend.total += this->ledger.UnreportedTokens(workspace);
+  verdict = this->quotas.DecideGrant(known->second.quota, tokens, spend);
   if (verdict.admitted) {
     this->ledger.Add(process, number, workspace, tokens);
     return verdict;
@@ -245,7 +245,7 @@
                    {"spent", spend.total},
                    {"instances", spend.instances},
                    {"unknown_shares", spend.unknown_shares},
-                   {"missing_part", spend.missing_part}});
+                   {"missing_part", spend.unreported_fraction}});
   return verdict;
 }
 
@@ -266,7 +266,7 @@
 }
 
 void QuotaAdmission::Reported(const wire::InstanceReport& report) {
-  this->ledger.Reported(report.incarnation, report.grants_through);
+  this->ledger.MarkReported(report.incarnation, report.grants_through);
 }
 
 std::int64_t QuotaAdmission::SettledThrough() const {
--- a/dragonflyglade/gateway/quota_admission.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -52,7 +52,7 @@
 
   /// A request that was counted did not run.
   void GiveBack(std::string_view workspace, double tokens) {
-    this->quotas.GiveBack(workspace, tokens);
+    this->quotas.Refund(workspace, tokens);
   }
 
   /// Messages of other instances.
@@ -63,7 +63,7 @@
   void Reported(const wire::InstanceReport& report);
   /// As holder: granted and not yet reported.
   double UnreportedGrantTokens(std::string_view workspace) {
-    return this->ledger.Open(workspace);
+    return this->ledger.UnreportedTokens(workspace);
   }
   /// As holder: the duty ended.
   void Clear() { this->ledger.Clear(); }
--- a/dragonflyglade/gateway/report_aggregator.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -86,7 +86,7 @@
   for (const auto& [incarnation, entry] : this->entries) {
     if (this->IsHeard(entry)) heard.insert(entry.report.instance);
   }
-  return this->owners.MissingPart(heard);
+  return this->owners.UnreportedFraction(heard);
 }
 
 // Whether what the process before it spent is known from its reports.
@@ -180,7 +180,7 @@
   }
   spend.instances = this->sums.instances;
   spend.unknown_shares = this->sums.unknown_shares;
-  spend.missing_part = this->sums.missing_part;
+  spend.unreported_fraction = this->sums.missing_part;
   return spend;
 }
 
--- a/dragonflyglade/instance/allotment_keeper.cc
+++ b/dragonflyglade/instance/allotment_keeper.cc
@@ -63,7 +63,7 @@
 
 bool AllotmentKeeper::IsKeeper() const {
   return IsRendezvousOwner(kKeeperRole, this->membership.Self().info.name,
-                           this->membership.Active(), 1);
+                           this->membership.ActiveNames(), 1);
 }
 
 AllotmentInputs AllotmentKeeper::CommonView() const {
@@ -75,12 +75,12 @@
   }
   for (const MemberStatus& member : this->membership.All()) {
     if (member.incarnation != 0) {
-      view.answering[member.info.name] = member.incarnation;
+      view.responding[member.info.name] = member.incarnation;
     }
     const bool able = !member.leaving && member.state == MemberState::kAlive &&
                       view.listed.count(member.info.name) > 0;
     if (able) {
-      view.wanted.push_back(
+      view.candidates.push_back(
           OwnerCandidate{member.info.name, member.incarnation});
     }
   }
@@ -110,14 +110,14 @@
   std::set<std::string> unheard;
   for (auto& [workspace, view] : views) {
     std::vector<OwnerCandidate> heard;
-    for (const OwnerCandidate& candidate : view.wanted) {
+    for (const OwnerCandidate& candidate : view.candidates) {
       if (candidate.incarnation != 0) {
         heard.push_back(candidate);
       } else {
         unheard.insert(candidate.instance);
       }
     }
-    view.wanted = std::move(heard);
+    view.candidates = std::move(heard);
   }
   for (const std::string& instance : unheard) {
     const std::optional<MemberStatus> member = this->membership.Find(instance);
@@ -130,8 +130,8 @@
                               std::map<std::string, AllotmentInputs>& views) {
   std::map<std::string, std::vector<std::string>> questions;
   for (const auto& [workspace, entry] : stored) {
-    for (const OwnerShare& holder : entry.allotment.holders) {
-      if (holder.held > holder.share) {
+    for (const OwnerShare& holder : entry.allotment.owners) {
+      if (holder.in_use > holder.share) {
         questions[holder.instance].push_back(workspace);
       }
     }
@@ -152,7 +152,7 @@
     if (!answer.Ok()) continue;
     for (const auto& [workspace, epoch] : answer.Value().epochs) {
       views[workspace].confirmed[instance] = epoch;
-      views[workspace].answering[instance] = answer.Value().incarnation;
+      views[workspace].responding[instance] = answer.Value().incarnation;
     }
   }
 }
@@ -172,7 +172,7 @@
       .info("Allotment of {} is at epoch {}.", workspace, next->epoch);
   this->audit.Add("allotment", workspace,
                   {{"epoch", next->epoch},
-                   {"holders", next->holders.size()},
+                   {"holders", next->owners.size()},
                    {"assumed", MaxTotalInUse(*next)}});
 }
 
@@ -199,7 +199,7 @@
   for (const auto& [workspace, rate] : catalog->rates) {
     stored[workspace].allotment.workspace = workspace;
     views[workspace] = common;
-    views[workspace].wanted = WantedHolders(workspace, common.wanted);
+    views[workspace].candidates = WantedHolders(workspace, common.candidates);
   }
   this->HearHolders(views);
   this->Confirm(stored, views);
@@ -207,7 +207,7 @@
     // A workspace without a rate record keeps its allotment as it is.
     if (catalog->rates.count(workspace) == 0) continue;
     AllotmentInputs& view = views[workspace];
-    view.settled = this->gone.UpdateReclaimable(entry.allotment, view);
+    view.reclaimable = this->gone.UpdateReclaimable(entry.allotment, view);
     this->Improve(workspace, entry, view);
   }
   return this->period;
--- a/dragonflyglade/instance/config_follower.cc
+++ b/dragonflyglade/instance/config_follower.cc
@@ -60,7 +60,7 @@
 
 bool ConfigFollower::IsRelay() const {
   return IsRendezvousOwner(kRelayRole, this->membership.Self().info.name,
-                           this->membership.Active(),
+                           this->membership.ActiveNames(),
                            static_cast<std::size_t>(this->options.relays));
 }
 
@@ -116,7 +116,7 @@
   }
   if (whole) this->MarkMissing(range.Value());
   this->TakeEntries(range.Value().entries, range.Value().revision);
-  this->freshness.ConfirmedAt(asked_at);
+  this->freshness.MarkCurrentAt(asked_at);
   if (!whole) this->NoteSilentWatch(delivered, newest);
   return true;
 }
@@ -259,8 +259,8 @@
   }
   this->records.MarkCompleteThrough(page.Value().revision);
   if (page.Value().age_ms >= 0) {
-    this->freshness.ConfirmedAt(asked_at -
-                                absl::Milliseconds(page.Value().age_ms));
+    this->freshness.MarkCurrentAt(asked_at -
+                                  absl::Milliseconds(page.Value().age_ms));
   }
   if (changed) this->Rebuild();
   return absl::InfiniteDuration();
--- a/dragonflyglade/instance/instance.cc
+++ b/dragonflyglade/instance/instance.cc
@@ -125,7 +125,7 @@
           this->membership.SetLoad(
               std::min(static_cast<int>(kFullLoad), static_cast<int>(load)));
           this->targets.SetInstanceCount(
-              static_cast<int>(this->membership.Active().size()));
+              static_cast<int>(this->membership.ActiveNames().size()));
           return kLoadPeriod;
         }) {}
 
@@ -204,7 +204,7 @@
 absl::Duration Instance::Parts::ListRound() {
   const Result<InstanceList> list = this->lists.Instances();
   if (list.Ok()) {
-    this->membership.TakeList(list.Value());
+    this->membership.ApplyInstanceList(list.Value());
   } else {
     LogFor(LogPart::kStore).debug("{}.", list.Error().ToString());
   }
@@ -221,7 +221,7 @@
 bool Instance::Parts::HoldsShares() const {
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [workspace, allotment] : catalog->allotments) {
-    for (const OwnerShare& holder : allotment.holders) {
+    for (const OwnerShare& holder : allotment.owners) {
       if (holder.instance == this->settings.name &&
           holder.incarnation == this->self.incarnation) {
         return true;
--- a/dragonflyglade/instance/instance_status.cc
+++ b/dragonflyglade/instance/instance_status.cc
@@ -16,7 +16,7 @@
       return "fresh";
     case ConfigFreshnessState::kStoreOutage:
       return "key-value service out; serving the last configuration";
-    case ConfigFreshnessState::kCutOff:
+    case ConfigFreshnessState::kPartitioned:
       return "cut off; refusing new work";
     case ConfigFreshnessState::kNeverComplete:
       return "not complete yet";
@@ -51,7 +51,7 @@
   return {{"revision", sources.records.CompleteRevision()},
           {"age_ms", Milliseconds(sources.freshness.Age())},
           {"right",
-           NameOf(sources.freshness.Right(PeerReachability{listed, alive}))},
+           NameOf(sources.freshness.StateFor(PeerReachability{listed, alive}))},
           {"relay", sources.is_relay},
           {"schemas", sources.catalog.Get()->schema_in_use},
           {"rejected", rejected}};
@@ -99,9 +99,9 @@
     json holders = json::object();
     const auto followed = sources.shares.CurrentAllotment(name);
     if (followed.has_value()) {
-      for (const OwnerShare& holder : followed->holders) {
+      for (const OwnerShare& holder : followed->owners) {
         holders[holder.instance] = {{"share", holder.share},
-                                    {"held", holder.held}};
+                                    {"held", holder.in_use}};
       }
     }
     const auto bucket = sources.shares.BalanceOf(name);
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -62,7 +62,7 @@
     if (record.kind != PoolKind::kEngine) continue;
     const std::string role = "placement-" + name;
     const bool is_candidate = IsRendezvousOwner(
-        role, self, this->membership.Active(), kRoleCandidates);
+        role, self, this->membership.ActiveNames(), kRoleCandidates);
     const auto found = this->pools.find(name);
     if (!is_candidate && found == this->pools.end()) continue;
     Pool& pool = this->pools[name];
--- a/dragonflyglade/operator/records.cc
+++ b/dragonflyglade/operator/records.cc
@@ -125,7 +125,7 @@
   allotment.workspace = key.name;
   allotment.epoch = document.at("epoch");
   for (const json& item : document.at("holders")) {
-    allotment.holders.push_back(OwnerShare{
+    allotment.owners.push_back(OwnerShare{
         item.at("instance"), item.at("incarnation"), item.at("share"),
         item.at("held"), item.value("listed_at", std::int64_t{0})});
   }
@@ -159,12 +159,12 @@
 
 std::string EncodeAllotment(const Allotment& allotment) {
   json holders = json::array();
-  for (const OwnerShare& holder : allotment.holders) {
+  for (const OwnerShare& holder : allotment.owners) {
     holders.push_back({{"instance", holder.instance},
                        {"incarnation", holder.incarnation},
                        {"share", holder.share},
-                       {"held", holder.held},
-                       {"listed_at", holder.listed_at}});
+                       {"held", holder.in_use},
+                       {"listed_at", holder.list_version}});
   }
   const json document = {{"epoch", allotment.epoch}, {"holders", holders}};
   return document.dump();
--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -20,7 +20,7 @@
   const std::optional<MemberStatus> lender = this->membership.Find(step.peer);
   if (lender.has_value() && lender->state != MemberState::kDead) {
     const Result<wire::LoanReply> reply = this->peers.Borrow(
-        PeerEndpoint(*lender), admission.workspace, step.tokens, step.longest);
+        PeerEndpoint(*lender), admission.workspace, step.tokens, step.max_wait);
     if (reply.Ok()) loan = FromWire(reply.Value());
   }
   this->shares.CompleteLoan(admission, step.peer, loan);
@@ -38,7 +38,7 @@
 
 std::variant<Admission, Refusal> AdmissionGate::Admit(
     std::string_view workspace, double cost, absl::Duration max_wait) {
-  Admission admission = this->shares.Begin(workspace, cost, max_wait);
+  Admission admission = this->shares.BeginAdmission(workspace, cost, max_wait);
   while (true) {
     const AdmissionStep step = this->shares.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return admission;
@@ -69,7 +69,7 @@
 }
 
 void AdmissionGate::Settle(const Admission& admission, double used) {
-  this->shares.Settle(admission, used);
+  this->shares.RefundUnused(admission, used);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -33,7 +33,7 @@
 wire::Heartbeat HeartbeatExchange::Make(std::string_view to) {
   wire::Heartbeat heartbeat;
   heartbeat.sender = ToWire(this->membership.Self());
-  for (const MemberStatus& update : this->membership.Updates(to)) {
+  for (const MemberStatus& update : this->membership.UpdatesFor(to)) {
     heartbeat.updates.push_back(ToWire(update));
   }
   // The age is read before the revision: a record that arrives in between
@@ -67,7 +67,7 @@
   }
   this->membership.Receive(sender, updates);
   for (const wire::Balance& balance : heartbeat.balances) {
-    this->shares.Learn(sender.info.name, FromWire(balance));
+    this->shares.ReceiveBalance(sender.info.name, FromWire(balance));
   }
   for (const wire::TargetMark& mark : heartbeat.leaving_targets) {
     this->targets.MarkLeaving(mark.target, absl::Milliseconds(mark.age_ms));
@@ -82,8 +82,8 @@
   // fresh. Only the answer to a question is used, dated by the asking.
   if (!asked_at.has_value()) return;
   if (heartbeat.config_age_ms == kNeverConfirmed) return;
-  this->freshness.ConfirmedAt(*asked_at -
-                              absl::Milliseconds(heartbeat.config_age_ms));
+  this->freshness.MarkCurrentAt(*asked_at -
+                                absl::Milliseconds(heartbeat.config_age_ms));
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -50,7 +50,8 @@
     const absl::Duration age = this->freshness.Age();
     // The revision is read first: the page may hold more than it promises.
     page.revision = this->records.CompleteRevision();
-    for (const RecordVersion& version : this->records.Since(after_revision)) {
+    for (const RecordVersion& version :
+         this->records.VersionsSince(after_revision)) {
       page.records.push_back(ToWire(version));
     }
     page.age_ms = age == absl::InfiniteDuration()
--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -43,7 +43,7 @@
 
 // Takes one request's tokens; a loan is a call to the other book.
 bool Admit(Books& books, DistributedRateLimiter& own) {
-  Admission admission = own.Begin(kWorkspace, kCost, kPatience);
+  Admission admission = own.BeginAdmission(kWorkspace, kCost, kPatience);
   while (true) {
     const auto step = own.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return true;
@@ -51,7 +51,7 @@
       own.CompleteLoan(
           admission, borrow->peer,
           books.at(borrow->peer)
-              ->LendTokens(kWorkspace, borrow->tokens, borrow->longest));
+              ->LendTokens(kWorkspace, borrow->tokens, borrow->max_wait));
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
     } else {
@@ -72,8 +72,8 @@
     books[name] = std::make_unique<DistributedRateLimiter>(
         name, 1, RateLimiterOptions{}, clock);
     books[name]->SetRate(kWorkspace, RateLimit{kRate, kBurst});
-    allotment.holders.push_back(OwnerShare{name, 1, kFullShareMillionths / 3,
-                                           kFullShareMillionths / 3, 0});
+    allotment.owners.push_back(OwnerShare{name, 1, kFullShareMillionths / 3,
+                                          kFullShareMillionths / 3, 0});
   }
   for (auto& [name, book] : books) book->ApplyAllotment(allotment);
 
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -96,21 +96,21 @@
   DistributedRateLimiter shares("i0", 1, RateLimiterOptions{}, Clock(&manual));
   Allotment allotment{"w", 1, {}};
   for (int i = 0; i < 4; ++i) {
-    allotment.holders.push_back(OwnerShare{fmt::format("i{}", i), 1,
-                                           kFullShareMillionths / 4,
-                                           kFullShareMillionths / 4, 0});
+    allotment.owners.push_back(OwnerShare{fmt::format("i{}", i), 1,
+                                          kFullShareMillionths / 4,
+                                          kFullShareMillionths / 4, 0});
   }
   shares.SetRate("w", RateLimit{1e9, 1e9});
   shares.ApplyAllotment(allotment);
   manual.Advance(absl::Seconds(10));
   PrintCost("shares.admit_and_settle", 100'000, [&](int) {
     manual.Advance(absl::Microseconds(10));
-    Admission admission = shares.Begin("w", 10, absl::ZeroDuration());
+    Admission admission = shares.BeginAdmission("w", 10, absl::ZeroDuration());
     for (int step = 0; step < 4; ++step) {
       if (std::holds_alternative<Admitted>(shares.Next(admission))) break;
       shares.CompleteLoan(admission, "i1", std::nullopt);
     }
-    shares.Settle(admission, 5);
+    shares.RefundUnused(admission, 5);
   });
   PrintCost("shares.lend", 100'000, [&](int) {
     manual.Advance(absl::Milliseconds(1));
@@ -178,17 +178,18 @@
           MemberInfo{fmt::format("entry-{:04}", i), "10.0.0.1", 1, 2, "zone-a"};
       list.instances.push_back(listed);
     }
-    membership.TakeList(list);
+    membership.ApplyInstanceList(list);
     PrintCost(fmt::format("members.{}.round", count), 2000, [&](int i) {
       membership.Tick();
       const auto next = membership.NextToProbe();
       MemberStatus sender = *next;
       sender.incarnation = 1;
       sender.sequence = i / count;
-      membership.Receive(sender, membership.Updates(next->info.name));
+      membership.Receive(sender, membership.UpdatesFor(next->info.name));
+    });
+    PrintCost(fmt::format("members.{}.active_and_owner", count), 200, [&](int) {
+      RendezvousOwners("role", membership.ActiveNames(), 2);
     });
-    PrintCost(fmt::format("members.{}.active_and_owner", count), 200,
-              [&](int) { RendezvousOwners("role", membership.Active(), 2); });
     PrintFigure(fmt::format("capacity.members.{}.memory", count),
                 (ResidentBytes() - before) / 1024, "KiB");
   }
--- a/measure/model/limits_fleet.cc
+++ b/measure/model/limits_fleet.cc
@@ -128,7 +128,7 @@
   Node& at = this->nodes[node];
   if (!at.alive) return;
   auto admission = std::make_shared<Admission>(
-      at.book->Begin(kWorkspace, this->run.cost, this->run.max_wait));
+      at.book->BeginAdmission(kWorkspace, this->run.cost, this->run.max_wait));
   this->Step(node, at.incarnation, admission);
 }
 
@@ -160,7 +160,7 @@
       Admission settled = *admission;
       // A plain refund is one that claims to have been charged just now.
       if (this->run.naive_refund) settled.charged = this->manual.Now();
-      later.book->Settle(settled, this->run.cost - unused);
+      later.book->RefundUnused(settled, this->run.cost - unused);
     });
   } else if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
     this->Borrow(node, incarnation, admission, *borrow);
@@ -222,7 +222,7 @@
     this->At(this->Awake(lender), [=, this] {
       if (!this->nodes[lender].alive) return;
       const Loan loan = this->nodes[lender].book->LendTokens(
-          kWorkspace, step.tokens, step.longest);
+          kWorkspace, step.tokens, step.max_wait);
       ++this->result.messages;
       const bool answer_lost =
           absl::Bernoulli(this->random, this->run.message_loss);
@@ -254,8 +254,8 @@
     const bool answers =
         node.alive && node.paused_until <= now && node.cut_until <= now;
     if (!answers) continue;
-    view.answering[NameOf(i)] = node.incarnation;
-    view.confirmed[NameOf(i)] = node.book->ConfirmedEpoch(kWorkspace);
+    view.responding[NameOf(i)] = node.incarnation;
+    view.confirmed_epochs[NameOf(i)] = node.book->ConfirmedEpoch(kWorkspace);
     if (view.listed.count(NameOf(i)) > 0) names.push_back(NameOf(i));
   }
   std::size_t holders = this->run.instances <= kSmallFleet
@@ -263,9 +263,9 @@
                             : kHoldersInLargeFleet;
   if (this->run.way == SharingWay::kOneOwner) holders = 1;
   for (const std::string& name : RendezvousOwners(kWorkspace, names, holders)) {
-    view.wanted.push_back(OwnerCandidate{name, view.answering[name]});
+    view.candidates.push_back(OwnerCandidate{name, view.responding[name]});
   }
-  view.settled = this->gone.UpdateReclaimable(this->allotment, view);
+  view.reclaimable = this->gone.UpdateReclaimable(this->allotment, view);
   const std::optional<Allotment> next =
       PlanNextAllotment(this->allotment, view);
   if (!next.has_value()) return;
@@ -293,10 +293,10 @@
         absl::Uniform<std::size_t>(this->random, 0, this->nodes.size());
     if (to == from || !this->Reaches(from, to)) continue;
     for (const WorkspaceBalance& balance : sender.book->Balances(16)) {
-      this->nodes[to].book->Learn(NameOf(from), balance);
+      this->nodes[to].book->ReceiveBalance(NameOf(from), balance);
     }
     for (const WorkspaceBalance& balance : this->nodes[to].book->Balances(16)) {
-      sender.book->Learn(NameOf(to), balance);
+      sender.book->ReceiveBalance(NameOf(to), balance);
     }
     // A cut instance catches up with the allotment when it is back.
     if (this->allotment.epoch > 0) sender.book->ApplyAllotment(this->allotment);
--- a/measure/model/membership_fleet.cc
+++ b/measure/model/membership_fleet.cc
@@ -36,7 +36,7 @@
     self.incarnation = 1;
     this->nodes[i].membership = std::make_unique<Membership>(
         self, MembershipOptions{}, Clock(&this->manual), run.seed + i);
-    this->nodes[i].membership->TakeList(list);
+    this->nodes[i].membership->ApplyInstanceList(list);
   }
 }
 
@@ -51,7 +51,7 @@
   Node& receiver = this->nodes[to];
   const auto carry = [this](Node& a, Node& b, std::size_t b_index) {
     const std::vector<MemberStatus> updates =
-        a.membership->Updates(NameOf(b_index));
+        a.membership->UpdatesFor(NameOf(b_index));
     ++this->messages;
     this->updates += static_cast<std::int64_t>(updates.size());
     if (!b.alive || !this->Arrives()) return false;
--- a/tests/unit/unit-allotment.cc
+++ b/tests/unit/unit-allotment.cc
@@ -8,22 +8,22 @@
 
 AllotmentInputs InputsWithAll(const std::vector<std::string>& names,
                               std::int64_t version) {
-  AllotmentInputs view;
-  view.list_version = version;
+  AllotmentInputs inputs;
+  inputs.list_version = version;
   for (const std::string& name : names) {
-    view.listed.insert(name);
-    view.answering[name] = 1;
-    view.wanted.push_back(OwnerCandidate{name, 1});
+    inputs.listed.insert(name);
+    inputs.responding[name] = 1;
+    inputs.candidates.push_back(OwnerCandidate{name, 1});
   }
-  return view;
+  return inputs;
 }
 
-Allotment ApplyUntilStable(Allotment allotment, AllotmentInputs view) {
+Allotment ApplyUntilStable(Allotment allotment, AllotmentInputs inputs) {
   for (int i = 0; i < 10; ++i) {
-    for (const OwnerShare& owner : allotment.holders) {
-      view.confirmed[owner.instance] = allotment.epoch;
+    for (const OwnerShare& owner : allotment.owners) {
+      inputs.confirmed_epochs[owner.instance] = allotment.epoch;
     }
-    const auto next = PlanNextAllotment(allotment, view);
+    const auto next = PlanNextAllotment(allotment, inputs);
     if (!next.has_value()) return allotment;
     allotment = *next;
   }
@@ -34,7 +34,7 @@
   const char* name;
   std::int64_t list_version;
   bool listed;
-  std::int64_t answering;  ///< incarnation that responds; 0: none does
+  std::int64_t responding;  ///< incarnation that responds; 0: none does
   bool terminated;
 };
 
@@ -55,7 +55,7 @@
       }
       const Allotment stable =
           ApplyUntilStable(Allotment{"w", 0, {}}, InputsWithAll(names, 1));
-      CPPUNIT_ASSERT_EQUAL(count, stable.holders.size());
+      CPPUNIT_ASSERT_EQUAL(count, stable.owners.size());
       CPPUNIT_ASSERT_EQUAL(kFullShareMillionths, MaxTotalInUse(stable));
     }
   }
@@ -66,13 +66,13 @@
   void GrowsOnlyAfterShrinkingOwnersConfirm() {
     const Allotment two =
         ApplyUntilStable(Allotment{"w", 0, {}}, InputsWithAll({"a", "b"}, 1));
-    AllotmentInputs view = InputsWithAll({"a", "b", "c"}, 2);
-    const Allotment shrunk = *PlanNextAllotment(two, view);
+    AllotmentInputs inputs = InputsWithAll({"a", "b", "c"}, 2);
+    const Allotment shrunk = *PlanNextAllotment(two, inputs);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, ShareOf(shrunk, "c", 1));
-    CPPUNIT_ASSERT(!PlanNextAllotment(shrunk, view).has_value());
-    view.confirmed["a"] = shrunk.epoch;
-    view.confirmed["b"] = shrunk.epoch;
-    CPPUNIT_ASSERT(ShareOf(*PlanNextAllotment(shrunk, view), "c", 1) > 0);
+    CPPUNIT_ASSERT(!PlanNextAllotment(shrunk, inputs).has_value());
+    inputs.confirmed_epochs["a"] = shrunk.epoch;
+    inputs.confirmed_epochs["b"] = shrunk.epoch;
+    CPPUNIT_ASSERT(ShareOf(*PlanNextAllotment(shrunk, inputs), "c", 1) > 0);
   }
 
   void TerminationNeedsProof() {
@@ -86,12 +86,12 @@
     for (const TerminationCase& item : cases) {
       const OwnerShare owner{"a", 7, kFullShareMillionths, kFullShareMillionths,
                              5};
-      AllotmentInputs view;
-      view.list_version = item.list_version;
-      if (item.listed) view.listed.insert("a");
-      if (item.answering != 0) view.answering["a"] = item.answering;
+      AllotmentInputs inputs;
+      inputs.list_version = item.list_version;
+      if (item.listed) inputs.listed.insert("a");
+      if (item.responding != 0) inputs.responding["a"] = item.responding;
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.terminated,
-                                   HasTerminated(owner, view));
+                                   HasTerminated(owner, inputs));
     }
   }
 
@@ -103,25 +103,26 @@
       Allotment allotment{"w", 0, {}};
       const int steps = *rc::gen::inRange(1, 40);
       for (int i = 0; i < steps; ++i) {
-        AllotmentInputs view;
-        view.list_version = i;
+        AllotmentInputs inputs;
+        inputs.list_version = i;
         for (const char* name : {"a", "b", "c", "d"}) {
           const auto incarnation = *rc::gen::inRange<std::int64_t>(1, 4);
-          if (*rc::gen::arbitrary<bool>()) view.listed.insert(name);
+          if (*rc::gen::arbitrary<bool>()) inputs.listed.insert(name);
           if (*rc::gen::arbitrary<bool>()) {
-            view.answering[name] = incarnation;
-            view.wanted.push_back(OwnerCandidate{name, incarnation});
+            inputs.responding[name] = incarnation;
+            inputs.candidates.push_back(OwnerCandidate{name, incarnation});
           }
           if (*rc::gen::arbitrary<bool>()) {
-            view.confirmed[name] = allotment.epoch - *rc::gen::inRange(0, 2);
+            inputs.confirmed_epochs[name] =
+                allotment.epoch - *rc::gen::inRange(0, 2);
           }
         }
-        for (const OwnerShare& owner : allotment.holders) {
+        for (const OwnerShare& owner : allotment.owners) {
           if (*rc::gen::arbitrary<bool>()) {
-            view.settled.insert({owner.instance, owner.incarnation});
+            inputs.reclaimable.insert({owner.instance, owner.incarnation});
           }
         }
-        const auto next = PlanNextAllotment(allotment, view);
+        const auto next = PlanNextAllotment(allotment, inputs);
         if (next.has_value()) allotment = *next;
         RC_ASSERT(MaxTotalInUse(allotment) <= kFullShareMillionths);
       }
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -14,7 +14,8 @@
 ClaimExists ExistingClaim(const char* nonce, const char* digest,
                           ClaimState state) {
   Claim claim{nonce, digest, state, {}};
-  claim.answer = StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
+  claim.response =
+      StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
   return ClaimExists{SerializeClaim(claim), 7};
 }
 
@@ -79,9 +80,9 @@
     const ClaimStep step = DecideClaimStep(
         OwnClaim(), ExistingClaim("nonce-2", "digest-1", ClaimState::kDone),
         true);
-    const StoredResponse& answer = std::get<ReplayResponse>(step).answer;
-    CPPUNIT_ASSERT_EQUAL(201, answer.status);
-    CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), answer.body);
+    const StoredResponse& response = std::get<ReplayResponse>(step).response;
+    CPPUNIT_ASSERT_EQUAL(201, response.status);
+    CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), response.body);
   }
 };
 
--- a/tests/unit/unit-freshness.cc
+++ b/tests/unit/unit-freshness.cc
@@ -49,22 +49,22 @@
         {"stale and one peer is missing",
          stale,
          {5, 4},
-         ConfigFreshnessState::kCutOff},
+         ConfigFreshnessState::kPartitioned},
         {"stale with no reachable peer",
          stale,
          {5, 0},
-         ConfigFreshnessState::kCutOff},
-        {"stale and alone", stale, {0, 0}, ConfigFreshnessState::kCutOff},
+         ConfigFreshnessState::kPartitioned},
+        {"stale and alone", stale, {0, 0}, ConfigFreshnessState::kPartitioned},
     };
     for (const StateCase& item : cases) {
       ManualClock manual;
       manual.Advance(absl::Hours(1));
       ConfigFreshness freshness(kBound, Clock(&manual));
       if (item.age.has_value()) {
-        freshness.ConfirmedAt(manual.Now() - *item.age);
+        freshness.MarkCurrentAt(manual.Now() - *item.age);
       }
       CPPUNIT_ASSERT_MESSAGE(item.name,
-                             freshness.Right(item.reach) == item.expected);
+                             freshness.StateFor(item.reach) == item.expected);
     }
   }
 
@@ -72,8 +72,8 @@
     ManualClock manual;
     manual.Advance(absl::Seconds(10));
     ConfigFreshness freshness(kBound, Clock(&manual));
-    freshness.ConfirmedAt(absl::Seconds(9));
-    freshness.ConfirmedAt(absl::Seconds(2));
+    freshness.MarkCurrentAt(absl::Seconds(9));
+    freshness.MarkCurrentAt(absl::Seconds(2));
     CPPUNIT_ASSERT(freshness.Age() == absl::Seconds(1));
   }
 };
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -24,14 +24,14 @@
     ManualClock manual;
     manual.Advance(absl::Seconds(100));
     ModelLoadLimiter limiter(kOptions, Clock(&manual));
-    CPPUNIT_ASSERT_EQUAL(6, limiter.Left(kLoadsPerSecond));
+    CPPUNIT_ASSERT_EQUAL(6, limiter.RemainingLoads(kLoadsPerSecond));
     for (int i = 0; i < 6; ++i) limiter.RecordLoadStart();
-    CPPUNIT_ASSERT_EQUAL(0, limiter.Left(kLoadsPerSecond));
+    CPPUNIT_ASSERT_EQUAL(0, limiter.RemainingLoads(kLoadsPerSecond));
     manual.Advance(absl::Milliseconds(2001));
-    CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
+    CPPUNIT_ASSERT_EQUAL(5, limiter.RemainingLoads(kLoadsPerSecond));
     manual.Advance(absl::Seconds(5));
     limiter.OnLeadershipAcquired(kLoadsPerSecond);
-    CPPUNIT_ASSERT_EQUAL(5, limiter.Left(kLoadsPerSecond));
+    CPPUNIT_ASSERT_EQUAL(5, limiter.RemainingLoads(kLoadsPerSecond));
   }
 
   // Failure: a leader begins all loads that it may and terminates, and its
@@ -47,7 +47,7 @@
         limiter.OnLeadershipAcquired(kLoadsPerSecond);
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-          int left = limiter.Left(kLoadsPerSecond);
+          int left = limiter.RemainingLoads(kLoadsPerSecond);
           if (*rc::gen::inRange(0, 2) == 0) left = 0;
           for (int i = 0; i < left; ++i) {
             limiter.RecordLoadStart();
--- a/tests/unit/unit-membership.cc
+++ b/tests/unit/unit-membership.cc
@@ -106,14 +106,14 @@
                           Clock(&manual), 1);
     ListedInstance b;
     b.info.name = "b";
-    membership.TakeList(InstanceList{5, {b}});
-    membership.TakeList(InstanceList{4, {}});
+    membership.ApplyInstanceList(InstanceList{5, {b}});
+    membership.ApplyInstanceList(InstanceList{4, {}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, membership.List().instances.size());
     // A listed instance is active from the start, also before its first
     // heartbeat, until it is declared dead.
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, membership.Active().size());
-    membership.TakeList(InstanceList{6, {}});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, membership.Active().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, membership.ActiveNames().size());
+    membership.ApplyInstanceList(InstanceList{6, {}});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, membership.ActiveNames().size());
   }
 
   // One message in twenty is lost. No live instance may be declared dead, and
--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -44,12 +44,13 @@
       return this->Count(tokens);
     }
     if (!this->has_leader) {
-      return quotas.Take("w", kLimit, tokens).admitted && this->Count(tokens);
+      return quotas.AdmitFromShare("w", kLimit, tokens).admitted &&
+             this->Count(tokens);
     }
     FleetSpending spend = this->summary;
-    spend.total += this->unreported.Open("w");
+    spend.total += this->unreported.UnreportedTokens("w");
     const QuotaVerdict verdict =
-        this->instances.front()->Grant(kLimit, tokens, spend);
+        this->instances.front()->DecideGrant(kLimit, tokens, spend);
     if (!verdict.admitted) return false;
     this->unreported.Add(std::to_string(at), ++this->number, "w", tokens);
     quotas.RecordGrant("w", tokens);
@@ -59,7 +60,7 @@
   void Step() {
     this->SummarizeReports();
     for (int i = 0; i < this->Size() && this->has_leader; ++i) {
-      this->unreported.Reported(std::to_string(i), this->number);
+      this->unreported.MarkReported(std::to_string(i), this->number);
       FleetSpending spend = this->summary;
       spend.own = this->instances[i]->Spent()["w"];
       this->instances[i]->SetFleetSpending("w", spend);
@@ -176,10 +177,10 @@
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
     quotas.SetParticipantCount(8);
     quotas.SetListed(false);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 1).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 1).admitted);
     quotas.SetFleetSpending("w", {0, 0, 8, 0});
     CPPUNIT_ASSERT(!quotas.AdmitWithoutGrant("w", kLimit, 1).admitted);
-    CPPUNIT_ASSERT(quotas.Grant(kLimit, 20000, {0, 0, 8, 0}).admitted);
+    CPPUNIT_ASSERT(quotas.DecideGrant(kLimit, 20000, {0, 0, 8, 0}).admitted);
   }
 
   // Failure: a listed instance is partitioned and goes on spending its share;
@@ -192,14 +193,14 @@
     quotas.SetListed(false);
     manual.Advance(absl::Minutes(1));
     quotas.SetListed(true);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 10).admitted);
     manual.Advance(kWindow);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 10).admitted);
     manual.Advance(absl::Seconds(20) - kWindow / 2);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 500000).admitted);
-    CPPUNIT_ASSERT(quotas.Take("w", kLimit, 300000).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 500000).admitted);
+    CPPUNIT_ASSERT(quotas.AdmitFromShare("w", kLimit, 300000).admitted);
     manual.Advance(kWindow / 2);
-    CPPUNIT_ASSERT(quotas.Take("w", kLimit, 600000).admitted);
+    CPPUNIT_ASSERT(quotas.AdmitFromShare("w", kLimit, 600000).admitted);
   }
 
   // Failure: an instance loses the store for 7 s and is not listed meanwhile;
@@ -229,8 +230,9 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.is_back,
           quotas.ListedFor() == absl::InfiniteDuration());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.is_back,
-                                   quotas.Take("w", kLimit, 1000).admitted);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(
+          item.name, item.is_back,
+          quotas.AdmitFromShare("w", kLimit, 1000).admitted);
     }
   }
 
@@ -244,12 +246,12 @@
     CPPUNIT_ASSERT(!unreported.Add("p", 1, "w", 100));
     CPPUNIT_ASSERT(unreported.Add("q", 1, "w", 10));
     CPPUNIT_ASSERT(unreported.Add("p", 2, "v", 1000));
-    CPPUNIT_ASSERT_EQUAL(110.0, unreported.Open("w"));
-    unreported.Reported("p", 1);
-    CPPUNIT_ASSERT_EQUAL(10.0, unreported.Open("w"));
-    CPPUNIT_ASSERT_EQUAL(1000.0, unreported.Open("v"));
+    CPPUNIT_ASSERT_EQUAL(110.0, unreported.UnreportedTokens("w"));
+    unreported.MarkReported("p", 1);
+    CPPUNIT_ASSERT_EQUAL(10.0, unreported.UnreportedTokens("w"));
+    CPPUNIT_ASSERT_EQUAL(1000.0, unreported.UnreportedTokens("v"));
     manual.Advance(kWindow + absl::Milliseconds(1));
-    CPPUNIT_ASSERT_EQUAL(0.0, unreported.Open("w"));
+    CPPUNIT_ASSERT_EQUAL(0.0, unreported.UnreportedTokens("w"));
   }
 };
 
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -69,12 +69,13 @@
     QuotaWindows& quotas = *instance.quotas;
     bool admitted = quotas.AdmitWithoutGrant("w", kLimit, tokens).admitted;
     if (!admitted && !instance.reporting) {
-      admitted = quotas.Take("w", kLimit, tokens).admitted;
+      admitted = quotas.AdmitFromShare("w", kLimit, tokens).admitted;
     } else if (!admitted) {
       FleetSpending spend = this->summary;
       spend.total += this->granted;
-      admitted =
-          this->instances.front().quotas->Grant(kLimit, tokens, spend).admitted;
+      admitted = this->instances.front()
+                     .quotas->DecideGrant(kLimit, tokens, spend)
+                     .admitted;
       if (admitted) this->granted += tokens;
       if (admitted) quotas.RecordGrant("w", tokens);
     }
@@ -129,7 +130,7 @@
   // An instance that has neither the store nor the leader keeps the last list
   // it received.
   void ApplyList() {
-    this->participants.Follow(this->listed);
+    this->participants.UpdateListed(this->listed);
     const std::set<std::string_view> names(this->listed.begin(),
                                            this->listed.end());
     for (Instance& instance : this->instances) {
@@ -158,7 +159,8 @@
         this->summary.total += instance.reported;
       }
     }
-    this->summary.missing_part = this->participants.MissingPart(reporting);
+    this->summary.unreported_fraction =
+        this->participants.UnreportedFraction(reporting);
   }
 
   ManualClock manual;
@@ -270,18 +272,19 @@
     for (const ParticipantCase& item : cases) {
       ManualClock manual;
       QuotaParticipants participants(kWindow, Clock(&manual));
-      participants.Follow(std::vector<std::string_view>{"a", "b"});
+      participants.UpdateListed(std::vector<std::string_view>{"a", "b"});
       manual.Advance(item.listed_after);
-      participants.Follow(std::vector<std::string_view>{"a", "b", "c"});
+      participants.UpdateListed(std::vector<std::string_view>{"a", "b", "c"});
       for (absl::Duration past; past < item.checked_after; past += kStep) {
         manual.Advance(kStep);
-        participants.Follow(item.name == "not listed for long"
-                                ? std::vector<std::string_view>{"b", "c"}
-                                : std::vector<std::string_view>{"a", "b", "c"});
+        participants.UpdateListed(
+            item.name == "not listed for long"
+                ? std::vector<std::string_view>{"b", "c"}
+                : std::vector<std::string_view>{"a", "b", "c"});
       }
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(
           item.name, item.unreported_share,
-          participants.MissingPart(item.reporting), 1e-9);
+          participants.UnreportedFraction(item.reporting), 1e-9);
     }
   }
 };
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -24,7 +24,7 @@
 
 double SpendAll(QuotaWindows& quotas, double step) {
   double taken = 0;
-  while (quotas.Take("w", kLimit, step).admitted) taken += step;
+  while (quotas.AdmitFromShare("w", kLimit, step).admitted) taken += step;
   return taken;
 }
 
@@ -76,7 +76,8 @@
       if (step >= restarted)
         quotas = after_restart[draw_between(0, kInstances - 1)].get();
       if (quotas == nullptr) continue;
-      if (quotas->Take("w", limit, kRequest).admitted) spent[step] += kRequest;
+      if (quotas->AdmitFromShare("w", limit, kRequest).admitted)
+        spent[step] += kRequest;
     }
     manual.Advance(absl::Milliseconds(200));
   }
@@ -127,7 +128,7 @@
     QuotaWindows quotas(kExact, true, Clock(&manual));
     SpendAll(quotas, 10);
     manual.Advance(kWindow - absl::Milliseconds(200));
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 10).admitted);
     manual.Advance(absl::Milliseconds(400));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kAllowedTokens, SpendAll(quotas, 10), 10);
   }
@@ -191,18 +192,18 @@
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
     SpendAll(quotas, 1000);
-    const QuotaVerdict verdict = quotas.Take("w", kLimit, 500);
+    const QuotaVerdict verdict = quotas.AdmitFromShare("w", kLimit, 500);
     CPPUNIT_ASSERT(!verdict.admitted);
     CPPUNIT_ASSERT(verdict.retry_after == absl::Milliseconds(500));
-    CPPUNIT_ASSERT(quotas.Take("w", QuotaLimit{}, 1e9).admitted);
+    CPPUNIT_ASSERT(quotas.AdmitFromShare("w", QuotaLimit{}, 1e9).admitted);
   }
 
   void RefundsTokens() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
-    CPPUNIT_ASSERT(quotas.Take("w", kLimit, 9000).admitted);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 100).admitted);
-    quotas.GiveBack("w", 4000);
+    CPPUNIT_ASSERT(quotas.AdmitFromShare("w", kLimit, 9000).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 100).admitted);
+    quotas.Refund("w", 4000);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(4000, SpendAll(quotas, 10), 10);
   }
 
@@ -244,14 +245,14 @@
           const std::vector<std::string_view> names = {"0", "1", "2", "3",
                                                        "4", "5", "6"};
           QuotaParticipants owners(kWindow, Clock(&manual));
-          owners.Follow(names);
+          owners.UpdateListed(names);
           const int steps = *rc::gen::inRange(20, 60);
           std::vector<double> spent(steps, 0);
           for (int step = 0; step < steps; ++step) {
             for (int i = 0; i < kInstances; ++i) {
               const double tokens = *rc::gen::inRange(1, 40);
               for (int ask = 0; ask < 30; ++ask) {
-                if (all[i]->Take("w", kLimit, tokens).admitted) {
+                if (all[i]->AdmitFromShare("w", kLimit, tokens).admitted) {
                   spent[step] += tokens;
                 }
               }
@@ -261,7 +262,7 @@
               const int to = side == 0 ? kFirstSideSize : kInstances;
               double total = 0;
               for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
-              const double missing = owners.MissingPart(
+              const double missing = owners.UnreportedFraction(
                   {names.begin() + from, names.begin() + to});
               for (int i = from; i < to; ++i) {
                 all[i]->SetFleetSpending(
@@ -281,12 +282,12 @@
   void AdmitsALargeRequestWithinTheFleetsQuota() {
     ManualClock manual;
     QuotaTolerance allowance = kExact;
-    allowance.at_once = 2;
+    allowance.share_multiple = 2;
     QuotaWindows quotas(allowance, true, Clock(&manual));
     quotas.SetParticipantCount(7);
     quotas.SetFleetSpending("w", {kAllowedTokens - 7000, 0, 7, 0});
-    CPPUNIT_ASSERT(quotas.Take("w", kLimit, 1500).admitted);
-    CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
+    CPPUNIT_ASSERT(quotas.AdmitFromShare("w", kLimit, 1500).admitted);
+    CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 10).admitted);
   }
 
   // Seven instances are asked for eight times the quota in requests of the
@@ -314,7 +315,7 @@
           while (offered < to_offer) {
             const double tokens = *rc::gen::inRange(2000, 15000);
             offered += tokens;
-            if (quotas->Take("w", limit, tokens).admitted) {
+            if (quotas->AdmitFromShare("w", limit, tokens).admitted) {
               spent[step] += tokens;
             }
           }
--- a/tests/unit/unit-records.cc
+++ b/tests/unit/unit-records.cc
@@ -127,7 +127,7 @@
           rate == nullptr ? 0 : rate->limit.burst_tokens);
       // A follower that starts from this store ends in the same state.
       RecordStore follower(WhyInvalid);
-      for (const RecordVersion& version : store.Since(0)) {
+      for (const RecordVersion& version : store.VersionsSince(0)) {
         follower.ApplyVersion(version);
       }
       const auto copy = BuildCatalog(9, follower.ValidRecords());
--- a/tests/unit/unit-report-hub.cc
+++ b/tests/unit/unit-report-hub.cc
@@ -120,12 +120,12 @@
     for (const SpendCase& item : cases) {
       ManualClock manual;
       QuotaParticipants owners(kWindow, Clock(&manual));
-      owners.Follow(std::vector<std::string_view>{"a", "b"});
+      owners.UpdateListed(std::vector<std::string_view>{"a", "b"});
       ReportAggregator hub(owners, kWindow, Clock(&manual));
       for (const wire::InstanceReport& report : item.reports) hub.Take(report);
       const FleetSpending spend = hub.SpendingOf("w");
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.name, item.missing_part,
-                                           spend.missing_part, 1e-9);
+                                           spend.unreported_fraction, 1e-9);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.total, spend.total);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.instances, spend.instances);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.name, item.unknown_shares,
--- a/tests/unit/unit-share-book.cc
+++ b/tests/unit/unit-share-book.cc
@@ -18,8 +18,8 @@
     this->manual.Advance(absl::Hours(1));
     Allotment allotment{"w", 1, {}};
     for (const char* name : {"a", "b"}) {
-      allotment.holders.push_back(OwnerShare{name, 1, kFullShareMillionths / 2,
-                                             kFullShareMillionths / 2, 0});
+      allotment.owners.push_back(OwnerShare{name, 1, kFullShareMillionths / 2,
+                                            kFullShareMillionths / 2, 0});
     }
     this->limiter.SetRate("w", RateLimit{kRate, kBurst});
     this->limiter.ApplyAllotment(allotment);
@@ -64,12 +64,14 @@
   void AsksUnresponsivePeersAgain() {
     ShareBorrower borrower;
     const Instant now = borrower.manual.Now();
-    Admission first = borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
+    Admission first =
+        borrower.limiter.BeginAdmission("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(first, now + absl::Milliseconds(30));
     CPPUNIT_ASSERT(std::holds_alternative<Admitted>(step));
     CPPUNIT_ASSERT(borrower.waits > 0);
-    Admission second = borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
+    Admission second =
+        borrower.limiter.BeginAdmission("w", 10, absl::Milliseconds(250));
     CPPUNIT_ASSERT(
         std::holds_alternative<Admitted>(borrower.Finish(second, Instant())));
   }
@@ -77,7 +79,7 @@
   void ReportsUnresponsiveOwnersNotAnExceededRate() {
     ShareBorrower borrower;
     Admission admission =
-        borrower.limiter.Begin("w", 10, absl::Milliseconds(250));
+        borrower.limiter.BeginAdmission("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(admission, absl::InfiniteDuration());
     CPPUNIT_ASSERT(std::holds_alternative<NoShareOwnerReachable>(step));
