--- a/dragonflyglade/decision/allotment.h
+++ b/dragonflyglade/decision/allotment.h
@@ -89,10 +89,10 @@
 
 /// Computes the next allotment; nothing if the current one needs no change.
 ///
-/// The sum over owners of max(share, in_use) never exceeds kFullShareMillionths:
-/// shares shrink first, and others grow only by what an owner has confirmed to
-/// have given up or what a terminated owner left. Complexity: O(n log n) in the
-/// owners and candidates.
+/// The sum over owners of max(share, in_use) never exceeds
+/// kFullShareMillionths: shares shrink first, and others grow only by what an
+/// owner has confirmed to have given up or what a terminated owner left.
+/// Complexity: O(n log n) in the owners and candidates.
 std::optional<Allotment> PlanNextAllotment(const Allotment& current,
                                            const AllotmentInputs& inputs);
 
--- a/dragonflyglade/decision/distributed_rate_limiter.cc
+++ b/dragonflyglade/decision/distributed_rate_limiter.cc
@@ -167,11 +167,12 @@
 // their use-by time. The borrower measures it on its own clock from its request
 // for the loan, which is no later than the lender's debit.
 void DistributedRateLimiter::DropExpired(Admission& admission, Instant now) {
-  auto& parts = admission.collected;
-  parts.erase(std::remove_if(
-                  parts.begin(), parts.end(),
-                  [now](const CollectedTokens& p) { return p.use_by <= now; }),
-              parts.end());
+  auto& collected = admission.collected;
+  collected.erase(std::remove_if(collected.begin(), collected.end(),
+                                 [now](const CollectedTokens& p) {
+                                   return p.use_by <= now;
+                                 }),
+                  collected.end());
 }
 
 AdmissionStep DistributedRateLimiter::WaitOrAdmit(Admission& admission,
@@ -251,11 +252,11 @@
     plan.wait = delay;
     bool within_caps = true;
     for (std::size_t i = 0; i <= k; ++i) {
-      const double part = sources[i].level + sources[i].rate * wait;
-      within_caps = within_caps && part <= sources[i].cap;
-      if (part > 0) plan.parts.emplace_back(sources[i], part);
+      const double amount = sources[i].level + sources[i].rate * wait;
+      within_caps = within_caps && amount <= sources[i].cap;
+      if (amount > 0) plan.amounts.emplace_back(sources[i], amount);
     }
-    if (!within_caps || plan.parts.empty()) continue;
+    if (!within_caps || plan.amounts.empty()) continue;
     best = std::move(plan);
     best_cost = cost;
   }
@@ -305,7 +306,7 @@
   }
   // Peers are asked first, since their responses may change the plan. This
   // instance's bucket then gives the rest.
-  for (const auto& [source, tokens] : plan->parts) {
+  for (const auto& [source, tokens] : plan->amounts) {
     if (source.peer.empty()) continue;
     // A peer that has fewer tokens than expected is asked for fewer the next
     // time; the number of requests is bounded.
--- a/dragonflyglade/decision/distributed_rate_limiter.h
+++ b/dragonflyglade/decision/distributed_rate_limiter.h
@@ -50,8 +50,8 @@
   Instant use_by;          ///< latest time to spend them
 };
 
-/// The state of one request's admission. Created by
-/// DistributedRateLimiter::Begin.
+/// The state of one request's admission, created by
+/// DistributedRateLimiter::BeginAdmission.
 struct Admission {
   std::string workspace;
   double cost = 0;  ///< tokens
@@ -107,7 +107,7 @@
 /// A lender's response, with the state of its bucket afterwards.
 struct Loan {
   std::int64_t granted = 0;  ///< tokens: all that were asked for, or 0
-  absl::Duration wait;       ///< earliest time to spend them, from now
+  absl::Duration wait;       ///< earliest time to spend them, from the response
   absl::Duration use_by;     ///< latest time, from the request for the loan
   std::int64_t stamp = 0;    ///< identifies the loan when tokens are returned
   std::int64_t level = 0;    ///< tokens left in the lender's bucket
@@ -220,7 +220,7 @@
   /// How many tokens to take from which buckets, and how long they take to
   /// accrue.
   struct Plan {
-    std::vector<std::pair<Source, double>> parts;
+    std::vector<std::pair<Source, double>> amounts;
     absl::Duration wait;
   };
   static constexpr std::size_t kShards = 16;
--- a/dragonflyglade/decision/membership.cc
+++ b/dragonflyglade/decision/membership.cc
@@ -37,13 +37,13 @@
     if (found == this->members.end()) {
       // No heartbeat came from it yet. Every incarnation that a heartbeat
       // carries is newer than 0.
-      MemberStatus statement;
-      statement.info = listed.info;
-      statement.leaving = listed.leaving;
+      MemberStatus status;
+      status.info = listed.info;
+      status.leaving = listed.leaving;
       this->members.emplace(listed.info.name,
-                            Member{statement, this->clock.Now()});
+                            Member{status, this->clock.Now()});
     } else if (listed.leaving) {
-      found->second.statement.leaving = true;
+      found->second.status.leaving = true;
     }
   }
 }
@@ -58,11 +58,11 @@
       this->round.pop_back();
       const auto found = this->members.find(name);
       if (found == this->members.end()) continue;
-      const MemberStatus& statement = found->second.statement;
+      const MemberStatus& status = found->second.status;
       // Dead members are still probed while the list names them: if one was
       // declared dead by mistake, its response makes it alive again.
-      if (statement.state != MemberState::kDead || this->IsListed(name)) {
-        return statement;
+      if (status.state != MemberState::kDead || this->IsListed(name)) {
+        return status;
       }
     }
     for (const auto& [name, member] : this->members) {
@@ -79,8 +79,8 @@
   std::vector<MemberStatus> live;
   for (const auto& [name, member] : this->members) {
     if (name == except) continue;
-    if (member.statement.state == MemberState::kAlive) {
-      live.push_back(member.statement);
+    if (member.status.state == MemberState::kAlive) {
+      live.push_back(member.status);
     }
   }
   std::shuffle(live.begin(), live.end(), this->random);
@@ -109,7 +109,7 @@
     ++next.times_sent;
     const auto found = this->members.find(next.name);
     if (found != this->members.end()) {
-      updates.push_back(found->second.statement);
+      updates.push_back(found->second.status);
     }
   }
   const double fleet = static_cast<double>(this->members.size() + 1);
@@ -127,8 +127,8 @@
   // A recipient that is suspect or dead learns of it and can refute.
   const auto recipient = this->members.find(to);
   if (recipient != this->members.end() &&
-      recipient->second.statement.state != MemberState::kAlive) {
-    updates.push_back(recipient->second.statement);
+      recipient->second.status.state != MemberState::kAlive) {
+    updates.push_back(recipient->second.status);
   }
   return updates;
 }
@@ -138,42 +138,41 @@
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(sender.info.name);
   const bool was_current = found != this->members.end() &&
-                           std::tie(found->second.statement.incarnation,
-                                    found->second.statement.sequence) ==
+                           std::tie(found->second.status.incarnation,
+                                    found->second.status.sequence) ==
                                std::tie(sender.incarnation, sender.sequence);
   if (!this->Apply(sender) && was_current) {
     // Its own heartbeat proves that it is alive, whatever was suspected, and
     // brings its current load.
     Member& member = found->second;
-    member.statement.load_permille = sender.load_permille;
-    if (member.statement.state != MemberState::kAlive) {
+    member.status.load_permille = sender.load_permille;
+    if (member.status.state != MemberState::kAlive) {
       this->SetState(member, MemberState::kAlive);
     }
   }
   for (const MemberStatus& update : updates) this->Apply(update);
 }
 
-bool Membership::Apply(const MemberStatus& statement) {
-  if (statement.info.name.empty()) return false;
-  if (statement.info.name == this->self.info.name) {
-    this->Refute(statement);
+bool Membership::Apply(const MemberStatus& status) {
+  if (status.info.name.empty()) return false;
+  if (status.info.name == this->self.info.name) {
+    this->Refute(status);
     return false;
   }
-  const auto found = this->members.find(statement.info.name);
+  const auto found = this->members.find(status.info.name);
   if (found == this->members.end()) {
-    if (statement.state == MemberState::kDead) return false;
-    this->members.emplace(statement.info.name,
-                          Member{statement, this->clock.Now()});
-    this->Queue(statement);
+    if (status.state == MemberState::kDead) return false;
+    this->members.emplace(status.info.name, Member{status, this->clock.Now()});
+    this->Queue(status);
     return true;
   }
   Member& member = found->second;
-  if (!IsNewer(statement, member.statement)) return false;
-  if (statement.state != member.statement.state) {
+  if (!IsNewer(status, member.status)) return false;
+  if (status.state != member.status.state) {
     member.state_since = this->clock.Now();
   }
-  member.statement = statement;
-  this->Queue(statement);
+  member.status = status;
+  this->Queue(status);
   return true;
 }
 
@@ -181,15 +180,14 @@
 // callers are sent elsewhere. Only the instance itself increases its sequence,
 // so an update with a higher sequence proves that it is alive and overrules
 // every suspicion.
-void Membership::Refute(const MemberStatus& statement) {
-  if (statement.incarnation > this->self.incarnation) return;
-  if (statement.state == MemberState::kAlive) return;
+void Membership::Refute(const MemberStatus& status) {
+  if (status.incarnation > this->self.incarnation) return;
+  if (status.state == MemberState::kAlive) return;
   // An instance that knew this one only from the list suspects incarnation 0.
   // Increasing the sequence for that too makes the update that this instance is
   // alive an urgent one.
-  const bool is_of_this_process =
-      statement.incarnation == this->self.incarnation;
-  const std::int64_t refuted = is_of_this_process ? statement.sequence : 0;
+  const bool is_of_this_process = status.incarnation == this->self.incarnation;
+  const std::int64_t refuted = is_of_this_process ? status.sequence : 0;
   this->self.sequence = std::max(this->self.sequence, refuted + 1);
 }
 
@@ -197,7 +195,7 @@
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(name);
   if (found == this->members.end()) return;
-  if (found->second.statement.state != MemberState::kAlive) return;
+  if (found->second.status.state != MemberState::kAlive) return;
   this->SetState(found->second, MemberState::kSuspect);
 }
 
@@ -217,11 +215,11 @@
   for (auto it = this->members.begin(); it != this->members.end();) {
     Member& member = it->second;
     const absl::Duration time_in_state = now - member.state_since;
-    if (member.statement.state == MemberState::kSuspect &&
+    if (member.status.state == MemberState::kSuspect &&
         time_in_state >= suspicion) {
       this->SetState(member, MemberState::kDead);
     }
-    const bool forgotten = member.statement.state == MemberState::kDead &&
+    const bool forgotten = member.status.state == MemberState::kDead &&
                            time_in_state >= this->options.forget_after &&
                            !this->IsListed(it->first);
     it = forgotten ? this->members.erase(it) : std::next(it);
@@ -264,7 +262,7 @@
   absl::MutexLock lock(&this->mutex);
   std::vector<MemberStatus> all = {this->self};
   for (const auto& [name, member] : this->members) {
-    all.push_back(member.statement);
+    all.push_back(member.status);
   }
   return all;
 }
@@ -274,9 +272,9 @@
   std::vector<std::string> names;
   if (!this->self.leaving) names.push_back(this->self.info.name);
   for (const auto& [name, member] : this->members) {
-    const MemberStatus& statement = member.statement;
-    if (statement.state == MemberState::kDead || statement.leaving) continue;
-    if (statement.incarnation == 0 && !this->IsListed(name)) continue;
+    const MemberStatus& status = member.status;
+    if (status.state == MemberState::kDead || status.leaving) continue;
+    if (status.incarnation == 0 && !this->IsListed(name)) continue;
     names.push_back(name);
   }
   return names;
@@ -287,7 +285,7 @@
   if (name == this->self.info.name) return this->self;
   const auto found = this->members.find(name);
   if (found == this->members.end()) return std::nullopt;
-  return found->second.statement;
+  return found->second.status;
 }
 
 InstanceList Membership::List() const {
@@ -303,21 +301,21 @@
     if (entry.info.name == this->self.info.name || entry.leaving) continue;
     const auto found = this->members.find(entry.info.name);
     const bool known = found != this->members.end();
-    if (known && found->second.statement.leaving) continue;
+    if (known && found->second.status.leaving) continue;
     ++listed;
-    if (known && found->second.statement.incarnation != 0 &&
-        found->second.statement.state == MemberState::kAlive) {
+    if (known && found->second.status.incarnation != 0 &&
+        found->second.status.state == MemberState::kAlive) {
       ++alive;
     }
   }
   return {listed, alive};
 }
 
-void Membership::Queue(const MemberStatus& statement) {
+void Membership::Queue(const MemberStatus& status) {
   QueuedUpdate entry;
-  entry.name = statement.info.name;
-  entry.urgent = statement.state != MemberState::kAlive || statement.leaving ||
-                 statement.sequence > 0;
+  entry.name = status.info.name;
+  entry.urgent = status.state != MemberState::kAlive || status.leaving ||
+                 status.sequence > 0;
   for (QueuedUpdate& queued : this->queue) {
     if (queued.name != entry.name) continue;
     queued = std::move(entry);
@@ -327,9 +325,9 @@
 }
 
 void Membership::SetState(Member& member, MemberState state) {
-  member.statement.state = state;
+  member.status.state = state;
   member.state_since = this->clock.Now();
-  this->Queue(member.statement);
+  this->Queue(member.status);
 }
 
 bool Membership::IsListed(std::string_view name) const {
--- a/dragonflyglade/decision/membership.h
+++ b/dragonflyglade/decision/membership.h
@@ -98,8 +98,8 @@
   std::vector<MemberStatus> SampleAlive(std::size_t count,
                                         std::string_view except);
 
-  /// The updates to send with the next heartbeat to an instance, and counts
-  /// them as sent.
+  /// Returns the updates to send with the next heartbeat to an instance, and
+  /// counts them as sent.
   std::vector<MemberStatus> UpdatesFor(std::string_view to);
 
   /// Applies a heartbeat: what its sender says of itself, and the updates that
@@ -150,7 +150,7 @@
 
  private:
   struct Member {
-    MemberStatus statement;
+    MemberStatus status;
     Instant state_since;  ///< when it entered its present state
   };
   /// An update that still has to be sent to other instances.
@@ -162,14 +162,11 @@
 
   /// Applies an update if it is newer than what is known.
   /// @return whether it was applied
-  bool Apply(const MemberStatus& statement)
-      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  bool Apply(const MemberStatus& status) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   /// Overrules an update that says this instance is suspect or dead.
-  void Refute(const MemberStatus& statement)
-      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void Refute(const MemberStatus& status) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   /// Queues an update to be sent to other instances.
-  void Queue(const MemberStatus& statement)
-      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void Queue(const MemberStatus& status) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   void SetState(Member& member, MemberState state)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   /// The suspicion timeout at the fleet's present size.
--- a/dragonflyglade/decision/quota_windows.cc
+++ b/dragonflyglade/decision/quota_windows.cc
@@ -53,9 +53,9 @@
       window);
 }
 
-QuotaWindows::QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
+QuotaWindows::QuotaWindows(QuotaTolerance tolerance, bool nothing_spent_before,
                            Clock clock)
-    : allowance(allowance),
+    : tolerance(tolerance),
       clock(std::move(clock)),
       nothing_spent_before(nothing_spent_before),
       started(this->clock.Now()),
@@ -64,7 +64,7 @@
 void QuotaWindows::SetParticipantCount(int count) {
   const Instant now = this->clock.Now();
   const bool lasted =
-      now - this->instances_at > kMaxPartitionDuration + this->allowance.window;
+      now - this->instances_at > kMaxPartitionDuration + this->tolerance.window;
   if (count < this->instances && !lasted) return;
   this->instances = std::max(1, count);
   this->instances_at = now;
@@ -79,10 +79,10 @@
   const absl::Duration age = this->clock.Now() - this->started;
   const auto spent = this->spent_before.find(workspace);
   if (spent == this->spent_before.end()) {
-    return allowed * SpendableFractionAfterRestart(age, this->allowance.window);
+    return allowed * SpendableFractionAfterRestart(age, this->tolerance.window);
   }
   const double counted = spent->second * CountedFractionOfPriorSpending(
-                                             age, this->allowance.window);
+                                             age, this->tolerance.window);
   return std::max(0.0, allowed - counted);
 }
 
@@ -93,7 +93,7 @@
   allowed = this->SpendableAfterRestart(workspace, allowed);
   if (this->listed_since.has_value()) {
     allowed *= SpendableFractionAfterJoin(now - *this->listed_since,
-                                          this->allowance.window);
+                                          this->tolerance.window);
   }
   return allowed;
 }
@@ -135,7 +135,7 @@
   }
   Spending& spending = found->second;
   const std::int64_t oldest =
-      this->CurrentSlice() - this->allowance.window / kSliceLength;
+      this->CurrentSlice() - this->tolerance.window / kSliceLength;
   while (!spending.slices.empty() && spending.slices.front().number < oldest) {
     spending.sum -= spending.slices.front().tokens;
     spending.slices.pop_front();
@@ -151,10 +151,10 @@
 }
 
 double QuotaWindows::FleetAllowance(const QuotaLimit& limit) const {
-  const double seconds = absl::ToDoubleSeconds(this->allowance.window);
+  const double seconds = absl::ToDoubleSeconds(this->tolerance.window);
   const double limit_tokens = limit.rate * seconds + limit.burst;
-  return limit_tokens * (1 + kUsedExcessFraction * this->allowance.overage) +
-         kUsedExcessFraction * this->allowance.slack;
+  return limit_tokens * (1 + kUsedExcessFraction * this->tolerance.overage) +
+         kUsedExcessFraction * this->tolerance.slack;
 }
 
 bool QuotaWindows::HasRecentSummary(const Spending& spending) const {
@@ -187,7 +187,7 @@
   const double left = std::max(0.0, this->FleetLeft(allowed, spending.fleet));
   const double spent_since = std::max(0.0, spending.sum - spending.fleet.own);
   return {left / this->SharingInstances(spending.fleet), spent_since,
-          this->allowance.share_multiple};
+          this->tolerance.share_multiple};
 }
 
 // Without a recent summary, each instance has an equal share of the limit. For
@@ -201,7 +201,7 @@
   double tokens = this->Spendable(workspace, allowed) / this->instances;
   const bool summary_in_window =
       spending.fleet_at.has_value() &&
-      this->clock.Now() - *spending.fleet_at < this->allowance.window;
+      this->clock.Now() - *spending.fleet_at < this->tolerance.window;
   if (summary_in_window) {
     const double left = std::max(0.0, this->FleetLeft(allowed, spending.fleet));
     tokens =
--- a/dragonflyglade/decision/quota_windows.h
+++ b/dragonflyglade/decision/quota_windows.h
@@ -93,7 +93,7 @@
  public:
   /// @param nothing_spent_before false after a restart, when the spending of
   ///   the previous process is unknown and counts for a whole window
-  QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
+  QuotaWindows(QuotaTolerance tolerance, bool nothing_spent_before,
                Clock clock);
 
   /// Sets how many instances share the quotas: those that callers are sent to.
@@ -103,7 +103,7 @@
   void SetParticipantCount(int count);
 
   /// Sets by how much the fleet may exceed limits, when the settings change.
-  void SetTolerance(const QuotaTolerance& newer) { this->allowance = newer; }
+  void SetTolerance(const QuotaTolerance& newer) { this->tolerance = newer; }
 
   /// Sets what the fleet had spent by workspace when this process started, and
   /// whether the previous process of this instance owned a share. The spending
@@ -188,7 +188,7 @@
                                double allowed) const;
   double Spendable(std::string_view workspace, double allowed) const;
 
-  QuotaTolerance allowance;
+  QuotaTolerance tolerance;
   const Clock clock;
   const bool nothing_spent_before;
   const Instant started;
--- a/tests/unit/unit-freshness.cc
+++ b/tests/unit/unit-freshness.cc
@@ -17,8 +17,8 @@
   ConfigFreshnessState expected;
 };
 
-class FreshnessTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(FreshnessTest);
+class ConfigFreshnessTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ConfigFreshnessTest);
   CPPUNIT_TEST(DecidesByAgeAndReachability);
   CPPUNIT_TEST(IgnoresAnOlderConfirmation);
   CPPUNIT_TEST_SUITE_END();
@@ -78,7 +78,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(FreshnessTest, "unit-freshness");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(ConfigFreshnessTest, "unit-freshness");
 
 }  // namespace
 }  // namespace dragonflyglade
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -13,8 +13,8 @@
 const ModelLoadLimiterOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
 constexpr int kLoadsPerWindow = 13;  // by the rate, and 3 extra loads
 
-class LoadCeilingTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LoadCeilingTest);
+class ModelLoadLimiterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ModelLoadLimiterTest);
   CPPUNIT_TEST(AllowsHalfOfAWindowAtOnce);
   CPPUNIT_TEST(KeepsTheLimitAcrossLeaders);
   CPPUNIT_TEST_SUITE_END();
@@ -69,7 +69,8 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(LoadCeilingTest, "unit-load-ceiling");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(ModelLoadLimiterTest,
+                                      "unit-load-ceiling");
 
 }  // namespace
 }  // namespace dragonflyglade
--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -16,7 +16,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kQuotaTolerance{kWindow, 0.1, 100000};
 const double kAllowedTokens = 900000 * 1.1 + 100000;
 
 // Number of random schedules per test; a failed assertion names the seed.
@@ -30,7 +30,7 @@
       : unreported(kWindow, Clock(&this->manual)) {
     for (int i = 0; i < listed; ++i) {
       this->instances.push_back(std::make_unique<QuotaWindows>(
-          kAllowance, true, Clock(&this->manual)));
+          kQuotaTolerance, true, Clock(&this->manual)));
       this->instances.back()->SetParticipantCount(listed);
     }
   }
@@ -174,7 +174,7 @@
   // spend those as well.
   void GivesNoShareToUnlistedInstances() {
     ManualClock manual;
-    QuotaWindows quotas(kAllowance, true, Clock(&manual));
+    QuotaWindows quotas(kQuotaTolerance, true, Clock(&manual));
     quotas.SetParticipantCount(8);
     quotas.SetListed(false);
     CPPUNIT_ASSERT(!quotas.AdmitFromShare("w", kLimit, 1).admitted);
@@ -188,7 +188,7 @@
   // the same share twice in a window for as long as the partition lasts.
   void GrowsTheShareOfANewlyListedInstance() {
     ManualClock manual;
-    QuotaWindows quotas(kAllowance, true, Clock(&manual));
+    QuotaWindows quotas(kQuotaTolerance, true, Clock(&manual));
     quotas.SetParticipantCount(1);
     quotas.SetListed(false);
     manual.Advance(absl::Minutes(1));
@@ -220,7 +220,7 @@
     };
     for (const Case& item : cases) {
       ManualClock manual;
-      QuotaWindows quotas(kAllowance, true, Clock(&manual));
+      QuotaWindows quotas(kQuotaTolerance, true, Clock(&manual));
       quotas.SetParticipantCount(7);
       quotas.SetListed(true);
       manual.Advance(item.listed);
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -18,7 +18,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kQuotaTolerance{kWindow, 0.1, 100000};
 const double kAllowedTokens = 900000 * 1.1 + 100000;
 constexpr int kStrongInstances = 18;
 constexpr int kWeakInstances = 80;
@@ -38,7 +38,7 @@
     for (int i = 0; i < kStrongInstances + kWeakInstances; ++i) {
       Instance instance;
       instance.name = std::to_string(i);
-      instance.quotas = std::make_unique<QuotaWindows>(kAllowance, true,
+      instance.quotas = std::make_unique<QuotaWindows>(kQuotaTolerance, true,
                                                        Clock(&this->manual));
       this->instances.push_back(std::move(instance));
     }
@@ -173,8 +173,8 @@
   std::vector<double> spent = {0};
 };
 
-class QuotaOwnersTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(QuotaOwnersTest);
+class QuotaParticipantsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(QuotaParticipantsTest);
   CPPUNIT_TEST(RefusesNoRequestWhileInstancesLoseTheStore);
   CPPUNIT_TEST(KeepsTheLimitOnBothSidesOfAPartition);
   CPPUNIT_TEST(WithholdsSharesOfUnreportingInstances);
@@ -289,7 +289,8 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(QuotaOwnersTest, "unit-quota-owners");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(QuotaParticipantsTest,
+                                      "unit-quota-owners");
 
 }  // namespace
 }  // namespace dragonflyglade
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -38,7 +38,7 @@
 // Simulates a fleet whose instances are all killed and restarted while a
 // workspace floods it. Returns the most tokens spent in a window.
 double MostSpentAroundARestart(std::mt19937& random,
-                               const QuotaTolerance& allowance,
+                               const QuotaTolerance& tolerance,
                                const QuotaLimit& limit) {
   constexpr int kInstances = 8;
   constexpr double kRequest = 700;        // tokens
@@ -54,7 +54,7 @@
   const double flood_factor = draw_between(3, 8);
   ManualClock manual;
   auto before_restart =
-      std::make_unique<QuotaWindows>(allowance, true, Clock(&manual));
+      std::make_unique<QuotaWindows>(tolerance, true, Clock(&manual));
   std::vector<std::unique_ptr<QuotaWindows>> after_restart;
   double recorded_spending = 0;
   std::vector<double> spent(kSteps, 0);
@@ -65,7 +65,7 @@
     if (step == restarted) {
       for (int i = 0; i < kInstances; ++i) {
         after_restart.push_back(
-            std::make_unique<QuotaWindows>(allowance, false, Clock(&manual)));
+            std::make_unique<QuotaWindows>(tolerance, false, Clock(&manual)));
         after_restart.back()->SetParticipantCount(kInstances);
         after_restart.back()->SetPriorSpending({{"w", 1.3 * recorded_spending}},
                                                true);
@@ -84,8 +84,8 @@
   return MostInAWindow(spent, kWindow / absl::Milliseconds(200));
 }
 
-class QuotaWindowTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(QuotaWindowTest);
+class QuotaWindowsTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(QuotaWindowsTest);
   CPPUNIT_TEST(SpendsItsShare);
   CPPUNIT_TEST(SpendingLeavesTheWindow);
   CPPUNIT_TEST(GrowsFromZeroAfterARestart);
@@ -176,12 +176,12 @@
   // after the restart must stay within the limit and its tolerance.
   void KeepsTheLimitWhenAllRestartInAFlood() {
     constexpr int kSeeds = 200;
-    const QuotaTolerance allowance{kWindow, 0.1, 7500};
+    const QuotaTolerance tolerance{kWindow, 0.1, 7500};
     const QuotaLimit limit{50000, 50000};
     const double allowed = 450000 * 1.1 + 7500;
     for (int seed = 1; seed <= kSeeds; ++seed) {
       std::mt19937 random(seed);
-      const double most = MostSpentAroundARestart(random, allowance, limit);
+      const double most = MostSpentAroundARestart(random, tolerance, limit);
       CPPUNIT_ASSERT_MESSAGE(
           "seed " + std::to_string(seed) + " ran " + std::to_string(most),
           most <= allowed);
@@ -244,8 +244,8 @@
           }
           const std::vector<std::string_view> names = {"0", "1", "2", "3",
                                                        "4", "5", "6"};
-          QuotaParticipants owners(kWindow, Clock(&manual));
-          owners.UpdateListed(names);
+          QuotaParticipants participants(kWindow, Clock(&manual));
+          participants.UpdateListed(names);
           const int steps = *rc::gen::inRange(20, 60);
           std::vector<double> spent(steps, 0);
           for (int step = 0; step < steps; ++step) {
@@ -262,11 +262,11 @@
               const int to = side == 0 ? kFirstSideSize : kInstances;
               double total = 0;
               for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
-              const double missing = owners.UnreportedFraction(
+              const double unreported = participants.UnreportedFraction(
                   {names.begin() + from, names.begin() + to});
               for (int i = from; i < to; ++i) {
-                all[i]->SetFleetSpending(
-                    "w", {total, all[i]->Spent()["w"], to - from, 0, missing});
+                all[i]->SetFleetSpending("w", {total, all[i]->Spent()["w"],
+                                               to - from, 0, unreported});
               }
             }
             manual.Advance(absl::Milliseconds(200));
@@ -281,9 +281,9 @@
   // of what is left, and refuses it although the workspace is within its quota.
   void AdmitsALargeRequestWithinTheFleetsQuota() {
     ManualClock manual;
-    QuotaTolerance allowance = kExact;
-    allowance.share_multiple = 2;
-    QuotaWindows quotas(allowance, true, Clock(&manual));
+    QuotaTolerance tolerance = kExact;
+    tolerance.share_multiple = 2;
+    QuotaWindows quotas(tolerance, true, Clock(&manual));
     quotas.SetParticipantCount(7);
     quotas.SetFleetSpending("w", {kAllowedTokens - 7000, 0, 7, 0});
     CPPUNIT_ASSERT(quotas.AdmitFromShare("w", kLimit, 1500).admitted);
@@ -296,14 +296,14 @@
   void KeepsTheLimitUnderAFlood() {
     constexpr int kInstances = 7;
     const QuotaLimit limit{100000, 100000};
-    const QuotaTolerance allowance{kWindow, 0.1, 100000, 2};
+    const QuotaTolerance tolerance{kWindow, 0.1, 100000, 2};
     const double allowed = 900000 * 1.1 + 100000;
     const bool kept = rc::check("the limit and its tolerance hold", [&] {
       ManualClock manual;
       std::vector<std::unique_ptr<QuotaWindows>> all;
       for (int i = 0; i < kInstances; ++i) {
         all.push_back(
-            std::make_unique<QuotaWindows>(allowance, true, Clock(&manual)));
+            std::make_unique<QuotaWindows>(tolerance, true, Clock(&manual)));
         all.back()->SetParticipantCount(kInstances);
       }
       const int steps = *rc::gen::inRange(50, 90);
@@ -335,7 +335,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(QuotaWindowTest, "unit-quota-window");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(QuotaWindowsTest, "unit-quota-window");
 
 }  // namespace
 }  // namespace dragonflyglade
--- a/tests/unit/unit-share-book.cc
+++ b/tests/unit/unit-share-book.cc
@@ -11,10 +11,9 @@
 constexpr double kBurst = 1000;
 
 // An instance that owns no share; two others own half of the rate each.
-class ShareBorrower {
+class Borrower {
  public:
-  ShareBorrower()
-      : limiter("self", 1, RateLimiterOptions{}, Clock(&this->manual)) {
+  Borrower() : limiter("self", 1, RateLimiterOptions{}, Clock(&this->manual)) {
     this->manual.Advance(absl::Hours(1));
     Allotment allotment{"w", 1, {}};
     for (const char* name : {"a", "b"}) {
@@ -49,8 +48,8 @@
   int waits = 0;
 };
 
-class ShareBookTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(ShareBookTest);
+class DistributedRateLimiterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(DistributedRateLimiterTest);
   CPPUNIT_TEST(AsksUnresponsivePeersAgain);
   CPPUNIT_TEST(ReportsUnresponsiveOwnersNotAnExceededRate);
   CPPUNIT_TEST(ConfirmsASmallerShareAfterLoansExpire);
@@ -62,7 +61,7 @@
   // rate for that: the owners are asked again for as long as the caller can
   // wait.
   void AsksUnresponsivePeersAgain() {
-    ShareBorrower borrower;
+    Borrower borrower;
     const Instant now = borrower.manual.Now();
     Admission first =
         borrower.limiter.BeginAdmission("w", 10, absl::Milliseconds(250));
@@ -77,7 +76,7 @@
   }
 
   void ReportsUnresponsiveOwnersNotAnExceededRate() {
-    ShareBorrower borrower;
+    Borrower borrower;
     Admission admission =
         borrower.limiter.BeginAdmission("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
@@ -109,7 +108,8 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(ShareBookTest, "unit-share-book");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(DistributedRateLimiterTest,
+                                      "unit-share-book");
 
 }  // namespace
 }  // namespace dragonflyglade
