--- a/dragonflyglade/decision/distributed_rate_limiter.cc
+++ b/dragonflyglade/decision/distributed_rate_limiter.cc
@@ -216,11 +216,12 @@
 }
 
 // Takes the tokens from the fewest buckets that can give them soon. Each of k
-// buckets gives its level and what it accrues during the wait, which is the
+// buckets gives its level plus what it accrues during the wait, which is the
 // same for all of them:
 //   wait = (tokens - sum of levels) / sum of rates.
-// More buckets mean a shorter wait but more messages; peer_request_cost weighs
-// one against the other.
+// A negative wait leaves all of them equally long to empty. More buckets mean a
+// shorter wait but more messages; peer_request_cost weighs one against the
+// other.
 std::optional<DistributedRateLimiter::Plan> DistributedRateLimiter::ChoosePlan(
     std::vector<Source> sources, double tokens, absl::Duration max_wait) const {
   const auto time_to_empty = [this, tokens](const Source& source) {
--- a/dragonflyglade/instance/allotment_keeper.cc
+++ b/dragonflyglade/instance/allotment_keeper.cc
@@ -140,7 +140,7 @@
   for (const auto& [instance, workspaces] : questions) {
     if (instance == self) {
       for (const std::string& workspace : workspaces) {
-        views[workspace].confirmed[instance] =
+        views[workspace].confirmed_epochs[instance] =
             this->shares.ConfirmedEpoch(workspace);
       }
       continue;
@@ -151,7 +151,7 @@
         this->peers.ConfirmEpochs(PeerEndpoint(*member), workspaces);
     if (!answer.Ok()) continue;
     for (const auto& [workspace, epoch] : answer.Value().epochs) {
-      views[workspace].confirmed[instance] = epoch;
+      views[workspace].confirmed_epochs[instance] = epoch;
       views[workspace].responding[instance] = answer.Value().incarnation;
     }
   }
