--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -4,7 +4,7 @@
 
 #include <dragonflyglade/decision/allotment.h>
 #include <dragonflyglade/decision/clock.h>
-#include <dragonflyglade/decision/share_book.h>
+#include <dragonflyglade/decision/distributed_rate_limiter.h>
 
 #include <atomic>
 #include <cstdio>
