--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -119,9 +119,10 @@
 
  public:
   // Failure: a workspace at three quarters of its rate sends requests of 9,000
-  // to 20,000 tokens to 82 instances. By equal shares each could spend 13,000
-  // tokens in a window, and 1,800 of 4,400 requests were refused although the
-  // workspace is within its quota. With grants by the leader all are admitted.
+  // to 20,000 tokens to 82 instances. By equal shares each instance may spend
+  // 13,000 tokens in a window, and some 1,800 of 4,400 requests are refused
+  // although the workspace is within its quota. With grants by the leader all
+  // are admitted.
   void AdmitsLargeRequestsInALargeFleetByGrants() {
     for (int seed = 0; seed < kSeeds; ++seed) {
       std::mt19937 random(seed);
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -256,7 +256,7 @@
         {"all report", kStep, kStep, {"a", "b", "c"}, 0},
         {"one does not report", kStep, kStep, {"a", "b"}, 1.0 / 2},
         {"none reports", kStep, kStep, {}, 1},
-        {"not listed for long", kStep, absl::Seconds(29), {"b", "c"}, 0},
+        {"last listed long ago", kStep, absl::Seconds(29), {"b", "c"}, 0},
         {"a newly listed one has no part yet",
          absl::Seconds(10),
          absl::Seconds(15),
@@ -278,7 +278,7 @@
       for (absl::Duration past; past < item.checked_after; past += kStep) {
         manual.Advance(kStep);
         participants.UpdateListed(
-            item.name == "not listed for long"
+            item.name == "last listed long ago"
                 ? std::vector<std::string_view>{"b", "c"}
                 : std::vector<std::string_view>{"a", "b", "c"});
       }
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -233,47 +233,46 @@
   void KeepsTheLimitOnBothSidesOfAPartition() {
     constexpr int kInstances = 7;
     constexpr int kFirstSideSize = 2;
-    const bool kept =
-        rc::check("both sides together stay inside the quota", [] {
-          ManualClock manual;
-          std::vector<std::unique_ptr<QuotaWindows>> all;
-          for (int i = 0; i < kInstances; ++i) {
-            all.push_back(
-                std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
-            all.back()->SetParticipantCount(kInstances);
-          }
-          const std::vector<std::string_view> names = {"0", "1", "2", "3",
-                                                       "4", "5", "6"};
-          QuotaParticipants participants(kWindow, Clock(&manual));
-          participants.UpdateListed(names);
-          const int steps = *rc::gen::inRange(20, 60);
-          std::vector<double> spent(steps, 0);
-          for (int step = 0; step < steps; ++step) {
-            for (int i = 0; i < kInstances; ++i) {
-              const double tokens = *rc::gen::inRange(1, 40);
-              for (int ask = 0; ask < 30; ++ask) {
-                if (all[i]->AdmitFromShare("w", kLimit, tokens).admitted) {
-                  spent[step] += tokens;
-                }
-              }
-            }
-            for (int side = 0; side < 2; ++side) {
-              const int from = side == 0 ? 0 : kFirstSideSize;
-              const int to = side == 0 ? kFirstSideSize : kInstances;
-              double total = 0;
-              for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
-              const double unreported = participants.UnreportedFraction(
-                  {names.begin() + from, names.begin() + to});
-              for (int i = from; i < to; ++i) {
-                all[i]->SetFleetSpending("w", {total, all[i]->Spent()["w"],
-                                               to - from, 0, unreported});
-              }
+    const bool kept = rc::check("both sides stay inside the quota", [] {
+      ManualClock manual;
+      std::vector<std::unique_ptr<QuotaWindows>> all;
+      for (int i = 0; i < kInstances; ++i) {
+        all.push_back(
+            std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
+        all.back()->SetParticipantCount(kInstances);
+      }
+      const std::vector<std::string_view> names = {"0", "1", "2", "3",
+                                                   "4", "5", "6"};
+      QuotaParticipants participants(kWindow, Clock(&manual));
+      participants.UpdateListed(names);
+      const int steps = *rc::gen::inRange(20, 60);
+      std::vector<double> spent(steps, 0);
+      for (int step = 0; step < steps; ++step) {
+        for (int i = 0; i < kInstances; ++i) {
+          const double tokens = *rc::gen::inRange(1, 40);
+          for (int ask = 0; ask < 30; ++ask) {
+            if (all[i]->AdmitFromShare("w", kLimit, tokens).admitted) {
+              spent[step] += tokens;
             }
-            manual.Advance(absl::Milliseconds(200));
           }
-          RC_ASSERT(MostInAWindow(spent, kWindow / absl::Milliseconds(200)) <=
-                    kAllowedTokens);
-        });
+        }
+        for (int side = 0; side < 2; ++side) {
+          const int from = side == 0 ? 0 : kFirstSideSize;
+          const int to = side == 0 ? kFirstSideSize : kInstances;
+          double total = 0;
+          for (int i = from; i < to; ++i) total += all[i]->Spent()["w"];
+          const double unreported = participants.UnreportedFraction(
+              {names.begin() + from, names.begin() + to});
+          for (int i = from; i < to; ++i) {
+            all[i]->SetFleetSpending(
+                "w", {total, all[i]->Spent()["w"], to - from, 0, unreported});
+          }
+        }
+        manual.Advance(absl::Milliseconds(200));
+      }
+      RC_ASSERT(MostInAWindow(spent, kWindow / absl::Milliseconds(200)) <=
+                kAllowedTokens);
+    });
     CPPUNIT_ASSERT(kept);
   }
 
