--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -233,7 +233,7 @@
   void KeepsTheLimitOnBothSidesOfAPartition() {
     constexpr int kInstances = 7;
     constexpr int kFirstSideSize = 2;
-    const bool kept = rc::check("both sides stay inside the quota", [] {
+    const bool kept = rc::check("both sides together stay inside", [] {
       ManualClock manual;
       std::vector<std::unique_ptr<QuotaWindows>> all;
       for (int i = 0; i < kInstances; ++i) {
