--- a/dragonflyglade/decision/allotment.cc
+++ b/dragonflyglade/decision/allotment.cc
@@ -6,174 +6,180 @@
 namespace dragonflyglade {
 namespace {
 
-std::int64_t Assumed(const OwnerShare& holder) {
-  return std::max(holder.share, holder.held);
+std::int64_t MaxInUse(const OwnerShare& owner) {
+  return std::max(owner.share, owner.in_use);
 }
 
-bool HasConfirmed(const OwnerShare& holder, std::int64_t epoch,
-                  const AllotmentInputs& view) {
-  const auto confirmed = view.confirmed.find(holder.instance);
-  if (confirmed == view.confirmed.end() || confirmed->second < epoch) {
+bool HasConfirmed(const OwnerShare& owner, std::int64_t epoch,
+                  const AllotmentInputs& inputs) {
+  const auto confirmed = inputs.confirmed_epochs.find(owner.instance);
+  if (confirmed == inputs.confirmed_epochs.end() || confirmed->second < epoch) {
     return false;
   }
-  const auto answering = view.answering.find(holder.instance);
-  return answering != view.answering.end() &&
-         answering->second == holder.incarnation;
+  const auto responding = inputs.responding.find(owner.instance);
+  return responding != inputs.responding.end() &&
+         responding->second == owner.incarnation;
 }
 
-std::vector<OwnerShare> SurvivingHolders(const Allotment& current,
-                                         const AllotmentInputs& view) {
-  std::vector<OwnerShare> holders;
-  for (OwnerShare holder : current.holders) {
-    const bool settled =
-        view.settled.count({holder.instance, holder.incarnation}) > 0;
-    if (settled && HasTerminated(holder, view)) continue;
-    if (HasConfirmed(holder, current.epoch, view)) holder.held = holder.share;
-    holders.push_back(holder);
+std::vector<OwnerShare> RetainedOwners(const Allotment& current,
+                                       const AllotmentInputs& inputs) {
+  std::vector<OwnerShare> owners;
+  for (OwnerShare owner : current.owners) {
+    const bool reclaimable =
+        inputs.reclaimable.count({owner.instance, owner.incarnation}) > 0;
+    if (reclaimable && HasTerminated(owner, inputs)) continue;
+    if (HasConfirmed(owner, current.epoch, inputs)) owner.in_use = owner.share;
+    owners.push_back(owner);
   }
-  return holders;
+  return owners;
 }
 
-OwnerShare* Find(std::vector<OwnerShare>& holders,
-                 const OwnerCandidate& candidate) {
-  for (OwnerShare& holder : holders) {
-    if (holder.instance == candidate.instance &&
-        holder.incarnation == candidate.incarnation) {
-      return &holder;
+OwnerShare* FindOwner(std::vector<OwnerShare>& owners,
+                      const OwnerCandidate& candidate) {
+  for (OwnerShare& owner : owners) {
+    if (owner.instance == candidate.instance &&
+        owner.incarnation == candidate.incarnation) {
+      return &owner;
     }
   }
   return nullptr;
 }
 
-// What each wanted candidate should have in the end: equal parts, the
-// remainder on the first by name, so that every planner computes the same.
+// The final share of each candidate: equal shares, with the remainder added to
+// the first by name, so that every instance computes the same result.
 std::map<std::string, std::int64_t> DesiredShares(
-    std::vector<OwnerCandidate> wanted) {
+    std::vector<OwnerCandidate> candidates) {
   std::map<std::string, std::int64_t> desired;
-  if (wanted.empty()) return desired;
-  std::sort(wanted.begin(), wanted.end(),
+  if (candidates.empty()) return desired;
+  std::sort(candidates.begin(), candidates.end(),
             [](const OwnerCandidate& a, const OwnerCandidate& b) {
               return a.instance < b.instance;
             });
-  const auto count = static_cast<std::int64_t>(wanted.size());
+  const auto count = static_cast<std::int64_t>(candidates.size());
   std::int64_t remainder = kFullShareMillionths % count;
-  for (const OwnerCandidate& candidate : wanted) {
+  for (const OwnerCandidate& candidate : candidates) {
     desired[candidate.instance] = kFullShareMillionths / count + remainder;
     remainder = 0;
   }
   return desired;
 }
 
-void Shrink(std::vector<OwnerShare>& holders,
-            const std::map<std::string, std::int64_t>& desired) {
-  for (OwnerShare& holder : holders) {
-    const auto want = desired.find(holder.instance);
-    const std::int64_t target = want == desired.end() ? 0 : want->second;
-    if (target >= holder.share) continue;
-    holder.held = Assumed(holder);
-    holder.share = target;
+void ShrinkShares(std::vector<OwnerShare>& owners,
+                  const std::map<std::string, std::int64_t>& desired) {
+  for (OwnerShare& owner : owners) {
+    const auto entry = desired.find(owner.instance);
+    const std::int64_t desired_share =
+        entry == desired.end() ? 0 : entry->second;
+    if (desired_share >= owner.share) continue;
+    owner.in_use = MaxInUse(owner);
+    owner.share = desired_share;
   }
 }
 
-void Grow(std::vector<OwnerShare>& holders, const AllotmentInputs& view,
-          const std::map<std::string, std::int64_t>& desired) {
-  std::int64_t free = kFullShareMillionths;
-  for (const OwnerShare& holder : holders) free -= Assumed(holder);
-  for (const OwnerCandidate& candidate : view.wanted) {
-    OwnerShare* holder = Find(holders, candidate);
-    if (holder == nullptr) {
-      holders.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
-                                   0, view.list_version});
-      holder = &holders.back();
+void GrowShares(std::vector<OwnerShare>& owners, const AllotmentInputs& inputs,
+                const std::map<std::string, std::int64_t>& desired) {
+  std::int64_t unassigned = kFullShareMillionths;
+  for (const OwnerShare& owner : owners) unassigned -= MaxInUse(owner);
+  for (const OwnerCandidate& candidate : inputs.candidates) {
+    OwnerShare* owner = FindOwner(owners, candidate);
+    if (owner == nullptr) {
+      owners.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
+                                  0, inputs.list_version});
+      owner = &owners.back();
     }
-    const std::int64_t missing =
-        desired.at(candidate.instance) - Assumed(*holder);
-    const std::int64_t added = std::clamp<std::int64_t>(missing, 0, free);
-    if (added == 0) continue;
-    holder->share = Assumed(*holder) + added;
-    holder->held = holder->share;
-    free -= added;
+    const std::int64_t shortfall =
+        desired.at(candidate.instance) - MaxInUse(*owner);
+    const std::int64_t granted =
+        std::clamp<std::int64_t>(shortfall, 0, unassigned);
+    if (granted == 0) continue;
+    owner->share = MaxInUse(*owner) + granted;
+    owner->in_use = owner->share;
+    unassigned -= granted;
   }
 }
 
-void DropEmpty(std::vector<OwnerShare>& holders) {
-  holders.erase(
-      std::remove_if(holders.begin(), holders.end(),
-                     [](const OwnerShare& h) { return Assumed(h) == 0; }),
-      holders.end());
+void RemoveEmptyShares(std::vector<OwnerShare>& owners) {
+  owners.erase(
+      std::remove_if(owners.begin(), owners.end(),
+                     [](const OwnerShare& h) { return MaxInUse(h) == 0; }),
+      owners.end());
 }
 
 }  // namespace
 
-// Failure: a holder is judged dead although it only pauses, its share goes to
-// others, and on waking it spends the same share again. Neither silence nor
-// time can tell the two apart. The platform's list names an instance until it
-// is gone, and a new incarnation at the same address can only start when the
-// old process has ended, so these two are the only proofs accepted here. A
-// list older than the grant proves nothing: it may not have the instance yet.
-bool HasTerminated(const OwnerShare& holder, const AllotmentInputs& view) {
-  const auto answering = view.answering.find(holder.instance);
-  if (answering != view.answering.end() &&
-      answering->second > holder.incarnation) {
+// Failure: a paused owner is taken for terminated and its share goes to other
+// instances; when it resumes, it spends the same share again. Missing
+// heartbeats cannot tell a paused process from a terminated one, however long
+// they are missing. Only two facts prove termination: the platform's list,
+// which names an instance until it has terminated, no longer has it; or a newer
+// incarnation responds at its address, which can start only after the old
+// process has ended. A list that is older than the grant proves nothing, since
+// it may not have the instance yet.
+bool HasTerminated(const OwnerShare& owner, const AllotmentInputs& inputs) {
+  const auto responding = inputs.responding.find(owner.instance);
+  if (responding != inputs.responding.end() &&
+      responding->second > owner.incarnation) {
     return true;
   }
-  return view.list_version > holder.listed_at &&
-         view.listed.count(holder.instance) == 0;
+  return inputs.list_version > owner.list_version &&
+         inputs.listed.count(owner.instance) == 0;
 }
 
-TerminatedOwners::TerminatedOwners(absl::Duration settle, Clock clock)
-    : settle(settle), clock(clock) {}
+TerminatedOwners::TerminatedOwners(absl::Duration settle_time, Clock clock)
+    : settle_time(settle_time), clock(clock) {}
 
-// Failure: a holder dies with promises that its borrowers still spend, its
-// share passes on at once, and the same seconds' tokens are spent twice. What
-// a holder lent is void soon after; its share waits for that.
+// Failure: an owner terminates while borrowers may still spend tokens that it
+// lent. If its share is reassigned at once, the same tokens are spent twice.
+// The loans expire within the settle time, so the share is reassigned only
+// after that.
 std::set<std::pair<std::string, std::int64_t>>
 TerminatedOwners::UpdateReclaimable(const Allotment& allotment,
-                                    const AllotmentInputs& view) {
+                                    const AllotmentInputs& inputs) {
   const Instant now = this->clock.Now();
-  std::set<std::pair<std::string, std::int64_t>> settled;
-  for (const OwnerShare& holder : allotment.holders) {
-    const std::pair<std::string, std::int64_t> name = {holder.instance,
-                                                       holder.incarnation};
-    if (!HasTerminated(holder, view)) {
-      this->since.erase(name);
+  std::set<std::pair<std::string, std::int64_t>> reclaimable;
+  for (const OwnerShare& owner : allotment.owners) {
+    const std::pair<std::string, std::int64_t> process = {owner.instance,
+                                                          owner.incarnation};
+    if (!HasTerminated(owner, inputs)) {
+      this->first_seen.erase(process);
       continue;
     }
-    const Instant first = this->since.emplace(name, now).first->second;
-    if (now - first >= this->settle) settled.insert(name);
+    const Instant first = this->first_seen.emplace(process, now).first->second;
+    if (now - first >= this->settle_time) reclaimable.insert(process);
   }
-  return settled;
+  return reclaimable;
 }
 
 bool OwnerShare::operator==(const OwnerShare& other) const {
-  return std::tie(this->instance, this->incarnation, this->share, this->held) ==
-         std::tie(other.instance, other.incarnation, other.share, other.held);
+  return std::tie(this->instance, this->incarnation, this->share,
+                  this->in_use) ==
+         std::tie(other.instance, other.incarnation, other.share, other.in_use);
 }
 
 bool Allotment::operator==(const Allotment& other) const {
   return this->workspace == other.workspace && this->epoch == other.epoch &&
-         this->holders == other.holders;
+         this->owners == other.owners;
 }
 
 std::optional<Allotment> PlanNextAllotment(const Allotment& current,
-                                           const AllotmentInputs& view) {
+                                           const AllotmentInputs& inputs) {
   Allotment next = current;
-  next.holders = SurvivingHolders(current, view);
+  next.owners = RetainedOwners(current, inputs);
   const std::map<std::string, std::int64_t> desired =
-      DesiredShares(view.wanted);
-  Shrink(next.holders, desired);
-  Grow(next.holders, view, desired);
-  DropEmpty(next.holders);
-  if (next.holders == current.holders) return std::nullopt;
+      DesiredShares(inputs.candidates);
+  ShrinkShares(next.owners, desired);
+  GrowShares(next.owners, inputs, desired);
+  RemoveEmptyShares(next.owners);
+  if (next.owners == current.owners) return std::nullopt;
   next.epoch = current.epoch + 1;
   return next;
 }
 
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation) {
-  for (const OwnerShare& holder : allotment.holders) {
-    if (holder.instance == instance && holder.incarnation == incarnation) {
-      return holder.share;
+  for (const OwnerShare& owner : allotment.owners) {
+    if (owner.instance == instance && owner.incarnation == incarnation) {
+      return owner.share;
     }
   }
   return 0;
@@ -181,7 +187,7 @@
 
 std::int64_t MaxTotalInUse(const Allotment& allotment) {
   std::int64_t total = 0;
-  for (const OwnerShare& holder : allotment.holders) total += Assumed(holder);
+  for (const OwnerShare& owner : allotment.owners) total += MaxInUse(owner);
   return total;
 }
 
--- a/dragonflyglade/decision/config_freshness.h
+++ b/dragonflyglade/decision/config_freshness.h
@@ -6,36 +6,37 @@
 
 namespace dragonflyglade {
 
-/// Whether new work may be admitted under the configuration at hand.
+/// How current the local configuration is, which decides whether new work is
+/// admitted.
 enum class ConfigFreshnessState {
-  kFresh,          ///< confirmed against the key-value service within the bound
-  kStoreOutage,    ///< nobody reaches the key-value service; serve the last one
-  kCutOff,         ///< others may follow a newer configuration; refuse new work
-  kNeverComplete,  ///< no configuration was ever complete here
+  kFresh,          ///< known to be current within the bound; admit
+  kStoreOutage,    ///< no instance reaches the key-value service; admit
+  kPartitioned,    ///< other instances may have a newer one; refuse new work
+  kNeverComplete,  ///< no complete configuration was ever received; refuse
 };
 
-/// How the instance stands among those that the platform lists.
+/// How many of the instances that the platform lists this instance reaches.
 struct PeerReachability {
-  int listed_peers = 0;     ///< listed, not leaving, other than self
-  int reachable_peers = 0;  ///< of those, how many answer heartbeats
+  int listed_peers = 0;     ///< listed, not leaving, other than this instance
+  int reachable_peers = 0;  ///< of those, how many respond to heartbeats
 };
 
-/// Tracks when the configuration was last known to be the newest.
+/// Tracks when the configuration was last known to be current.
 /// Thread-safe.
 class ConfigFreshness {
  public:
   /// @param bound age up to which the configuration counts as fresh
   ConfigFreshness(absl::Duration bound, Clock clock);
 
-  /// The configuration was the newest at this instant.
-  void ConfirmedAt(Instant at);
+  /// Records that the configuration was current at this time.
+  void MarkCurrentAt(Instant at);
 
-  /// Time since the configuration was last known to be the newest; infinite
-  /// if it never was.
+  /// Time since the configuration was last known to be current; infinite if it
+  /// never was.
   absl::Duration Age() const;
 
-  /// Decides whether to admit new work.
-  ConfigFreshnessState Right(const PeerReachability& reach) const;
+  /// Decides whether new work may be admitted.
+  ConfigFreshnessState StateFor(const PeerReachability& reach) const;
 
  private:
   const absl::Duration bound;
--- a/dragonflyglade/decision/record_store.cc
+++ b/dragonflyglade/decision/record_store.cc
@@ -15,60 +15,62 @@
 RecordStore::RecordStore(Validator validator)
     : validator(std::move(validator)) {}
 
-// Failure: a re-read answered by a lagging replica, or a peer that restarted
-// from an older copy, offers yesterday's record, and a withdrawn key works
-// again. Comparing the record's own revision refuses it on every path, since
-// the key-value service never gives a revision twice.
+// Failure: a re-read served by a lagging replica, or a peer that restarted from
+// an older copy, delivers an old version of a record, and a withdrawn key works
+// again. Comparing the record's own revision refuses old versions on every
+// path, since the key-value service never assigns a revision twice.
 ApplyResult RecordStore::ApplyVersion(const RecordVersion& version) {
   std::optional<std::string> reason;
   if (!version.deleted) reason = this->validator(version);
   absl::MutexLock lock(&this->mutex);
   Entry& entry = this->entries[version.key];
-  const std::int64_t good = RevisionOf(entry.good);
-  const std::int64_t bad = RevisionOf(entry.bad);
-  if (version.revision <= good) return ApplyResult::kStale;
+  const std::int64_t valid = RevisionOf(entry.valid);
+  const std::int64_t rejected = RevisionOf(entry.rejected);
+  if (version.revision <= valid) return ApplyResult::kStale;
   if (reason.has_value()) {
-    if (version.revision <= bad) return ApplyResult::kStale;
-    entry.bad = version;
+    if (version.revision <= rejected) return ApplyResult::kStale;
+    entry.rejected = version;
     entry.reason = *reason;
     return ApplyResult::kRejected;
   }
-  entry.good = version;
-  if (bad < version.revision) entry.bad.reset();
+  entry.valid = version;
+  if (rejected < version.revision) entry.rejected.reset();
   return ApplyResult::kApplied;
 }
 
 void RecordStore::MarkCompleteThrough(std::int64_t revision) {
   absl::MutexLock lock(&this->mutex);
-  this->complete = std::max(this->complete, revision);
+  this->complete_revision = std::max(this->complete_revision, revision);
 }
 
 std::int64_t RecordStore::CompleteRevision() const {
   absl::MutexLock lock(&this->mutex);
-  return this->complete;
+  return this->complete_revision;
 }
 
 std::vector<RecordVersion> RecordStore::ValidRecords() const {
   absl::MutexLock lock(&this->mutex);
   std::vector<RecordVersion> records;
   for (const auto& [key, entry] : this->entries) {
-    if (entry.good.has_value()) records.push_back(*entry.good);
+    if (entry.valid.has_value()) records.push_back(*entry.valid);
   }
   return records;
 }
 
-std::vector<RecordVersion> RecordStore::Since(std::int64_t revision) const {
+std::vector<RecordVersion> RecordStore::VersionsSince(
+    std::int64_t revision) const {
   std::vector<RecordVersion> records;
   {
     absl::MutexLock lock(&this->mutex);
     for (const auto& [key, entry] : this->entries) {
-      if (RevisionOf(entry.good) > revision) records.push_back(*entry.good);
-      if (RevisionOf(entry.bad) <= revision) continue;
-      // The receiver may lack the good version that stays in force.
-      if (entry.good.has_value() && entry.good->revision <= revision) {
-        records.push_back(*entry.good);
+      if (RevisionOf(entry.valid) > revision) records.push_back(*entry.valid);
+      if (RevisionOf(entry.rejected) <= revision) continue;
+      // The valid version stays in force, and the receiver may lack it even
+      // though it is older than the given revision.
+      if (entry.valid.has_value() && entry.valid->revision <= revision) {
+        records.push_back(*entry.valid);
       }
-      records.push_back(*entry.bad);
+      records.push_back(*entry.rejected);
     }
   }
   std::sort(records.begin(), records.end(),
@@ -82,9 +84,9 @@
   absl::MutexLock lock(&this->mutex);
   std::vector<RejectedRecord> rejections;
   for (const auto& [key, entry] : this->entries) {
-    if (!entry.bad.has_value()) continue;
+    if (!entry.rejected.has_value()) continue;
     rejections.push_back(
-        RejectedRecord{key, entry.bad->revision, entry.reason});
+        RejectedRecord{key, entry.rejected->revision, entry.reason});
   }
   return rejections;
 }
@@ -92,7 +94,7 @@
 bool RecordStore::HasValidVersion(std::string_view key) const {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->entries.find(key);
-  return found != this->entries.end() && found->second.good.has_value();
+  return found != this->entries.end() && found->second.valid.has_value();
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/unreported_grants.cc
+++ b/dragonflyglade/decision/unreported_grants.cc
@@ -19,8 +19,8 @@
   return true;
 }
 
-void UnreportedGrants::Reported(std::string_view process,
-                                std::int64_t through) {
+void UnreportedGrants::MarkReported(std::string_view process,
+                                    std::int64_t through) {
   const auto found = this->grants.find(process);
   if (found == this->grants.end()) return;
   std::erase_if(found->second,
@@ -28,14 +28,14 @@
   if (found->second.empty()) this->grants.erase(found);
 }
 
-// A process that ended before it reported a grant may have spent it, so the
-// grant counts until its window is over.
-double UnreportedGrants::Open(std::string_view workspace) {
+// A process that terminated before it reported a grant may have spent it, so
+// the grant counts for a whole window.
+double UnreportedGrants::UnreportedTokens(std::string_view workspace) {
   const Instant now = this->clock.Now();
   double open = 0;
   for (auto item = this->grants.begin(); item != this->grants.end();) {
     std::erase_if(item->second, [&](const Grant& grant) {
-      return now - grant.at > this->window;
+      return now - grant.granted_at > this->window;
     });
     for (const Grant& grant : item->second) {
       if (grant.workspace == workspace) open += grant.tokens;
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -7,11 +7,15 @@
 namespace dragonflyglade {
 namespace {
 
-Claim Own() { return Claim{"nonce-1", "digest-1", ClaimState::kRunning, {}}; }
+Claim OwnClaim() {
+  return Claim{"nonce-1", "digest-1", ClaimState::kRunning, {}};
+}
 
-ClaimExists Existing(const char* nonce, const char* digest, ClaimState state) {
+ClaimExists ExistingClaim(const char* nonce, const char* digest,
+                          ClaimState state) {
   Claim claim{nonce, digest, state, {}};
-  claim.answer = StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
+  claim.response =
+      StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
   return ClaimExists{SerializeClaim(claim), 7};
 }
 
@@ -29,31 +33,32 @@
 
 class ClaimTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ClaimTest);
-  CPPUNIT_TEST(DecidesWhatFollowsAWrite);
-  CPPUNIT_TEST(KeepsAnswersToTheByte);
+  CPPUNIT_TEST(DecidesTheStepAfterAWrite);
+  CPPUNIT_TEST(KeepsResponseBodiesByteForByte);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Two callers race with one key, or the service's answer to the own write
-  // is lost. Only a claim that is certainly the own one is dispatched, and
-  // nothing was dispatched before it was known.
-  void DecidesWhatFollowsAWrite() {
+  // Failure: a call runs twice, because two callers use one key at the same
+  // time or because the response to a claim's write is lost. A call is sent
+  // only when its claim is certainly this process's own, and never before that
+  // is known.
+  void DecidesTheStepAfterAWrite() {
     const std::vector<StepCase> cases = {
         {"created", ClaimCreated{3}, true, IndexOf<DispatchCall>()},
-        {"lost answer, found again",
-         Existing("nonce-1", "digest-1", ClaimState::kRunning), true,
+        {"own claim found after a lost answer",
+         ExistingClaim("nonce-1", "digest-1", ClaimState::kRunning), true,
          IndexOf<DispatchCall>()},
         {"another caller's, running",
-         Existing("nonce-2", "digest-1", ClaimState::kRunning), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kRunning), true,
          IndexOf<InProgressOrUnknown>()},
         {"another caller's, unknown",
-         Existing("nonce-2", "digest-1", ClaimState::kUnknown), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kUnknown), true,
          IndexOf<InProgressOrUnknown>()},
         {"another caller's, done",
-         Existing("nonce-2", "digest-1", ClaimState::kDone), true,
+         ExistingClaim("nonce-2", "digest-1", ClaimState::kDone), true,
          IndexOf<ReplayResponse>()},
         {"the key of another request",
-         Existing("nonce-2", "digest-2", ClaimState::kDone), true,
+         ExistingClaim("nonce-2", "digest-2", ClaimState::kDone), true,
          IndexOf<IdempotencyKeyReused>()},
         {"an unreadable claim", ClaimExists{"{", 4}, true,
          IndexOf<InProgressOrUnknown>()},
@@ -67,16 +72,17 @@
     for (const StepCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
-          DecideClaimStep(Own(), item.write, item.may_retry).index());
+          DecideClaimStep(OwnClaim(), item.write, item.may_retry).index());
     }
   }
 
-  void KeepsAnswersToTheByte() {
+  void KeepsResponseBodiesByteForByte() {
     const ClaimStep step = DecideClaimStep(
-        Own(), Existing("nonce-2", "digest-1", ClaimState::kDone), true);
-    const StoredResponse& answer = std::get<ReplayResponse>(step).answer;
-    CPPUNIT_ASSERT_EQUAL(201, answer.status);
-    CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), answer.body);
+        OwnClaim(), ExistingClaim("nonce-2", "digest-1", ClaimState::kDone),
+        true);
+    const StoredResponse& response = std::get<ReplayResponse>(step).response;
+    CPPUNIT_ASSERT_EQUAL(201, response.status);
+    CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), response.body);
   }
 };
 
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -9,48 +9,48 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr double kRate = 2;  // loads a second
+constexpr double kLoadsPerSecond = 2;
 const ModelLoadLimiterOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
-constexpr int kAllowed = 13;  // of a window: the rate, and three beside it
+constexpr int kLoadsPerWindow = 13;  // by the rate, and 3 extra loads
 
-class LoadCeilingTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(LoadCeilingTest);
-  CPPUNIT_TEST(BeginsNoMoreThanHalfAtOnce);
-  CPPUNIT_TEST(KeepsTheCeilingOverHolders);
+class ModelLoadLimiterTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ModelLoadLimiterTest);
+  CPPUNIT_TEST(AllowsHalfOfAWindowAtOnce);
+  CPPUNIT_TEST(KeepsTheLimitAcrossLeaders);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void BeginsNoMoreThanHalfAtOnce() {
+  void AllowsHalfOfAWindowAtOnce() {
     ManualClock manual;
     manual.Advance(absl::Seconds(100));
-    ModelLoadLimiter ceiling(kOptions, Clock(&manual));
-    CPPUNIT_ASSERT_EQUAL(6, ceiling.Left(kRate));
-    for (int i = 0; i < 6; ++i) ceiling.RecordLoadStart();
-    CPPUNIT_ASSERT_EQUAL(0, ceiling.Left(kRate));
+    ModelLoadLimiter limiter(kOptions, Clock(&manual));
+    CPPUNIT_ASSERT_EQUAL(6, limiter.RemainingLoads(kLoadsPerSecond));
+    for (int i = 0; i < 6; ++i) limiter.RecordLoadStart();
+    CPPUNIT_ASSERT_EQUAL(0, limiter.RemainingLoads(kLoadsPerSecond));
     manual.Advance(absl::Milliseconds(2001));
-    CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
+    CPPUNIT_ASSERT_EQUAL(5, limiter.RemainingLoads(kLoadsPerSecond));
     manual.Advance(absl::Seconds(5));
-    ceiling.OnLeadershipAcquired(kRate);
-    CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
+    limiter.OnLeadershipAcquired(kLoadsPerSecond);
+    CPPUNIT_ASSERT_EQUAL(5, limiter.RemainingLoads(kLoadsPerSecond));
   }
 
-  // The holder begins all loads that it may and dies; the next one, after the
-  // quiet time, does the same. The weight store must not see more than its
-  // rate allows in any window.
-  void KeepsTheCeilingOverHolders() {
+  // Failure: a leader begins all loads that it may and terminates, and its
+  // successor does the same after the handover delay. Together they overload
+  // the weight store. No window may have more loads than the rate allows.
+  void KeepsTheLimitAcrossLeaders() {
     const bool kept = rc::check("no window has more than allowed", [] {
       ManualClock manual;
       manual.Advance(absl::Seconds(100));
       std::deque<Instant> begun;
-      for (int holder = 0; holder < 4; ++holder) {
-        ModelLoadLimiter ceiling(kOptions, Clock(&manual));
-        ceiling.OnLeadershipAcquired(kRate);
+      for (int leader = 0; leader < 4; ++leader) {
+        ModelLoadLimiter limiter(kOptions, Clock(&manual));
+        limiter.OnLeadershipAcquired(kLoadsPerSecond);
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
-          int left = ceiling.Left(kRate);
+          int left = limiter.RemainingLoads(kLoadsPerSecond);
           if (*rc::gen::inRange(0, 2) == 0) left = 0;
           for (int i = 0; i < left; ++i) {
-            ceiling.RecordLoadStart();
+            limiter.RecordLoadStart();
             begun.push_back(manual.Now());
           }
           manual.Advance(absl::Milliseconds(100));
@@ -62,14 +62,15 @@
         for (std::size_t i = first; i < begun.size(); ++i) {
           if (begun[i] - begun[first] <= kOptions.window) count += 1;
         }
-        RC_ASSERT(count <= kAllowed);
+        RC_ASSERT(count <= kLoadsPerWindow);
       }
     });
     CPPUNIT_ASSERT(kept);
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(LoadCeilingTest, "unit-load-ceiling");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(ModelLoadLimiterTest,
+                                      "unit-load-ceiling");
 
 }  // namespace
 }  // namespace dragonflyglade
