--- a/dragonflyglade/decision/backoff.h
+++ b/dragonflyglade/decision/backoff.h
@@ -8,23 +8,24 @@
 
 namespace dragonflyglade {
 
-/// Growing pauses with full jitter between attempts. Not synchronised.
+/// Exponential backoff with full jitter. Not thread-safe.
 class Backoff {
  public:
-  /// @param first the longest first pause
-  /// @param longest the longest pause ever
-  Backoff(absl::Duration first, absl::Duration longest, std::uint64_t seed);
+  /// @param initial_limit upper limit of the first delay
+  /// @param max_limit upper limit of every delay
+  Backoff(absl::Duration initial_limit, absl::Duration max_limit,
+          std::uint64_t seed);
 
-  /// The pause before the next attempt: uniform in (0, limit], where the
-  /// limit doubles with each call.
+  /// The delay before the next attempt, uniform in (0, limit]. The limit
+  /// doubles with each call up to max_limit.
   absl::Duration Next();
 
-  /// The last attempt succeeded.
+  /// Resets the limit to initial_limit after an attempt succeeded.
   void Reset();
 
  private:
-  const absl::Duration first;
-  const absl::Duration longest;
+  const absl::Duration initial_limit;
+  const absl::Duration max_limit;
   absl::Duration limit;
   std::mt19937_64 random;
 };
--- a/dragonflyglade/decision/duty_lease.h
+++ b/dragonflyglade/decision/duty_lease.h
@@ -9,62 +9,72 @@
 
 namespace dragonflyglade {
 
-/// Two readings at one moment. The steady clock stands still while the
-/// machine is suspended, the boot clock does not.
+/// The steady clock and the boot clock, read at the same moment. The steady
+/// clock stops while the machine is suspended, the boot clock does not.
 struct LocalTime {
   Instant steady;
   Instant boot;
 };
 
-/// Times of a duty's lease.
+/// Timing of the leader lease.
 struct DutyLeaseOptions {
-  /// Orders of two holders to one target must lie further apart than this.
+  /// Minimum time between the last order of one leader and the first order of
+  /// the next leader to the same target.
   absl::Duration quiet_between_holders = absl::Seconds(3);
-  /// Taken off the lease: what the store's clock and an order on its way may
-  /// add between the last check here and the order's arrival there.
+  /// Subtracted from the lease's time to live. Covers the error of the store's
+  /// clock and the time from the last check of the lease until the order
+  /// arrives at the target.
   absl::Duration margin = absl::Milliseconds(400);
 };
 
-/// Whether this instance may act as the holder of a duty right now.
-/// Not synchronised.
+/// Decides whether this instance is the leader and may issue orders now.
+/// Not thread-safe.
 ///
-/// A renewal counts from when it was sent, the earliest moment at which the
-/// store can have taken it. So this instance stops before the store lets
-/// another one in, also when answers are lost or it was suspended in between:
-/// either clock running out is enough.
+/// The time to live counts from when the renewal was sent, the earliest moment
+/// at which the store can have received it. The lease has expired as soon as
+/// one of the two clocks says so. So this instance stops before the store
+/// grants the lease to another instance, even if responses were lost or the
+/// machine was suspended.
 class DutyLease {
  public:
   using ReadTime = std::function<LocalTime()>;
 
-  DutyLease(DutyLeaseOptions options, ReadTime read);
+  DutyLease(DutyLeaseOptions options, ReadTime read_clocks);
 
-  /// The duty was acquired under a lease that was renewed at sent.
-  /// @param fence grows with each holder
-  void Acquired(std::uint64_t fence, LocalTime sent, absl::Duration ttl);
+  /// Records that this instance became the leader.
+  /// @param fencing_token increases with each new leader
+  /// @param sent_at when the last renewal of the lease was sent
+  /// @param ttl time to live of the lease
+  void Acquired(std::uint64_t fencing_token, LocalTime sent_at,
+                absl::Duration ttl);
 
-  /// The lease was renewed by a call sent at that time.
-  void Renewed(LocalTime sent, absl::Duration ttl);
+  /// Records that the lease was renewed by a call that was sent at `sent_at`.
+  void Renewed(LocalTime sent_at, absl::Duration ttl);
 
+  /// Records that this instance is no longer the leader.
   void Lost();
 
-  /// Holding according to the store, whether or not orders may go out.
+  /// Whether this instance is the leader according to the store, even if it
+  /// may not issue orders now.
   bool Held() const { return this->held; }
 
-  /// Whether an order may be sent now. False for a while after the duty was
-  /// acquired: an order of the holder before may still be on its way.
+  /// Whether this instance may issue an order now. False for a while after it
+  /// became the leader, because an order of the previous leader may still be in
+  /// transit.
   bool MayAct() const;
 
-  /// When MayAct can become true after Acquired, on the steady clock.
+  /// The earliest time on the steady clock at which MayAct can become true
+  /// after Acquired.
   Instant QuietUntil() const;
 
-  std::uint64_t Fence() const { return this->fence; }
+  std::uint64_t Fence() const { return this->fencing_token; }
 
  private:
   const DutyLeaseOptions options;
-  const ReadTime read;
+  const ReadTime read_clocks;
   bool held = false;
-  std::uint64_t fence = 0;
-  LocalTime acquired;
+  std::uint64_t fencing_token = 0;
+  LocalTime acquired_at;
   LocalTime valid_until;
 };
 
--- a/tests/unit/unit-duty-lease.cc
+++ b/tests/unit/unit-duty-lease.cc
@@ -9,53 +9,55 @@
 
 constexpr absl::Duration kTtl = absl::Seconds(4);
 
-struct MayActCase {
+struct LeaseCase {
   const char* what;
   absl::Duration renewed_at;  ///< both clocks, when the call was sent
   absl::Duration steady_now;
   absl::Duration boot_now;
-  bool may_act;
+  bool may_issue_orders;
 };
 
-class DutyLeaseTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(DutyLeaseTest);
-  CPPUNIT_TEST(ActsOnlyWhileBothClocksShowTheLease);
-  CPPUNIT_TEST(StopsWhenTheLeaseIsLost);
+class LeaderLeaseTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(LeaderLeaseTest);
+  CPPUNIT_TEST(IssuesOrdersOnlyWhileValidByBothClocks);
+  CPPUNIT_TEST(StopsWhenLeaseIsLost);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Two instances give one engine orders, and it loads more than it holds.
-  // The first was suspended after its last renewal; its steady clock stood
-  // still, so by that clock alone its lease would still run when it wakes,
-  // while the store has let another instance in.
-  void ActsOnlyWhileBothClocksShowTheLease() {
-    const std::vector<MayActCase> cases = {
-        {"just acquired: an order of the last holder may be on its way",
+  // Failure: two instances issue orders to one engine, which loads more than
+  // fits into its memory. The first instance was suspended after its last
+  // renewal. Its steady clock stopped meanwhile, so by that clock alone its
+  // lease is still valid when it resumes, although another instance is the
+  // leader.
+  void IssuesOrdersOnlyWhileValidByBothClocks() {
+    const std::vector<LeaseCase> cases = {
+        {"just acquired: an order of the last leader may be in transit",
          absl::Seconds(0), absl::Seconds(1), absl::Seconds(1), false},
-        {"the quiet time is over", absl::Seconds(2), absl::Seconds(3),
+        {"the handover delay is over", absl::Seconds(2), absl::Seconds(3),
          absl::Seconds(3), true},
-        {"the end of the lease less the margin", absl::Seconds(2),
+        {"just before the end of the lease less the margin", absl::Seconds(2),
          absl::Milliseconds(5599), absl::Milliseconds(5599), true},
         {"within the margin", absl::Seconds(2), absl::Milliseconds(5600),
          absl::Milliseconds(5600), false},
-        {"suspended: only the boot clock went on", absl::Seconds(2),
+        {"suspended: only the boot clock advanced", absl::Seconds(2),
          absl::Seconds(3), absl::Seconds(60), false},
-        {"only the steady clock shows the end", absl::Seconds(2),
+        {"expired by the steady clock only", absl::Seconds(2),
          absl::Seconds(60), absl::Seconds(3), false},
     };
-    for (const MayActCase& item : cases) {
+    for (const LeaseCase& item : cases) {
       LocalTime now{absl::ZeroDuration(), absl::ZeroDuration()};
       DutyLease lease({absl::Seconds(3), absl::Milliseconds(400)},
                       [&now] { return now; });
       lease.Acquired(7, now, kTtl);
       lease.Renewed({item.renewed_at, item.renewed_at}, kTtl);
       now = {item.steady_now, item.boot_now};
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.may_act, lease.MayAct());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.may_issue_orders,
+                                   lease.MayAct());
       CPPUNIT_ASSERT(lease.Held());
     }
   }
 
-  void StopsWhenTheLeaseIsLost() {
+  void StopsWhenLeaseIsLost() {
     LocalTime now{absl::ZeroDuration(), absl::ZeroDuration()};
     DutyLease lease({absl::ZeroDuration(), absl::ZeroDuration()},
                     [&now] { return now; });
@@ -69,7 +71,7 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(DutyLeaseTest, "unit-duty-lease");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(LeaderLeaseTest, "unit-duty-lease");
 
 }  // namespace
 }  // namespace dragonflyglade
