--- a/dragonflyglade/decision/instance_choice.cc
+++ b/dragonflyglade/decision/instance_choice.cc
@@ -10,23 +10,23 @@
 namespace dragonflyglade {
 namespace {
 
-// Processor time for one event of a stream, all work of a gateway spread over
-// its events: 3.6 core-seconds for 92,000 events on a calm day of 7 instances.
+// All processor time of an instance per stream event that it forwards: 7
+// instances under normal load took 3.6 core-seconds for 92,000 events.
 constexpr double kCoreSecondsPerEvent = 39e-6;
-// An event with its framing, on the way in and on the way out.
+// A stream event with its framing, received from a target and sent to a caller.
 constexpr double kBytesPerEvent = 300;
 constexpr double kBytesPerMegabit = 125000;
 
-// Callers of one instance share its connections to targets and what it knows
-// of their load, so few strong instances serve them better than many weak
-// ones. At half of the strongest one's capacity an instance still counts as
-// strong: today's fleets of equal instances are listed whole.
-constexpr double kStrongShare = 0.5;
-// So that a zone whose only strong instance fails still has one nearby.
-constexpr int kFewestInZone = 2;
-// Demand grows tenfold within an hour. The whole fleet is sized for that, so a
-// tenth of it carries ordinary days, and twice as much while some have failed.
-constexpr double kLeastPartOfCapacity = 0.2;
+// Callers of one instance share its connections to targets and its knowledge of
+// their load, so a few large instances serve them better than many small ones.
+// An instance with half of the largest capacity still counts as large, so a
+// fleet of similar instances is chosen whole.
+constexpr double kMinRelativeCapacity = 0.5;
+// A zone whose only large instance fails still has an instance in the zone.
+constexpr int kMinInstancesPerZone = 2;
+// Demand can grow tenfold within an hour, and the fleet is sized for that. So a
+// tenth of its capacity serves normal load; twice as much allows for failures.
+constexpr double kMinTotalCapacityShare = 0.2;
 
 constexpr std::string_view kOrderKey = "callers";
 
@@ -57,26 +57,28 @@
     absl::Span<const InstanceOffer> offers) {
   const std::vector<std::size_t> order = ByStrength(offers, kOrderKey);
   if (order.empty()) return {};
-  const double strong = kStrongShare * offers[order.front()].capacity;
-  const double whole = std::accumulate(
+  const double min_capacity =
+      kMinRelativeCapacity * offers[order.front()].capacity;
+  const double total_capacity = std::accumulate(
       offers.begin(), offers.end(), 0.0,
       [](double sum, const InstanceOffer& one) { return sum + one.capacity; });
-  std::map<std::string_view, int> in_zone;
+  std::map<std::string_view, int> chosen_in_zone;
   std::vector<std::size_t> chosen;
   std::vector<std::size_t> others;
   double capacity = 0;
   for (const std::size_t index : order) {
     const InstanceOffer& offer = offers[index];
-    if (offer.capacity < strong && in_zone[offer.zone] >= kFewestInZone) {
+    if (offer.capacity < min_capacity &&
+        chosen_in_zone[offer.zone] >= kMinInstancesPerZone) {
       others.push_back(index);
       continue;
     }
-    in_zone[offer.zone] += 1;
+    chosen_in_zone[offer.zone] += 1;
     capacity += offer.capacity;
     chosen.push_back(index);
   }
   for (const std::size_t index : others) {
-    if (capacity >= kLeastPartOfCapacity * whole) break;
+    if (capacity >= kMinTotalCapacityShare * total_capacity) break;
     capacity += offers[index].capacity;
     chosen.push_back(index);
   }
--- a/dragonflyglade/decision/instance_choice.h
+++ b/dragonflyglade/decision/instance_choice.h
@@ -9,30 +9,34 @@
 
 namespace dragonflyglade {
 
-/// An instance that callers could be sent to.
+/// An instance that callers could be directed to.
 struct InstanceOffer {
   std::string_view name;
-  std::string_view zone;
-  double capacity = 0;  ///< see InstanceCapacity
+  std::string_view zone;  ///< availability zone
+  double capacity = 0;    ///< stream events per second; see InstanceCapacity
 };
 
-/// Stream events a second that an instance can pass on.
-/// @param cores of the processor, fractions included
-/// @param link_mbps of its network link, megabits a second
+/// Stream events per second that an instance can forward to callers.
+/// @param cores number of processor cores, which may be fractional
+/// @param link_mbps bandwidth of its network link in megabits per second
 double InstanceCapacity(double cores, double link_mbps);
 
-/// The instances that callers are sent to: those of at least half of the
-/// strongest one's capacity, the two strongest of each zone, and as many more
-/// as it takes for a fifth of the fleet's capacity.
+/// Chooses the instances that callers are directed to: those with at least half
+/// of the largest capacity, at least two of each availability zone, and as many
+/// more as are needed for a fifth of the total capacity.
 ///
-/// All instances choose the same from the same offers.
-/// @return indexes into the offers, the strongest first
+/// The choice does not depend on the order of the offers, so all instances that
+/// know the same offers choose the same instances.
+/// @return indexes into the offers by decreasing capacity, those that were
+/// added
+///   for the total capacity last
 /// Complexity: O(n log n).
 std::vector<std::size_t> ChooseInstances(
     absl::Span<const InstanceOffer> offers);
 
-/// The offers' order of strength: by capacity, then by a stable hash, so that
-/// equal instances do not all prefer the same one for different keys.
+/// Orders the offers by decreasing capacity. A stable hash of key and name
+/// orders those of equal capacity, differently for each key.
+/// @return indexes into the offers
 std::vector<std::size_t> ByStrength(absl::Span<const InstanceOffer> offers,
                                     std::string_view key);
 
--- a/dragonflyglade/decision/rendezvous.cc
+++ b/dragonflyglade/decision/rendezvous.cc
@@ -1,6 +1,6 @@
 #include "dragonflyglade/decision/rendezvous.h"
 
-// Compiled in, so that the installed library needs no other to link with.
+// Inlines xxHash, so that users of the installed library need not link with it.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
--- a/dragonflyglade/decision/rendezvous.h
+++ b/dragonflyglade/decision/rendezvous.h
@@ -16,19 +16,19 @@
 /// @param seed separates independent uses of the same text
 std::uint64_t StableHash(std::string_view text, std::uint64_t seed = 0);
 
-/// The members that own a key by highest random weight.
-/// Every process that knows the same members names the same owners, and one
-/// member's arrival or departure moves only the keys that it owns.
+/// The members that own a key by rendezvous (highest random weight) hashing.
+/// All processes that know the same members compute the same owners. When a
+/// member joins or leaves, only the keys that it owns get other owners.
 /// @param key what is owned, e.g. a workspace
-/// @param members candidate names
-/// @param count how many owners are wanted
-/// @return at most count names, the heaviest first
+/// @param members names of the candidates
+/// @param count maximum number of owners
+/// @return at most count names, the one with the highest weight first
 /// Complexity: O(n log n) in the members.
 std::vector<std::string> RendezvousOwners(std::string_view key,
                                           absl::Span<const std::string> members,
                                           std::size_t count);
 
-/// Whether self is among the first count owners of key.
+/// Whether the member `self` is among the first count owners of the key.
 bool IsRendezvousOwner(std::string_view key, std::string_view self,
                        absl::Span<const std::string> members,
                        std::size_t count);
--- a/tests/unit/unit-instance-choice.cc
+++ b/tests/unit/unit-instance-choice.cc
@@ -11,7 +11,7 @@
 namespace dragonflyglade {
 namespace {
 
-// Instances of one strength in one zone.
+// Instances with the same capacity in one availability zone.
 struct Group {
   std::string zone;
   int count = 0;
@@ -23,9 +23,9 @@
   std::vector<InstanceOffer> offers;
 
   explicit Fleet(const std::vector<Group>& groups) {
-    std::size_t whole = 0;
-    for (const Group& group : groups) whole += group.count;
-    this->names.reserve(whole);
+    std::size_t total = 0;
+    for (const Group& group : groups) total += group.count;
+    this->names.reserve(total);
     for (const Group& group : groups) {
       for (int i = 0; i < group.count; ++i) {
         this->names.push_back("i-" + std::to_string(this->names.size()));
@@ -38,53 +38,53 @@
 
 class InstanceChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(InstanceChoiceTest);
-  CPPUNIT_TEST(SendsCallersToStrongInstances);
-  CPPUNIT_TEST(ReplacesThoseThatAreGone);
-  CPPUNIT_TEST(AgreesWhateverTheOrderOfOffers);
-  CPPUNIT_TEST(TakesTheNarrowerOfProcessorAndLink);
+  CPPUNIT_TEST(ChoosesLargeInstances);
+  CPPUNIT_TEST(ReplacesFailedInstances);
+  CPPUNIT_TEST(IgnoresOrderOfCandidates);
+  CPPUNIT_TEST(LimitsCapacityByProcessorAndLink);
   CPPUNIT_TEST_SUITE_END();
 
-  // Sent to all alike, callers of a fleet with few strong and many weak
-  // instances mostly meet weak ones, each with little traffic of its own and
-  // no kept connections. Listed must be the strong ones, some of each zone,
-  // and enough of the whole.
-  void SendsCallersToStrongInstances() {
+  // Failure: in a fleet with few large and many small instances, callers that
+  // are spread evenly mostly use small instances, which have little traffic and
+  // therefore no open connections to targets. The choice must consist of the
+  // large instances, some of each zone, and enough of the total capacity.
+  void ChoosesLargeInstances() {
     struct Case {
       std::string name;
       std::vector<Group> groups;
-      std::size_t listed;
+      std::size_t expected;
     };
     const std::vector<Case> cases = {
         {"none", {}, 0},
         {"one", {{"a", 1, 5}}, 1},
-        {"equal ones are listed whole", {{"a", 4, 5}, {"b", 3, 5}}, 7},
-        {"few strong, many weak",
+        {"all of equal capacity", {{"a", 4, 5}, {"b", 3, 5}}, 7},
+        {"few large, many small",
          {{"a", 2, 12}, {"b", 2, 12}, {"a", 18, 3}, {"b", 18, 3}},
          4},
-        {"a zone without strong ones", {{"a", 4, 12}, {"b", 8, 3}}, 6},
-        {"a strong one is not enough", {{"a", 1, 12}, {"a", 40, 3}}, 6},
-        {"strong ones for twice an ordinary day",
+        {"a zone without large instances", {{"a", 4, 12}, {"b", 8, 3}}, 6},
+        {"the large instance is not enough", {{"a", 1, 12}, {"a", 40, 3}}, 6},
+        {"large instances for twice the normal load",
          {{"a", 9, 12}, {"b", 9, 12}, {"a", 138, 3}, {"b", 138, 3}},
          18},
-        {"half as strong counts as strong", {{"a", 2, 12}, {"a", 6, 6}}, 8},
+        {"half of the largest counts as large", {{"a", 2, 12}, {"a", 6, 6}}, 8},
     };
     for (const Case& item : cases) {
       const Fleet fleet(item.groups);
       const auto chosen = ChooseInstances(fleet.offers);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.listed, chosen.size());
-      const std::set<std::size_t> once(chosen.begin(), chosen.end());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, chosen.size(), once.size());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.expected, chosen.size());
+      const std::set<std::size_t> distinct(chosen.begin(), chosen.end());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, chosen.size(), distinct.size());
     }
   }
 
-  // All strong instances are killed at once. Callers that ask again must be
-  // sent to the weak ones, of each zone, with a fifth of what is left.
-  void ReplacesThoseThatAreGone() {
+  // All large instances have failed at once. Callers must be directed to the
+  // small instances that are left.
+  void ReplacesFailedInstances() {
     const Fleet fleet({{"a", 10, 3}, {"b", 10, 3}});
     CPPUNIT_ASSERT_EQUAL(std::size_t{20}, ChooseInstances(fleet.offers).size());
   }
 
-  void AgreesWhateverTheOrderOfOffers() {
+  void IgnoresOrderOfCandidates() {
     const Fleet fleet({{"a", 1, 12}, {"a", 20, 3}, {"b", 20, 3}});
     const auto names = [&](const std::vector<InstanceOffer>& offers) {
       std::set<std::string> result;
@@ -98,7 +98,7 @@
     CPPUNIT_ASSERT(names(fleet.offers) == names(reversed));
   }
 
-  void TakesTheNarrowerOfProcessorAndLink() {
+  void LimitsCapacityByProcessorAndLink() {
     CPPUNIT_ASSERT(InstanceCapacity(0.5, 200) > InstanceCapacity(0.12, 200));
     CPPUNIT_ASSERT(InstanceCapacity(0.5, 1) < InstanceCapacity(0.12, 10));
   }
