--- a/dragonflyglade/decision/refusal.cc
+++ b/dragonflyglade/decision/refusal.cc
@@ -6,47 +6,50 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr bool kLater = true;
-constexpr bool kNever = false;
+constexpr bool kRetryLater = true;
+constexpr bool kNoRetry = false;
 
-// In the order of RefusalCode; a unit test walks the whole table.
-constexpr std::array<RefusalRule, kRefusalCodes> kRules = {{
-    {RefusalCode::kBadRequest, "bad_request", 400, Ran::kNo, kNever},
-    {RefusalCode::kMissingKey, "missing_key", 401, Ran::kNo, kNever},
-    {RefusalCode::kUnknownKey, "unknown_key", 401, Ran::kNo, kNever},
-    {RefusalCode::kKeyWithdrawn, "key_withdrawn", 401, Ran::kNo, kNever},
-    {RefusalCode::kNotFound, "not_found", 404, Ran::kNo, kNever},
+// Indexed by RefusalCode; a unit test checks every entry.
+constexpr std::array<RefusalRule, kRefusalCodeCount> kRules = {{
+    {RefusalCode::kBadRequest, "bad_request", 400, Ran::kNo, kNoRetry},
+    {RefusalCode::kMissingKey, "missing_key", 401, Ran::kNo, kNoRetry},
+    {RefusalCode::kUnknownKey, "unknown_key", 401, Ran::kNo, kNoRetry},
+    {RefusalCode::kKeyWithdrawn, "key_withdrawn", 401, Ran::kNo, kNoRetry},
+    {RefusalCode::kNotFound, "not_found", 404, Ran::kNo, kNoRetry},
     {RefusalCode::kMethodNotAllowed, "method_not_allowed", 405, Ran::kNo,
-     kNever},
-    {RefusalCode::kBodyTooLarge, "body_too_large", 413, Ran::kNo, kNever},
-    {RefusalCode::kCostAboveBurst, "cost_above_burst", 400, Ran::kNo, kNever},
-    {RefusalCode::kOverRate, "over_rate", 429, Ran::kNo, kLater},
-    {RefusalCode::kNoRate, "no_rate", 403, Ran::kNo, kNever},
-    {RefusalCode::kNoShare, "no_share", 503, Ran::kNo, kLater},
-    {RefusalCode::kNotReady, "not_ready", 503, Ran::kNo, kLater},
+     kNoRetry},
+    {RefusalCode::kBodyTooLarge, "body_too_large", 413, Ran::kNo, kNoRetry},
+    {RefusalCode::kCostAboveBurst, "cost_above_burst", 400, Ran::kNo, kNoRetry},
+    {RefusalCode::kOverRate, "over_rate", 429, Ran::kNo, kRetryLater},
+    {RefusalCode::kNoRate, "no_rate", 403, Ran::kNo, kNoRetry},
+    {RefusalCode::kNoShare, "no_share", 503, Ran::kNo, kRetryLater},
+    {RefusalCode::kNotReady, "not_ready", 503, Ran::kNo, kRetryLater},
     {RefusalCode::kConfigurationStale, "configuration_stale", 503, Ran::kNo,
-     kLater},
-    {RefusalCode::kDraining, "draining", 503, Ran::kNo, kLater},
+     kRetryLater},
+    {RefusalCode::kDraining, "draining", 503, Ran::kNo, kRetryLater},
     {RefusalCode::kModelNotResident, "model_not_resident", 503, Ran::kNo,
-     kLater},
-    {RefusalCode::kTargetsBusy, "targets_busy", 503, Ran::kNo, kLater},
+     kRetryLater},
+    {RefusalCode::kTargetsBusy, "targets_busy", 503, Ran::kNo, kRetryLater},
     {RefusalCode::kTargetsUnreachable, "targets_unreachable", 503, Ran::kNo,
-     kLater},
-    {RefusalCode::kQueueFull, "queue_full", 503, Ran::kNo, kLater},
+     kRetryLater},
+    {RefusalCode::kQueueFull, "queue_full", 503, Ran::kNo, kRetryLater},
     {RefusalCode::kClaimServiceUnavailable, "claim_service_unavailable", 503,
-     Ran::kNo, kLater},
-    {RefusalCode::kClaimInDoubt, "claim_in_doubt", 409, Ran::kUnknown, kLater},
+     Ran::kNo, kRetryLater},
+    {RefusalCode::kClaimInDoubt, "claim_in_doubt", 409, Ran::kUnknown,
+     kRetryLater},
     {RefusalCode::kIdempotencyKeyReused, "idempotency_key_reused", 422,
-     Ran::kNo, kNever},
-    {RefusalCode::kTargetRefused, "target_refused", 502, Ran::kUnknown, kNever},
-    {RefusalCode::kTargetTimeout, "target_timeout", 504, Ran::kUnknown, kNever},
-    {RefusalCode::kTargetLost, "target_lost", 502, Ran::kUnknown, kNever},
+     Ran::kNo, kNoRetry},
+    {RefusalCode::kTargetRefused, "target_refused", 502, Ran::kUnknown,
+     kNoRetry},
+    {RefusalCode::kTargetTimeout, "target_timeout", 504, Ran::kUnknown,
+     kNoRetry},
+    {RefusalCode::kTargetLost, "target_lost", 502, Ran::kUnknown, kNoRetry},
     {RefusalCode::kAnswerTruncated, "answer_truncated", 502, Ran::kUnknown,
-     kNever},
+     kNoRetry},
     {RefusalCode::kAnswerMismatch, "answer_mismatch", 502, Ran::kUnknown,
-     kNever},
-    {RefusalCode::kStreamEnded, "stream_ended", 502, Ran::kUnknown, kNever},
-    {RefusalCode::kInternal, "internal", 500, Ran::kUnknown, kNever},
+     kNoRetry},
+    {RefusalCode::kStreamEnded, "stream_ended", 502, Ran::kUnknown, kNoRetry},
+    {RefusalCode::kInternal, "internal", 500, Ran::kUnknown, kNoRetry},
 }};
 
 }  // namespace
--- a/dragonflyglade/decision/refusal.h
+++ b/dragonflyglade/decision/refusal.h
@@ -9,7 +9,7 @@
 
 namespace dragonflyglade {
 
-/// Each way in which a request is refused or fails.
+/// Why a request was refused or failed.
 enum class RefusalCode {
   kBadRequest,
   kMissingKey,
@@ -41,25 +41,25 @@
   kInternal,
 };
 
-inline constexpr int kRefusalCodes =
+inline constexpr int kRefusalCodeCount =
     static_cast<int>(RefusalCode::kInternal) + 1;
 
-/// Whether the refused call may have run at a target.
+/// Whether a target may have executed the refused request.
 enum class Ran { kNo, kUnknown };
 
-/// What a refusal code means to the caller.
+/// The response that a refusal code leads to.
 struct RefusalRule {
   RefusalCode code;
   std::string_view name;  ///< the `code` of the JSON error
   int http_status;
   Ran ran;
-  bool retry_later;  ///< carries Retry-After
+  bool retry_later;  ///< whether the response has a Retry-After header
 };
 
-/// The rule of a code.
+/// The rule for a code.
 const RefusalRule& RuleOf(RefusalCode code);
 
-/// A refusal as it goes to the caller.
+/// A refusal that is sent to a caller.
 struct Refusal {
   RefusalCode code = RefusalCode::kInternal;
   std::string message;
@@ -69,7 +69,7 @@
 /// The name of a Ran value: "no" or "unknown".
 std::string_view NameOf(Ran ran);
 
-/// The JSON body of a refusal.
+/// The JSON body of the response to a refused request.
 std::string RefusalBody(const Refusal& refusal, std::string_view request_id);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/retry_budget.cc
+++ b/dragonflyglade/decision/retry_budget.cc
@@ -4,18 +4,21 @@
 
 namespace dragonflyglade {
 
-RetryBudget::RetryBudget(double share, double reserve)
-    : share(share), reserve(reserve), left(reserve) {}
+RetryBudget::RetryBudget(double retries_per_request, double max_retries)
+    : retries_per_request(retries_per_request),
+      max_retries(max_retries),
+      available_retries(max_retries) {}
 
 void RetryBudget::RequestMade() {
   absl::MutexLock lock(&this->mutex);
-  this->left = std::min(this->reserve, this->left + this->share);
+  this->available_retries = std::min(
+      this->max_retries, this->available_retries + this->retries_per_request);
 }
 
 bool RetryBudget::TakeRetry() {
   absl::MutexLock lock(&this->mutex);
-  if (this->left < 1) return false;
-  this->left -= 1;
+  if (this->available_retries < 1) return false;
+  this->available_retries -= 1;
   return true;
 }
 
--- a/dragonflyglade/decision/retry_budget.h
+++ b/dragonflyglade/decision/retry_budget.h
@@ -5,25 +5,25 @@
 
 namespace dragonflyglade {
 
-/// Keeps retries to a share of the traffic, so that they cannot multiply the
+/// Limits retries to a share of the requests, so that they cannot multiply the
 /// load when many targets fail at once. Thread-safe.
 class RetryBudget {
  public:
-  /// @param share retries earned by one request, e.g. 0.1
-  /// @param reserve the most retries that can be saved up
-  RetryBudget(double share, double reserve);
+  /// @param retries_per_request retries that each request adds, e.g. 0.1
+  /// @param max_retries the most retries that can accumulate
+  RetryBudget(double retries_per_request, double max_retries);
 
-  /// A first attempt was made.
+  /// Counts the first attempt of a request.
   void RequestMade();
 
-  /// Takes one retry, if one is left.
+  /// Consumes one retry. Returns false if none is available.
   bool TakeRetry();
 
  private:
-  const double share;
-  const double reserve;
+  const double retries_per_request;
+  const double max_retries;
   absl::Mutex mutex;
-  double left ABSL_GUARDED_BY(mutex);
+  double available_retries ABSL_GUARDED_BY(mutex);
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/route_table.cc
+++ b/dragonflyglade/decision/route_table.cc
@@ -9,7 +9,7 @@
 namespace dragonflyglade {
 namespace {
 
-std::string PlainHost(std::string_view host) {
+std::string NormalizeHost(std::string_view host) {
   const std::size_t colon = host.rfind(':');
   if (colon != std::string_view::npos) host = host.substr(0, colon);
   std::string lower(host);
@@ -17,7 +17,7 @@
   return lower;
 }
 
-std::string PlaceKey(const std::string& host, std::string_view prefix) {
+std::string RouteKey(const std::string& host, std::string_view prefix) {
   std::string key = host;
   key.append(prefix);
   return key;
@@ -28,11 +28,12 @@
 RouteTable::RouteTable(std::vector<Route> routes) : routes(std::move(routes)) {
   for (std::size_t i = 0; i < this->routes.size(); ++i) {
     const Route& route = this->routes[i];
-    this->by_place.emplace(PlaceKey(PlainHost(route.host), route.prefix), i);
-    for (const WeightedService& item : route.services) {
+    this->index_by_key.emplace(
+        RouteKey(NormalizeHost(route.host), route.prefix), i);
+    for (const WeightedService& entry : route.services) {
       absl::Duration& shortest =
           this->pause_objectives
-              .try_emplace(item.service, absl::InfiniteDuration())
+              .try_emplace(entry.service, absl::InfiniteDuration())
               .first->second;
       shortest = std::min(shortest, route.pause_objective);
     }
@@ -41,12 +42,12 @@
 
 const Route* RouteTable::Find(std::string_view host,
                               std::string_view path) const {
-  const std::string plain = PlainHost(host);
+  const std::string normalized_host = NormalizeHost(host);
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
-    const auto found =
-        this->by_place.find(PlaceKey(plain, path.substr(0, slash + 1)));
-    if (found != this->by_place.end()) return &this->routes[found->second];
+    const auto found = this->index_by_key.find(
+        RouteKey(normalized_host, path.substr(0, slash + 1)));
+    if (found != this->index_by_key.end()) return &this->routes[found->second];
     if (slash == 0) break;
     slash = path.rfind('/', slash - 1);
   }
@@ -62,16 +63,16 @@
 std::string_view PickService(absl::Span<const WeightedService> services,
                              double draw) {
   double total = 0;
-  for (const WeightedService& item : services) total += item.weight;
-  double left = draw * total;
-  std::string_view last;
-  for (const WeightedService& item : services) {
-    if (item.weight <= 0) continue;
-    last = item.service;
-    left -= item.weight;
-    if (left < 0) break;
+  for (const WeightedService& entry : services) total += entry.weight;
+  double remaining = draw * total;
+  std::string_view picked;
+  for (const WeightedService& entry : services) {
+    if (entry.weight <= 0) continue;
+    picked = entry.service;
+    remaining -= entry.weight;
+    if (remaining < 0) break;
   }
-  return last;
+  return picked;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/target_book.cc
+++ b/dragonflyglade/decision/target_book.cc
@@ -10,14 +10,16 @@
 namespace dragonflyglade {
 namespace {
 
-// Time after which a report counts for a third.
-constexpr absl::Duration kReportTrust = absl::Milliseconds(500);
-constexpr double kUnknownSlots = 16;
-// What a full batch, and one request that waits, add to a request's cost.
-constexpr double kBatchWeight = 0.5;
-constexpr double kWaitWeight = 2;
-// Reports overlap: what was taken after one is not in the next yet.
-constexpr double kSparePart = 0.5;
+// Age at which the weight of a load report has fallen to 1/e.
+constexpr absl::Duration kReportWeightDecay = absl::Milliseconds(500);
+constexpr double kAssumedSlots = 16;
+// Cost per token of the request that a full batch adds.
+constexpr double kFullBatchCost = 0.5;
+// Cost per token of the request that each request waiting at the target adds.
+constexpr double kWaitingRequestCost = 2;
+// Share of the free slots in a report that the instances use. Reports overlap:
+// the next one does not yet include requests sent after this one.
+constexpr double kSpareSlotShare = 0.5;
 
 bool IsResident(const LoadReport& report, const TargetNeed& need) {
   const auto has = [&report](const std::string& name) {
@@ -53,9 +55,9 @@
   absl::MutexLock list_lock(&this->list_mutex);
   if (version < this->list_version) return;
   this->list_version = version;
-  std::set<std::string, std::less<>> named;
+  std::set<std::string, std::less<>> names;
   for (const ListedTarget& listed : list) {
-    named.insert(listed.name);
+    names.insert(listed.name);
     Shard& shard = this->ShardOf(listed.pool);
     absl::MutexLock lock(&shard.mutex);
     shard.pools[listed.pool][listed.name].listed = listed;
@@ -64,13 +66,14 @@
     absl::MutexLock lock(&shard.mutex);
     for (auto& [pool, targets] : shard.pools) {
       for (auto it = targets.begin(); it != targets.end();) {
-        const bool gone =
-            named.count(it->first) == 0 && it->second.in_flight == 0;
-        if (gone) {
+        const bool removable =
+            names.count(it->first) == 0 && it->second.in_flight == 0;
+        if (removable) {
           it = targets.erase(it);
           continue;
         }
-        if (named.count(it->first) == 0) it->second.listed.leaving = true;
+        if (names.count(it->first) == 0)
+          it->second.listed.leaving = true;
         ++it;
       }
     }
@@ -83,35 +86,38 @@
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
   if (found == nullptr) return;
-  // A restarted target has lost its prompt cache.
+  // A target's prompt cache is empty after a restart.
   if (found->report.boot_id != report.boot_id) found->prefixes.clear();
   found->report_at = this->clock.Now() - report.lag;
   found->in_flight_at_report = found->in_flight;
-  const double spare = kSparePart * std::max(0, report.slots - report.running) /
-                       static_cast<double>(this->sharers);
-  // The fraction is drawn, so that all instances together take what is free.
-  found->spare =
-      static_cast<int>(spare + absl::Uniform(shard.random, 0.0, 1.0));
+  const double spare_slots = kSpareSlotShare *
+                             std::max(0, report.slots - report.running) /
+                             static_cast<double>(this->instance_count);
+  // Rounded up or down at random, so that all instances together use their
+  // exact share on average.
+  found->spare_slots =
+      static_cast<int>(spare_slots + absl::Uniform(shard.random, 0.0, 1.0));
   found->report = std::move(report);
 }
 
-// A mark keeps the age of its first sighting wherever it is passed on, so
-// marks die out instead of circling among the instances for good.
+// Failure: instances send a mark to one another and each renews it, so that the
+// target stays marked as leaving forever. Therefore a mark that is passed on
+// keeps the time at which the target was first seen leaving, and expires.
 void TargetBook::MarkLeaving(std::string_view target, absl::Duration age) {
   const Instant now = this->clock.Now();
   if (age >= this->options.leaving_memory) return;
-  absl::MutexLock lock(&this->marks_mutex);
+  absl::MutexLock lock(&this->leaving_mutex);
   const auto [found, added] =
-      this->marks.emplace(std::string(target), now - age);
+      this->leaving_since.emplace(std::string(target), now - age);
   const bool expired = now - found->second >= this->options.leaving_memory;
   if (!added && expired) found->second = now - age;
 }
 
 std::map<std::string, absl::Duration> TargetBook::LeavingMarks() const {
-  absl::MutexLock lock(&this->marks_mutex);
+  absl::MutexLock lock(&this->leaving_mutex);
   std::map<std::string, absl::Duration> ages;
   const Instant now = this->clock.Now();
-  for (const auto& [target, since] : this->marks) {
+  for (const auto& [target, since] : this->leaving_since) {
     if (now - since < this->options.leaving_memory) {
       ages[target] = now - since;
     }
@@ -120,9 +126,9 @@
 }
 
 bool TargetBook::IsMarkedLeaving(std::string_view target) const {
-  absl::MutexLock lock(&this->marks_mutex);
-  const auto found = this->marks.find(target);
-  return found != this->marks.end() &&
+  absl::MutexLock lock(&this->leaving_mutex);
+  const auto found = this->leaving_since.find(target);
+  return found != this->leaving_since.end() &&
          this->clock.Now() - found->second < this->options.leaving_memory;
 }
 
@@ -130,92 +136,103 @@
   return now < target.ejected_until;
 }
 
-// Failure: a target that comes back gets the whole backlog at once and falls
-// over again. Its budget grows from one request to the full one over the
-// return time, so a target that is still ill takes few requests with it.
-int TargetBook::Budget(const Target& target, Instant now) const {
-  const absl::Duration back = now - target.ejected_until;
-  if (back >= this->options.slow_return) return this->options.max_in_flight;
-  const double part = absl::FDivDuration(back, this->options.slow_return);
-  const double grown = part * this->options.max_in_flight;
-  return std::max(1, static_cast<int>(std::floor(grown)));
+// Failure: a target that returns after an ejection gets the whole backlog at
+// once and fails again. Its limit of requests in flight grows from one to the
+// full limit over the recovery time, so few requests fail if it still is
+// faulty.
+int TargetBook::InFlightLimit(const Target& target, Instant now) const {
+  const absl::Duration since_return = now - target.ejected_until;
+  if (since_return >= this->options.slow_return)
+    return this->options.max_in_flight;
+  const double fraction =
+      absl::FDivDuration(since_return, this->options.slow_return);
+  const double limit = fraction * this->options.max_in_flight;
+  return std::max(1, static_cast<int>(std::floor(limit)));
 }
 
 void TargetBook::SetSharers(int instances) {
-  this->sharers = std::max(1, instances);
+  this->instance_count = std::max(1, instances);
 }
 
-// Failure: every instance sends a target as many requests as it may, they
-// wait at the engine in the order of arrival, and one workspace's flood delays
-// all others although each instance's own queue is fair. So the backlog is
-// kept here: each instance may use its equal part of a target's slots, and of
-// the slots that a report shows to be free its equal part again.
-bool TargetBook::HasRoom(const Target& target, Instant now) const {
-  if (target.in_flight >= this->Budget(target, now)) return false;
+// Failure: every instance sends as many requests to a target as its limit
+// allows. They wait at the engine in order of arrival, so a burst of one
+// workspace delays all others although the queue of each instance is fair. To
+// keep the backlog in the instances' queues, each instance uses only an equal
+// share of a target's slots, plus an equal share of the slots that a report
+// shows as free.
+bool TargetBook::HasFreeSlot(const Target& target, Instant now) const {
+  if (target.in_flight >= this->InFlightLimit(target, now)) return false;
   if (target.report.slots <= 0) return true;
-  const int part = std::max(1, target.report.slots / this->sharers);
-  if (target.in_flight < part) return true;
-  return target.in_flight < target.in_flight_at_report + target.spare;
+  const int equal_share =
+      std::max(1, target.report.slots / this->instance_count);
+  if (target.in_flight < equal_share) return true;
+  return target.in_flight < target.in_flight_at_report + target.spare_slots;
 }
 
-// How many requests the target has from all instances. The report knows of
-// everybody's but is old; the own requests are known exactly, and others have
-// about as many each. The report fades with its age.
-double TargetBook::Occupancy(const Target& target, Instant now) const {
-  const double blind = static_cast<double>(target.in_flight) * this->sharers;
+// Estimates how many requests the target has from all instances. The report
+// counts the requests of all instances but may be old. This instance's requests
+// are known exactly, and other instances have about as many each. The weight of
+// the report decreases with its age.
+double TargetBook::EstimatedRequests(const Target& target, Instant now) const {
+  const double own_estimate =
+      static_cast<double>(target.in_flight) * this->instance_count;
   const absl::Duration age = now - target.report_at;
-  if (age == absl::InfiniteDuration()) return blind;
-  const double trust =
-      std::exp(-std::max(0.0, absl::FDivDuration(age, kReportTrust)));
-  const double reported =
+  if (age == absl::InfiniteDuration()) return own_estimate;
+  const double report_weight =
+      std::exp(-std::max(0.0, absl::FDivDuration(age, kReportWeightDecay)));
+  const double reported_requests =
       target.report.running + target.in_flight - target.in_flight_at_report;
-  return trust * std::max(0.0, reported) + (1 - trust) * blind;
+  return report_weight * std::max(0.0, reported_requests) +
+         (1 - report_weight) * own_estimate;
 }
 
-// A hint only: cache events come late and with gaps, and what was seen a while
-// ago is forgotten by a busy engine.
-bool TargetBook::LikelyCached(const Target& target, std::uint64_t prefix,
-                              Instant now) const {
+// An estimate: cache events arrive late and incomplete, and a busy engine
+// evicts prefixes after a while.
+bool TargetBook::IsLikelyCached(const Target& target, std::uint64_t prefix,
+                                Instant now) const {
   if (prefix == 0) return false;
   const auto seen = target.prefixes.find(prefix);
   return seen != target.prefixes.end() &&
          now - seen->second < this->options.prefix_memory;
 }
 
-// The expected wait in tokens. Requests in the batch hardly delay a new one;
-// those beyond the slots do.
+// The expected wait at the target, expressed in tokens. Requests in its batch
+// delay a new one only a little, requests that wait for a slot delay it much.
 double TargetBook::Cost(const Target& target, const TargetNeed& need,
                         Instant now) const {
-  const double occupancy = this->Occupancy(target, now);
+  const double requests = this->EstimatedRequests(target, now);
   const double slots =
-      target.report.slots > 0 ? target.report.slots : kUnknownSlots;
-  double cost = kBatchWeight * need.tokens * occupancy / slots;
-  cost += kWaitWeight * need.tokens * std::max(0.0, occupancy + 1 - slots);
+      target.report.slots > 0 ? target.report.slots : kAssumedSlots;
+  double cost = kFullBatchCost * need.tokens * requests / slots;
+  cost +=
+      kWaitingRequestCost * need.tokens * std::max(0.0, requests + 1 - slots);
   if (target.listed.zone != need.zone) {
     cost += this->options.zone_penalty_tokens;
   }
-  if (this->LikelyCached(target, need.prefix, now)) {
+  if (this->IsLikelyCached(target, need.prefix, now)) {
     cost -= this->options.prefix_bonus_tokens;
   }
   return cost;
 }
 
-// Requests with the same beginning have one target that all instances prefer
-// for them without telling each other, so its cache is worth having.
-std::string TargetBook::PrefixHome(
+// The target that all instances prefer for requests with this prefix, so that
+// one target has the prefix in its cache. Rendezvous hashing gives the same
+// result on all instances without messages between them. Empty if there is
+// none.
+std::string TargetBook::PreferredTarget(
     const std::map<std::string, Target, std::less<>>& targets,
     const TargetNeed& need) {
   if (need.prefix == 0) return {};
-  std::string home;
-  std::uint64_t heaviest = 0;
+  std::string preferred;
+  std::uint64_t max_weight = 0;
   for (const auto& [name, target] : targets) {
     if (!IsResident(target.report, need) || target.listed.leaving) continue;
     const std::uint64_t weight = StableHash(name, need.prefix);
-    if (!home.empty() && weight <= heaviest) continue;
-    home = name;
-    heaviest = weight;
+    if (!preferred.empty() && weight <= max_weight) continue;
+    preferred = name;
+    max_weight = weight;
   }
-  return home;
+  return preferred;
 }
 
 std::variant<TargetPlace, NoPlace> TargetBook::Take(const TargetNeed& need) {
@@ -226,7 +243,7 @@
     return NoPlace::kUnknownPool;
   }
   const Instant now = this->clock.Now();
-  const std::string home = this->PrefixHome(targets->second, need);
+  const std::string preferred = this->PreferredTarget(targets->second, need);
   bool resident = false;
   bool busy = false;
   Target* best = nullptr;
@@ -236,15 +253,15 @@
     resident = true;
     if (target.listed.leaving || this->IsMarkedLeaving(name)) continue;
     if (this->IsEjected(target, now) || need.avoid.count(name) > 0) continue;
-    if (!this->HasRoom(target, now)) {
+    if (!this->HasFreeSlot(target, now)) {
       busy = true;
       continue;
     }
-    // Equal costs are broken at random, so that several instances which see
-    // the same figures do not all choose the same target.
+    // Ties are broken at random, so that instances with the same information do
+    // not all choose the same target.
     const double jitter = absl::Uniform(shard.random, 0.0, 1.0);
     double cost = this->Cost(target, need, now) + jitter;
-    if (name == home) cost -= this->options.prefix_bonus_tokens;
+    if (name == preferred) cost -= this->options.prefix_bonus_tokens;
     if (best != nullptr && cost >= best_cost) continue;
     best = &target;
     best_cost = cost;
@@ -275,15 +292,17 @@
     }
   }
   if (outcome != PlaceOutcome::kTargetFault) return;
-  // A target that came back a moment ago is set aside again by one failure:
-  // otherwise each return costs as many requests as the first ejection did.
+  // A target that has just returned is ejected again after one failure.
+  // Otherwise as many requests would fail after each return as before the first
+  // ejection.
   const bool on_trial =
       this->clock.Now() - target.ejected_until < this->options.slow_return;
-  if (++target.failures < this->options.failures_to_eject && !on_trial) return;
-  const absl::Duration wait = std::min(
+  if (++target.failures < this->options.failures_to_eject && !on_trial)
+    return;
+  const absl::Duration ejection_time = std::min(
       this->options.longest_ejection,
       this->options.ejection * std::pow(2.0, std::min(target.ejections, 10)));
-  target.ejected_until = this->clock.Now() + wait;
+  target.ejected_until = this->clock.Now() + ejection_time;
   target.failures = 0;
   ++target.ejections;
 }
--- a/dragonflyglade/decision/target_book.h
+++ b/dragonflyglade/decision/target_book.h
@@ -19,7 +19,7 @@
 
 namespace dragonflyglade {
 
-/// A target as the platform's list shows it.
+/// A target in the platform's list of targets.
 struct ListedTarget {
   std::string name;
   std::string address;  ///< IP number
@@ -29,43 +29,52 @@
   bool leaving = false;
 };
 
-/// What a target says of its load. It lags.
+/// A target's report of its load, which arrives with a delay.
 struct LoadReport {
   double queued_tokens = 0;  ///< not yet processed, from all instances
   int running = 0;           ///< requests in its batch or waiting for it
-  int slots = 0;             ///< requests it runs at once; 0 if not said
+  int slots = 0;             ///< requests it runs at once; 0 if not reported
   std::string boot_id;       ///< changes when the target restarts
-  std::string role;  ///< what part of the work it does; empty if not said
+  std::string role;          ///< such as prefill; empty if not reported
   std::set<std::string> resident;  ///< models and adapters in memory
-  absl::Duration lag;  ///< how old the figures were when they arrived
+  absl::Duration lag;              ///< age of the report when it arrived
 };
 
-/// Limits on how targets are chosen and set aside.
+/// Limits on how targets are chosen and ejected.
 struct TargetOptions {
-  int max_in_flight = 16;  ///< requests of this instance at one target
-  int failures_to_eject = 3;
+  int max_in_flight = 16;     ///< requests of this instance at one target
+  int failures_to_eject = 3;  ///< consecutive failures
+  /// Duration of the first ejection. Each further one lasts twice as long.
   absl::Duration ejection = absl::Seconds(5);
   absl::Duration longest_ejection = absl::Seconds(60);
-  /// Time over which a returned target's budget grows back.
+  /// Time over which the limit of requests in flight grows back to
+  /// max_in_flight after an ejection.
   absl::Duration slow_return = absl::Seconds(10);
+  /// How long a target that was marked as leaving gets no requests.
   absl::Duration leaving_memory = absl::Seconds(60);
+  /// Added to the cost of a target in another availability zone.
   double zone_penalty_tokens = 200;
+  /// Subtracted from the cost of a target that is likely to have the prompt's
+  /// prefix in its cache.
   double prefix_bonus_tokens = 300;
+  /// How long a target is assumed to have a prefix cached after the prefix was
+  /// last recorded for it.
   absl::Duration prefix_memory = absl::Seconds(5);
 };
 
-/// What a request asks of a target.
+/// What a request requires of a target.
 struct TargetNeed {
   std::string pool;
   std::string model;         ///< empty for plain services
   std::string adapter;       ///< empty for none
-  std::string zone;          ///< the asking instance's availability zone
-  std::uint64_t prefix = 0;  ///< hash of the prompt's beginning; 0 for none
+  std::string zone;          ///< this instance's availability zone
+  std::uint64_t prefix = 0;  ///< hash of the prompt's prefix; 0 for none
   double tokens = 0;
   std::set<std::string> avoid;  ///< targets that failed this request already
 };
 
-/// A place taken at a target; give it back by TargetBook::Finish.
+/// A reservation for one request at a target, to be released by
+/// TargetBook::Finish.
 struct TargetPlace {
   std::string target;
   std::string pool;
@@ -74,12 +83,12 @@
   double tokens = 0;
 };
 
-/// Why there is no place.
+/// Why a reservation failed.
 enum class NoPlace {
-  kBusy,         ///< suitable targets are at their limit; wait
-  kUnreachable,  ///< suitable targets are ejected or leaving
-  kNotResident,  ///< no target has the model
-  kUnknownPool,  ///< the pool has no target at all
+  kBusy,         ///< a suitable target is at its limit; the request may wait
+  kUnreachable,  ///< all suitable targets are ejected, leaving or to be avoided
+  kNotResident,  ///< no target has the model and adapter in memory
+  kUnknownPool,  ///< the pool has no targets
 };
 
 /// How a request at a target ended.
@@ -98,46 +107,49 @@
   std::set<std::string> resident;
 };
 
-/// The targets, how busy they are, and which one a request should go to.
-/// Thread-safe; pools are spread over shards with a lock each.
+/// Knows the targets and their load, and chooses a target for each request.
+/// Thread-safe; the pools are distributed over shards that have a lock each.
 class TargetBook {
  public:
   TargetBook(TargetOptions options, Clock clock, std::uint64_t seed);
 
-  /// Takes the platform's list of targets.
-  /// @param version older lists than the newest taken are ignored
+  /// Applies the platform's list of targets.
+  /// @param version lists older than the newest one applied are ignored
   void TakeList(std::int64_t version, const std::vector<ListedTarget>& list);
 
-  /// Takes a target's load report.
+  /// Applies a target's load report. Ignored if the target is not known.
   void TakeReport(std::string_view pool, std::string_view target,
                   LoadReport report);
 
-  /// Marks a target as leaving, whatever the list says.
-  /// @param age how long ago it was first seen leaving
+  /// Marks a target as leaving, even if the list does not say so.
+  /// @param age time since it was first seen leaving
   void MarkLeaving(std::string_view target,
                    absl::Duration age = absl::ZeroDuration());
 
-  /// Targets marked as leaving and for how long, to pass on to peers.
+  /// The targets marked as leaving and the time since each was first seen
+  /// leaving, to be sent to other instances.
   std::map<std::string, absl::Duration> LeavingMarks() const;
 
-  /// Says how many instances send requests to the same targets.
+  /// Sets the number of instances that send requests to the same targets.
   void SetSharers(int instances);
 
-  /// Takes a place at the best target, or says why there is none.
+  /// Reserves a slot for a request at the best target, or tells why that
+  /// failed.
   std::variant<TargetPlace, NoPlace> Take(const TargetNeed& need);
 
-  /// Gives a place back.
+  /// Releases a reservation when the request at the target has ended.
   void Finish(const TargetPlace& place, PlaceOutcome outcome);
 
-  /// Notes that a target holds the prefix in its cache. A hint only.
+  /// Records that a target has the prefix in its cache. The information is a
+  /// hint: it may be late or incomplete.
   void NotePrefix(std::string_view pool, std::string_view target,
                   std::uint64_t prefix);
 
-  /// Notes that a target holds the prefix no longer.
+  /// Records that a target no longer has the prefix in its cache.
   void DropPrefix(std::string_view pool, std::string_view target,
                   std::uint64_t prefix);
 
-  /// All targets of all pools.
+  /// The state of all targets of all pools.
   std::vector<TargetStatus> Status() const;
 
  private:
@@ -147,12 +159,15 @@
     Instant report_at = -absl::InfiniteDuration();
     int in_flight = 0;
     int in_flight_at_report = 0;
-    int spare = 0;  ///< slots that this instance may use beyond its part
+    /// Slots that were free at the last report and that this instance may use
+    /// beyond its equal share.
+    int spare_slots = 0;
     double outstanding = 0;
     int failures = 0;
     int ejections = 0;
     Instant ejected_until = -absl::InfiniteDuration();
-    std::map<std::uint64_t, Instant> prefixes;  ///< and when last seen
+    /// Prefixes in its cache and when each was last recorded.
+    std::map<std::uint64_t, Instant> prefixes;
   };
   struct Shard {
     mutable absl::Mutex mutex;
@@ -171,25 +186,25 @@
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(shard.mutex);
   bool IsMarkedLeaving(std::string_view target) const;
   bool IsEjected(const Target& target, Instant now) const;
-  int Budget(const Target& target, Instant now) const;
-  bool HasRoom(const Target& target, Instant now) const;
-  bool LikelyCached(const Target& target, std::uint64_t prefix,
-                    Instant now) const;
-  static std::string PrefixHome(
+  int InFlightLimit(const Target& target, Instant now) const;
+  bool HasFreeSlot(const Target& target, Instant now) const;
+  bool IsLikelyCached(const Target& target, std::uint64_t prefix,
+                      Instant now) const;
+  static std::string PreferredTarget(
       const std::map<std::string, Target, std::less<>>& targets,
       const TargetNeed& need);
-  double Occupancy(const Target& target, Instant now) const;
+  double EstimatedRequests(const Target& target, Instant now) const;
   double Cost(const Target& target, const TargetNeed& need, Instant now) const;
 
   const TargetOptions options;
   const Clock clock;
   std::array<Shard, kShards> shards;
-  std::atomic<int> sharers{1};
+  std::atomic<int> instance_count{1};
   mutable absl::Mutex list_mutex;
   std::int64_t list_version ABSL_GUARDED_BY(list_mutex) = -1;
-  mutable absl::Mutex marks_mutex;
-  std::map<std::string, Instant, std::less<>> marks
-      ABSL_GUARDED_BY(marks_mutex);
+  mutable absl::Mutex leaving_mutex;
+  std::map<std::string, Instant, std::less<>> leaving_since
+      ABSL_GUARDED_BY(leaving_mutex);
 };
 
 }  // namespace dragonflyglade
--- a/tests/unit/unit-refusal.cc
+++ b/tests/unit/unit-refusal.cc
@@ -10,20 +10,21 @@
 
 class RefusalTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RefusalTest);
-  CPPUNIT_TEST(TheTableIsWholeAndTrue);
+  CPPUNIT_TEST(EveryCodeHasAConsistentRule);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // "Not run" is only said where nothing was sent, or where no byte can have
-  // arrived. Each code after the dispatch to a target says "unknown".
-  void TheTableIsWholeAndTrue() {
+  // A refusal says that the request did not run only if nothing was sent to a
+  // target or no byte can have arrived there. The codes of refusals after the
+  // dispatch to a target say "unknown".
+  void EveryCodeHasAConsistentRule() {
     const std::set<RefusalCode> after_dispatch = {
         RefusalCode::kClaimInDoubt,    RefusalCode::kTargetRefused,
         RefusalCode::kTargetTimeout,   RefusalCode::kTargetLost,
         RefusalCode::kAnswerTruncated, RefusalCode::kAnswerMismatch,
         RefusalCode::kStreamEnded,     RefusalCode::kInternal};
     std::set<std::string_view> names;
-    for (int i = 0; i < kRefusalCodes; ++i) {
+    for (int i = 0; i < kRefusalCodeCount; ++i) {
       const auto code = static_cast<RefusalCode>(i);
       const RefusalRule& rule = RuleOf(code);
       CPPUNIT_ASSERT(rule.code == code);
--- a/tests/unit/unit-route-table.cc
+++ b/tests/unit/unit-route-table.cc
@@ -32,13 +32,13 @@
 
 class RouteTableTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RouteTableTest);
-  CPPUNIT_TEST(FindsTheLongestPrefix);
+  CPPUNIT_TEST(FindsLongestPrefix);
   CPPUNIT_TEST(PicksByWeight);
-  CPPUNIT_TEST(KnowsTheShortestPauseOfAService);
+  CPPUNIT_TEST(FindsShortestEventGapObjective);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void KnowsTheShortestPauseOfAService() {
+  void FindsShortestEventGapObjective() {
     Route chat;
     chat.services = {{"engines", 1}, {"others", 1}};
     chat.pause_objective = absl::Milliseconds(250);
@@ -54,7 +54,7 @@
     CPPUNIT_ASSERT(table.PauseObjective("nobody") == absl::InfiniteDuration());
   }
 
-  void FindsTheLongestPrefix() {
+  void FindsLongestPrefix() {
     const RouteTable table({MakeRoute("root", "one.example", "/"),
                             MakeRoute("a", "one.example", "/a/"),
                             MakeRoute("ab", "one.example", "/a/b/"),
@@ -62,8 +62,8 @@
     const std::vector<FindCase> cases = {
         {"the longest of several", "one.example", "/a/b/c", "ab"},
         {"the prefix itself", "one.example", "/a/b/", "ab"},
-        {"a shorter one", "one.example", "/a/c", "a"},
-        {"no half segments", "one.example", "/ab", "root"},
+        {"a shorter prefix", "one.example", "/a/c", "a"},
+        {"a prefix ends at a segment", "one.example", "/ab", "root"},
         {"a prefix without its slash", "one.example", "/a", "root"},
         {"another host's routes", "two.example", "/a/x", "other"},
         {"case and port of the host", "ONE.example:8080", "/a/x", "a"},
@@ -83,7 +83,7 @@
     const std::vector<WeightedService> split = {{"new", 10}, {"old", 90}};
     const std::vector<PickCase> cases = {
         {"below the first weight", split, 0.09, "new"},
-        {"above it", split, 0.11, "old"},
+        {"above the first weight", split, 0.11, "old"},
         {"the end of the range", split, 0.999, "old"},
         {"one service", {{"only", 1}}, 0.5, "only"},
         {"weight 0 gets nothing", {{"none", 0}, {"all", 1}}, 0.0, "all"},
--- a/tests/unit/unit-target-book.cc
+++ b/tests/unit/unit-target-book.cc
@@ -11,11 +11,12 @@
 
 constexpr const char* kPool = "p";
 
-class Book {
+class TestRegistry {
  public:
-  Book() : book(Options(), Clock(&this->manual), 1) {
+  TestRegistry() : registry(Options(), Clock(&this->manual), 1) {
     this->manual.Advance(absl::Hours(1));
-    this->book.TakeList(1, {Listed("a", "near"), Listed("b", "far")});
+    this->registry.TakeList(1,
+                            {MakeTarget("a", "near"), MakeTarget("b", "far")});
     this->Report("a", 0);
     this->Report("b", 0);
   }
@@ -26,7 +27,7 @@
     return options;
   }
 
-  static ListedTarget Listed(const char* name, const char* zone) {
+  static ListedTarget MakeTarget(const char* name, const char* zone) {
     return ListedTarget{name, "127.0.0.1", 1, zone, kPool, false};
   }
 
@@ -38,129 +39,130 @@
     report.boot_id = "1";
     report.resident = {"m"};
     report.lag = lag;
-    this->book.TakeReport(kPool, name, report);
+    this->registry.TakeReport(kPool, name, report);
   }
 
   std::variant<TargetPlace, NoPlace> Take(double tokens = 10) {
-    TargetNeed need;
-    need.pool = kPool;
-    need.model = this->model;
-    need.zone = "near";
-    need.tokens = tokens;
-    need.avoid = this->avoid;
-    return this->book.Take(need);
+    TargetNeed requirements;
+    requirements.pool = kPool;
+    requirements.model = this->model;
+    requirements.zone = "near";
+    requirements.tokens = tokens;
+    requirements.avoid = this->avoid;
+    return this->registry.Take(requirements);
   }
 
-  std::string TakeName(double tokens = 10) {
-    const auto place = this->Take(tokens);
-    const auto* found = std::get_if<TargetPlace>(&place);
-    return found == nullptr ? "none" : found->target;
+  std::string ReservedName(double tokens = 10) {
+    const auto reservation = this->Take(tokens);
+    const auto* reserved = std::get_if<TargetPlace>(&reservation);
+    return reserved == nullptr ? "none" : reserved->target;
   }
 
   ManualClock manual;
-  TargetBook book;
+  TargetBook registry;
   std::string model = "m";
   std::set<std::string> avoid;
 };
 
-class TargetBookTest : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(TargetBookTest);
-  CPPUNIT_TEST(PrefersTheNearAndTheIdle);
-  CPPUNIT_TEST(AnOldReportCountsForLess);
-  CPPUNIT_TEST(SharersKeepTheBacklogHere);
-  CPPUNIT_TEST(SaysWhyThereIsNoPlace);
-  CPPUNIT_TEST(AFailingTargetIsSetAsideAndReturnsSlowly);
-  CPPUNIT_TEST(ALeavingTargetGetsNoNewWork);
-  CPPUNIT_TEST(AnOlderListChangesNothing);
+class TargetRegistryTest : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(TargetRegistryTest);
+  CPPUNIT_TEST(PrefersNearAndIdleTargets);
+  CPPUNIT_TEST(WeighsReportsByAge);
+  CPPUNIT_TEST(LimitsRequestsPerInstance);
+  CPPUNIT_TEST(TellsWhyReservationFailed);
+  CPPUNIT_TEST(EjectsFailingTargetAndRampsUp);
+  CPPUNIT_TEST(SendsNothingToLeavingTarget);
+  CPPUNIT_TEST(IgnoresOlderList);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void PrefersTheNearAndTheIdle() {
-    Book book;
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName(1000));
-    book.Report("a", 8);
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), book.TakeName(1000));
+  void PrefersNearAndIdleTargets() {
+    TestRegistry test;
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName(1000));
+    test.Report("a", 8);
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), test.ReservedName(1000));
   }
 
-  void AnOldReportCountsForLess() {
-    Book book;
-    book.Report("a", 8);
-    CPPUNIT_ASSERT_EQUAL(std::string("b"), book.TakeName(1000));
-    book.Report("a", 8, absl::Seconds(20));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName(1000));
+  void WeighsReportsByAge() {
+    TestRegistry test;
+    test.Report("a", 8);
+    CPPUNIT_ASSERT_EQUAL(std::string("b"), test.ReservedName(1000));
+    test.Report("a", 8, absl::Seconds(20));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName(1000));
   }
 
-  // Four instances share a target of eight slots. Each may use two of them
-  // whatever the report says; a full target gets no more, so the rest waits
-  // in the instances, where the queue is fair.
-  void SharersKeepTheBacklogHere() {
-    Book book;
-    book.book.SetSharers(4);
-    book.avoid = {"b"};
-    book.Report("a", 8);
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kBusy);
+  // Four instances share a target with eight slots. Each may use two of them
+  // whatever the report says. Further requests to a full target wait at the
+  // instances, whose queues are fair.
+  void LimitsRequestsPerInstance() {
+    TestRegistry test;
+    test.registry.SetSharers(4);
+    test.avoid = {"b"};
+    test.Report("a", 8);
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
+    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kBusy);
   }
 
-  void SaysWhyThereIsNoPlace() {
-    Book book;
-    for (int i = 0; i < 8; ++i) book.TakeName();
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kBusy);
-    book.model = "other";
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kNotResident);
-    book.model = "m";
-    book.avoid = {"a", "b"};
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kUnreachable);
+  void TellsWhyReservationFailed() {
+    TestRegistry test;
+    for (int i = 0; i < 8; ++i) test.ReservedName();
+    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kBusy);
+    test.model = "other";
+    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kNotResident);
+    test.model = "m";
+    test.avoid = {"a", "b"};
+    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kUnreachable);
     TargetNeed elsewhere;
     elsewhere.pool = "q";
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.book.Take(elsewhere)) ==
+    CPPUNIT_ASSERT(std::get<NoPlace>(test.registry.Take(elsewhere)) ==
                    NoPlace::kUnknownPool);
   }
 
-  // Three failures in a row set a target aside. When it may come back it gets
-  // one request at first and its full budget only after the return time, so
-  // that one which is still ill takes few requests with it.
-  void AFailingTargetIsSetAsideAndReturnsSlowly() {
-    Book book;
-    book.avoid = {"b"};
+  // Failure: a target that returns after an ejection is still faulty and fails
+  // many requests. A target is ejected after three consecutive failures. After
+  // the ejection it gets one request at first, and the full number only after
+  // the recovery time.
+  void EjectsFailingTargetAndRampsUp() {
+    TestRegistry test;
+    test.avoid = {"b"};
     for (int i = 0; i < 3; ++i) {
-      const auto place = std::get<TargetPlace>(book.Take());
-      book.book.Finish(place, PlaceOutcome::kTargetFault);
+      const auto reservation = std::get<TargetPlace>(test.Take());
+      test.registry.Finish(reservation, PlaceOutcome::kTargetFault);
     }
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), book.TakeName());
-    book.manual.Advance(absl::Seconds(5));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), book.TakeName());
-    book.manual.Advance(absl::Seconds(10));
-    CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
+    test.manual.Advance(absl::Seconds(5));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
+    test.manual.Advance(absl::Seconds(10));
+    CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
   }
 
-  void ALeavingTargetGetsNoNewWork() {
-    Book book;
-    book.book.MarkLeaving("a");
+  void SendsNothingToLeavingTarget() {
+    TestRegistry test;
+    test.registry.MarkLeaving("a");
     for (int i = 0; i < 4; ++i) {
-      CPPUNIT_ASSERT_EQUAL(std::string("b"), book.TakeName());
+      CPPUNIT_ASSERT_EQUAL(std::string("b"), test.ReservedName());
     }
-    CPPUNIT_ASSERT_EQUAL(std::string("none"), book.TakeName());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.book.LeavingMarks().size());
-    // A mark that is passed on keeps its age, so marks die out.
-    book.manual.Advance(absl::Minutes(2));
-    CPPUNIT_ASSERT(book.book.LeavingMarks().empty());
-    book.book.MarkLeaving("b", absl::Minutes(2));
-    CPPUNIT_ASSERT(book.book.LeavingMarks().empty());
+    CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.registry.LeavingMarks().size());
+    // A mark that is passed on keeps its age, so it expires.
+    test.manual.Advance(absl::Minutes(2));
+    CPPUNIT_ASSERT(test.registry.LeavingMarks().empty());
+    test.registry.MarkLeaving("b", absl::Minutes(2));
+    CPPUNIT_ASSERT(test.registry.LeavingMarks().empty());
   }
 
-  void AnOlderListChangesNothing() {
-    Book book;
-    book.book.TakeList(0, {});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, book.book.Status().size());
-    book.book.TakeList(2, {Book::Listed("b", "far")});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.book.Status().size());
+  void IgnoresOlderList() {
+    TestRegistry test;
+    test.registry.TakeList(0, {});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, test.registry.Status().size());
+    test.registry.TakeList(2, {TestRegistry::MakeTarget("b", "far")});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.registry.Status().size());
   }
 };
 
-CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(TargetBookTest, "unit-target-book");
+CPPUNIT_TEST_SUITE_NAMED_REGISTRATION(TargetRegistryTest, "unit-target-book");
 
 }  // namespace
 }  // namespace dragonflyglade
