--- a/tests/unit/unit-duty-lease.cc
+++ b/tests/unit/unit-duty-lease.cc
@@ -31,9 +31,10 @@
   // leader.
   void IssuesOrdersOnlyWhileValidByBothClocks() {
     const std::vector<LeaseCase> cases = {
-        {"just acquired: an order of the last leader may be in transit",
+        {"just acquired: an order of the previous lease holder may be in "
+         "transit",
          absl::Seconds(0), absl::Seconds(1), absl::Seconds(1), false},
-        {"the handover delay is over", absl::Seconds(2), absl::Seconds(3),
+        {"the handover time is over", absl::Seconds(2), absl::Seconds(3),
          absl::Seconds(3), true},
         {"just before the end of the lease less the margin", absl::Seconds(2),
          absl::Milliseconds(5599), absl::Milliseconds(5599), true},
--- a/tests/unit/unit-instance-choice.cc
+++ b/tests/unit/unit-instance-choice.cc
@@ -57,7 +57,7 @@
     const std::vector<Case> cases = {
         {"none", {}, 0},
         {"one", {{"a", 1, 5}}, 1},
-        {"all of equal capacity", {{"a", 4, 5}, {"b", 3, 5}}, 7},
+        {"equal instances are all listed", {{"a", 4, 5}, {"b", 3, 5}}, 7},
         {"few large, many small",
          {{"a", 2, 12}, {"b", 2, 12}, {"a", 18, 3}, {"b", 18, 3}},
          4},
--- a/tests/unit/unit-pacing.cc
+++ b/tests/unit/unit-pacing.cc
@@ -222,7 +222,7 @@
       bool delayed;
     };
     const std::vector<DelayCase> cases = {
-        {"no backlog", 0, 600, kEventGapObjective, false},
+        {"nothing in the backlog", 0, 600, kEventGapObjective, false},
         {"a prompt larger than the limit, alone", 0, 9000, kEventGapObjective,
          false},
         {"a few prompts at once", 600, 600, kEventGapObjective, false},
@@ -249,8 +249,8 @@
   void KeepsEventGapsOfStreams() {
     constexpr double kMaxLatePercent = 5;  // 95 of 100 streams are in time
     const std::vector<Load> loads = {
-        {"three engines, half of their time", 3, 25},
-        {"six engines, half of their time", 6, 25},
+        {"three copies, engines busy half of their time", 3, 25},
+        {"six copies, engines busy half of their time", 6, 25},
     };
     for (const Load& load : loads) {
       const double summaries = SimulatedFleet(load, LoadInfo::kSummaries).Run();
@@ -259,7 +259,7 @@
           SimulatedFleet(load, LoadInfo::kSendNoticesAndPacing).Run();
       const std::string figures =
           std::string(load.what) + ": late in percent " +
-          std::to_string(summaries) + ", with notices " +
+          std::to_string(summaries) + ", with notices to all " +
           std::to_string(notices) + ", with notices and pacing " +
           std::to_string(paced);
       CPPUNIT_ASSERT_MESSAGE(figures, summaries > kMaxLatePercent);
--- a/tests/unit/unit-route-table.cc
+++ b/tests/unit/unit-route-table.cc
@@ -63,7 +63,7 @@
         {"the longest of several", "one.example", "/a/b/c", "ab"},
         {"the prefix itself", "one.example", "/a/b/", "ab"},
         {"a shorter prefix", "one.example", "/a/c", "a"},
-        {"a prefix ends at a segment", "one.example", "/ab", "root"},
+        {"a prefix matches no partial segment", "one.example", "/ab", "root"},
         {"a prefix without its slash", "one.example", "/a", "root"},
         {"another host's routes", "two.example", "/a/x", "other"},
         {"case and port of the host", "ONE.example:8080", "/a/x", "a"},
