--- a/dragonflyglade/decision/fair_queue.cc
+++ b/dragonflyglade/decision/fair_queue.cc
@@ -6,8 +6,9 @@
 
 namespace dragonflyglade {
 
-FairQueue::FairQueue(absl::Duration age_limit, int aged_turn_every)
-    : age_limit(age_limit), aged_turn_every(std::max(2, aged_turn_every)) {}
+FairQueue::FairQueue(absl::Duration age_limit, int aged_turn_interval)
+    : age_limit(age_limit),
+      aged_turn_interval(std::max(2, aged_turn_interval)) {}
 
 void FairQueue::Push(QueueEntry entry) {
   ClassQueue& class_queue =
@@ -39,7 +40,7 @@
 // delay, and the higher classes keep most of the turns.
 std::optional<FairQueue::Position> FairQueue::FindAged(Instant now,
                                                        Search& search) const {
-  if (this->turns % static_cast<std::uint64_t>(this->aged_turn_every) != 0) {
+  if (this->turns % static_cast<std::uint64_t>(this->aged_turn_interval) != 0) {
     return std::nullopt;
   }
   std::optional<Position> oldest;
@@ -106,8 +107,8 @@
   return entry;
 }
 
-std::optional<QueueEntry> FairQueue::PopFirst(Instant now,
-                                              const CanPlace& can_dispatch) {
+std::optional<QueueEntry> FairQueue::PopFirstDispatchable(
+    Instant now, const CanDispatch& can_dispatch) {
   Search search{can_dispatch, {}};
   const std::optional<Position> position = this->FindNext(now, search);
   if (!position.has_value()) return std::nullopt;
@@ -115,7 +116,8 @@
 }
 
 std::optional<QueueEntry> FairQueue::Pop(Instant now) {
-  return this->PopFirst(now, [](const QueueEntry&) { return true; });
+  return this->PopFirstDispatchable(now,
+                                    [](const QueueEntry&) { return true; });
 }
 
 bool FairQueue::Remove(std::uint64_t id) {
--- a/dragonflyglade/decision/fair_queue.h
+++ b/dragonflyglade/decision/fair_queue.h
@@ -39,19 +39,20 @@
 class FairQueue {
  public:
   /// @param age_limit wait after which a request of a lower class is aged
-  /// @param aged_turn_every one of this many turns goes to an aged request
-  FairQueue(absl::Duration age_limit, int aged_turn_every);
+  /// @param aged_turn_interval one of this many turns goes to an aged request
+  FairQueue(absl::Duration age_limit, int aged_turn_interval);
 
   void Push(QueueEntry entry);
 
   /// Tells whether a request can be dispatched now.
-  using CanPlace = std::function<bool(const QueueEntry&)>;
+  using CanDispatch = std::function<bool(const QueueEntry&)>;
 
   /// Removes and returns the first request in the fair order that can be
   /// dispatched, so that a model whose targets are busy does not block requests
   /// for other models. Returns nothing if no request can be dispatched.
   /// Complexity: linear in the waiting requests in the worst case.
-  std::optional<QueueEntry> PopFirst(Instant now, const CanPlace& can_dispatch);
+  std::optional<QueueEntry> PopFirstDispatchable(
+      Instant now, const CanDispatch& can_dispatch);
 
   /// Removes and returns the first request in the fair order, if there is one.
   std::optional<QueueEntry> Pop(Instant now);
@@ -79,7 +80,7 @@
   };
   // One search for a request that can be dispatched.
   struct Search {
-    const CanPlace& can_dispatch;
+    const CanDispatch& can_dispatch;
     std::set<std::string, std::less<>> blocked_groups;
   };
 
@@ -91,7 +92,7 @@
   QueueEntry Dequeue(const Position& position);
 
   const absl::Duration age_limit;
-  const int aged_turn_every;
+  const int aged_turn_interval;
   std::array<ClassQueue, kRequestClasses> classes;
   std::uint64_t turns = 0;
 };
--- a/dragonflyglade/decision/instance_choice.h
+++ b/dragonflyglade/decision/instance_choice.h
@@ -10,7 +10,7 @@
 namespace dragonflyglade {
 
 /// An instance that callers could be directed to.
-struct InstanceOffer {
+struct InstanceCandidate {
   std::string_view name;
   std::string_view zone;  ///< availability zone
   double capacity = 0;    ///< stream events per second; see InstanceCapacity
@@ -32,13 +32,13 @@
 ///   for the total capacity last
 /// Complexity: O(n log n).
 std::vector<std::size_t> ChooseInstances(
-    absl::Span<const InstanceOffer> offers);
+    absl::Span<const InstanceCandidate> offers);
 
 /// Orders the offers by decreasing capacity. A stable hash of key and name
 /// orders those of equal capacity, differently for each key.
 /// @return indexes into the offers
-std::vector<std::size_t> ByStrength(absl::Span<const InstanceOffer> offers,
-                                    std::string_view key);
+std::vector<std::size_t> OrderByCapacity(
+    absl::Span<const InstanceCandidate> offers, std::string_view key);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/duty_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
-#define DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
+#ifndef DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
+#define DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,16 +11,16 @@
 
 /// The steady clock and the boot clock, read at the same moment. The steady
 /// clock stops while the machine is suspended, the boot clock does not.
-struct LocalTime {
+struct ClockReadings {
   Instant steady;
   Instant boot;
 };
 
 /// Timing of the leader lease.
-struct DutyLeaseOptions {
+struct LeaderLeaseOptions {
   /// Minimum time between the last order of one leader and the first order of
   /// the next leader to the same target.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
   /// Subtracted from the lease's time to live. Covers the error of the store's
   /// clock and the time from the last check of the lease until the order
   /// arrives at the target.
@@ -35,21 +35,21 @@
 /// one of the two clocks says so. So this instance stops before the store
 /// grants the lease to another instance, even if responses were lost or the
 /// machine was suspended.
-class DutyLease {
+class LeaderLease {
  public:
-  using ReadTime = std::function<LocalTime()>;
+  using ReadTime = std::function<ClockReadings()>;
 
-  DutyLease(DutyLeaseOptions options, ReadTime read_clocks);
+  LeaderLease(LeaderLeaseOptions options, ReadTime read_clocks);
 
   /// Records that this instance became the leader.
   /// @param fencing_token increases with each new leader
   /// @param sent_at when the last renewal of the lease was sent
   /// @param ttl time to live of the lease
-  void Acquired(std::uint64_t fencing_token, LocalTime sent_at,
-                absl::Duration ttl);
+  void OnLeaseAcquired(std::uint64_t fencing_token, ClockReadings sent_at,
+                       absl::Duration ttl);
 
   /// Records that the lease was renewed by a call that was sent at `sent_at`.
-  void Renewed(LocalTime sent_at, absl::Duration ttl);
+  void OnLeaseRenewed(ClockReadings sent_at, absl::Duration ttl);
 
   /// Records that this instance is no longer the leader.
   void Lost();
@@ -61,23 +61,23 @@
   /// Whether this instance may issue an order now. False for a while after it
   /// became the leader, because an order of the previous leader may still be in
   /// transit.
-  bool MayAct() const;
+  bool MayIssueOrders() const;
 
-  /// The earliest time on the steady clock at which MayAct can become true
-  /// after Acquired.
-  Instant QuietUntil() const;
+  /// The earliest time on the steady clock at which MayIssueOrders can become
+  /// true after Acquired.
+  Instant EarliestOrderTime() const;
 
   std::uint64_t Fence() const { return this->fencing_token; }
 
  private:
-  const DutyLeaseOptions options;
+  const LeaderLeaseOptions options;
   const ReadTime read_clocks;
   bool held = false;
   std::uint64_t fencing_token = 0;
-  LocalTime acquired_at;
-  LocalTime valid_until;
+  ClockReadings acquired_at;
+  ClockReadings valid_until;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
+#endif  // DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
--- a/dragonflyglade/decision/pacing.cc
+++ b/dragonflyglade/decision/pacing.cc
@@ -14,18 +14,21 @@
 
 }  // namespace
 
-absl::Duration PacingHold(double backlog_tokens, double prompt_tokens,
-                          absl::Duration pause_objective) {
-  if (pause_objective == absl::InfiniteDuration()) return absl::ZeroDuration();
-  const double max_backlog_tokens = kMaxPrefillShareOfGap * kReadPerMs *
-                                    absl::ToDoubleMilliseconds(pause_objective);
+absl::Duration PacingDelay(double backlog_tokens, double prompt_tokens,
+                           absl::Duration event_gap_objective) {
+  if (event_gap_objective == absl::InfiniteDuration())
+    return absl::ZeroDuration();
+  const double max_backlog_tokens =
+      kMaxPrefillShareOfGap * kPrefillTokensPerMs *
+      absl::ToDoubleMilliseconds(event_gap_objective);
   // A prompt that alone exceeds the limit is sent when no other one is waiting.
   const double excess_tokens =
       backlog_tokens - std::max(0.0, max_backlog_tokens - prompt_tokens);
-  return absl::Milliseconds(std::max(0.0, excess_tokens) / kPacedPerMs);
+  return absl::Milliseconds(std::max(0.0, excess_tokens) /
+                            kPacedPrefillTokensPerMs);
 }
 
-absl::Duration LongestPacing(absl::Duration latency_objective) {
+absl::Duration MaxPacingDelay(absl::Duration latency_objective) {
   return kMaxDelayShare * latency_objective;
 }
 
--- a/dragonflyglade/decision/pacing.h
+++ b/dragonflyglade/decision/pacing.h
@@ -8,9 +8,10 @@
 
 /// Share of an engine's time that paced prompts use for prefill. The rest is
 /// left for the output of running streams.
-inline constexpr double kPacedReading = 0.5;
+inline constexpr double kPacedPrefillShare = 0.5;
 /// Prompt tokens that pacing sends to an engine per millisecond.
-inline constexpr double kPacedPerMs = kPacedReading * kReadPerMs;
+inline constexpr double kPacedPrefillTokensPerMs =
+    kPacedPrefillShare * kPrefillTokensPerMs;
 
 /// How long to delay a request before it is sent to an engine.
 ///
@@ -21,14 +22,14 @@
 /// @param backlog_tokens prompt tokens sent to the engine, less those that the
 ///   pace has let through since
 /// @param prompt_tokens prompt tokens that the request adds
-/// @param pause_objective the shortest objective of the engine's streams
+/// @param event_gap_objective the shortest objective of the engine's streams
 /// @return zero to send the request now
-absl::Duration PacingHold(double backlog_tokens, double prompt_tokens,
-                          absl::Duration pause_objective);
+absl::Duration PacingDelay(double backlog_tokens, double prompt_tokens,
+                           absl::Duration event_gap_objective);
 
 /// The maximum total delay of a request by pacing.
 /// @param latency_objective time within which its caller expects first output
-absl::Duration LongestPacing(absl::Duration latency_objective);
+absl::Duration MaxPacingDelay(absl::Duration latency_objective);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/placement_planner.cc
+++ b/dragonflyglade/decision/placement_planner.cc
@@ -16,8 +16,8 @@
 // Working state of one planning round. Planned steps are applied to it, so that
 // later steps take them into account.
 struct PlacementPlanner::Round {
-  const PlanInput& input;
-  std::vector<PlannedTarget> targets;
+  const PlannerInput& input;
+  std::vector<PlannerTarget> targets;
   std::vector<PlanStep> steps;
   int model_loads_left = 0;
   int adapter_loads_left = 0;
@@ -25,7 +25,7 @@
   std::map<std::string, std::vector<std::size_t>, std::less<>> copies;
   std::set<std::string> unload_planned;  ///< names with an unload planned
 
-  explicit Round(const PlanInput& given) : input(given) {
+  explicit Round(const PlannerInput& given) : input(given) {
     this->targets = given.targets;
     for (std::size_t i = 0; i < this->targets.size(); ++i) {
       if (!this->targets[i].usable) continue;
@@ -48,7 +48,7 @@
     const auto found = this->copies.find(name);
     if (found == this->copies.end()) return confirmed;
     for (const std::size_t i : found->second) {
-      const PlannedTarget& target = this->targets[i];
+      const PlannerTarget& target = this->targets[i];
       const LedgerCopy* copy = FindCopy(target.ledger, name);
       const bool reported = target.resident.has_value() &&
                             target.resident->count(std::string(name)) > 0;
@@ -60,7 +60,7 @@
   // Bytes of memory that the target's ledger leaves free.
   std::int64_t Free(std::size_t i) const {
     const TargetLedger& ledger = this->targets[i].ledger;
-    return ledger.capacity - BookedBytes(ledger);
+    return ledger.capacity - ReservedBytes(ledger);
   }
 
   // The usable target with the most free memory, at least `bytes`, whose ledger
@@ -69,7 +69,7 @@
                                             std::int64_t bytes) const {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < this->targets.size(); ++i) {
-      const PlannedTarget& target = this->targets[i];
+      const PlannerTarget& target = this->targets[i];
       if (!target.usable || FindCopy(target.ledger, name) != nullptr) continue;
       if (this->Free(i) < bytes) continue;
       if (!best.has_value() || this->Free(i) > this->Free(*best)) best = i;
@@ -88,7 +88,7 @@
   }
 
   void Unload(std::size_t i, const std::string& name,
-              const std::string& relies_on) {
+              const std::string& retained_copy_target) {
     std::vector<std::size_t>& targets_with_copy = this->copies[name];
     targets_with_copy.erase(
         std::remove(targets_with_copy.begin(), targets_with_copy.end(), i),
@@ -98,16 +98,16 @@
     }
     this->unload_planned.insert(name);
     this->steps.emplace_back(
-        PlanUnload{this->targets[i].ledger.target, name, relies_on});
+        PlanUnload{this->targets[i].ledger.target, name, retained_copy_target});
   }
 };
 
-PlacementPlanner::PlacementPlanner(PlanOptions options, Clock clock)
+PlacementPlanner::PlacementPlanner(PlannerOptions options, Clock clock)
     : options(options), clock(clock), credited_at(clock.Now()) {
   this->load_credit = options.loads_per_second;
 }
 
-std::vector<PlanStep> PlacementPlanner::Plan(const PlanInput& input) {
+std::vector<PlanStep> PlacementPlanner::Plan(const PlannerInput& input) {
   const Instant now = this->clock.Now();
   this->load_credit = std::min(
       static_cast<double>(this->options.loads_at_once),
@@ -116,10 +116,10 @@
   this->credited_at = now;
   Round round(input);
   round.model_loads_left =
-      std::min(this->options.loads_at_once - input.model_loads_open,
+      std::min(this->options.loads_at_once - input.open_model_loads,
                static_cast<int>(std::floor(this->load_credit)));
   round.adapter_loads_left =
-      this->options.adapter_loads_at_once - input.adapter_loads_open;
+      this->options.adapter_loads_at_once - input.open_adapter_loads;
   const int initial_model_loads_left = round.model_loads_left;
   this->Reconcile(round);
   this->PlanModels(round);
@@ -133,12 +133,12 @@
 // Hysteresis: a copy is added as soon as demand exceeds the upper threshold,
 // but dropped only after demand was low for a while, because moving a copy
 // takes time of the weight store and discards the engine's cache.
-int PlacementPlanner::DesiredCopies(const PlannedModel& model, double demand,
+int PlacementPlanner::DesiredCopies(const PlannerModel& model, double demand,
                                     int present) {
   const double copy_capacity = this->options.copy_tokens_per_second;
   const int needed_for_demand = static_cast<int>(
       std::ceil(demand / (copy_capacity * this->options.add_above)));
-  const int needed = std::max(model.least_copies, needed_for_demand);
+  const int needed = std::max(model.min_copies, needed_for_demand);
   if (needed >= present) {
     this->low_since.erase(model.name);
     return needed;
@@ -146,7 +146,7 @@
   const int remaining = present - 1;
   const bool is_demand_low =
       demand < remaining * copy_capacity * this->options.drop_below;
-  if (!is_demand_low || remaining < model.least_copies) {
+  if (!is_demand_low || remaining < model.min_copies) {
     this->low_since.erase(model.name);
     return present;
   }
@@ -161,7 +161,7 @@
 // response.
 void PlacementPlanner::Reconcile(Round& round) {
   for (std::size_t i = 0; i < round.targets.size(); ++i) {
-    const PlannedTarget& target = round.targets[i];
+    const PlannerTarget& target = round.targets[i];
     if (!target.usable || !target.resident.has_value()) continue;
     const std::vector<LedgerCopy> copies = target.ledger.copies;
     for (const LedgerCopy& copy : copies) {
@@ -172,7 +172,7 @@
 
 void PlacementPlanner::ReconcileCopy(Round& round, std::size_t target,
                                      const LedgerCopy& copy) {
-  const PlannedTarget& planned_target = round.targets[target];
+  const PlannerTarget& planned_target = round.targets[target];
   const bool is_resident = planned_target.resident->count(copy.name) > 0;
   bool reload = IsLoadedOrLoading(copy.state) && !is_resident;
   if (copy.state == CopyState::kUncertain) {
@@ -182,11 +182,11 @@
     const std::vector<std::size_t> confirmed = round.ConfirmedCopies(copy.name);
     const bool may_unload = !copy.base.empty() || !confirmed.empty();
     if (may_unload) {
-      const std::string relies_on =
+      const std::string retained_copy_target =
           confirmed.empty() ? ""
                             : round.targets[confirmed.front()].ledger.target;
-      round.steps.emplace_back(
-          PlanUnload{planned_target.ledger.target, copy.name, relies_on});
+      round.steps.emplace_back(PlanUnload{planned_target.ledger.target,
+                                          copy.name, retained_copy_target});
       return;
     }
     reload = true;
@@ -201,16 +201,16 @@
 }
 
 void PlacementPlanner::PlanModels(Round& round) {
-  std::vector<const PlannedModel*> order;
+  std::vector<const PlannerModel*> order;
   order.reserve(round.input.models.size());
-  for (const PlannedModel& model : round.input.models) order.push_back(&model);
-  const auto demand_of = [&round](const PlannedModel* model) {
+  for (const PlannerModel& model : round.input.models) order.push_back(&model);
+  const auto demand_of = [&round](const PlannerModel* model) {
     const auto found = round.input.demand.find(model->name);
     return found == round.input.demand.end() ? 0.0 : found->second;
   };
   // Models without a copy go first, then those with the most demand per copy.
   std::sort(order.begin(), order.end(),
-            [&](const PlannedModel* a, const PlannedModel* b) {
+            [&](const PlannerModel* a, const PlannerModel* b) {
               const int copies_a = round.CopyCount(a->name);
               const int copies_b = round.CopyCount(b->name);
               const bool absent_a = copies_a == 0;
@@ -221,13 +221,13 @@
               if (load_a != load_b) return load_a > load_b;
               return a->name < b->name;
             });
-  for (const PlannedModel* model : order) {
+  for (const PlannerModel* model : order) {
     if (round.model_loads_left <= 0) return;
     this->PlanModel(round, *model);
   }
 }
 
-void PlacementPlanner::PlanModel(Round& round, const PlannedModel& model) {
+void PlacementPlanner::PlanModel(Round& round, const PlannerModel& model) {
   const auto found = round.input.demand.find(model.name);
   const double demand = found == round.input.demand.end() ? 0 : found->second;
   const int present = round.CopyCount(model.name);
@@ -256,7 +256,7 @@
   std::size_t best_retained = 0;
   double best_value = 0;
   for (std::size_t i = 0; i < round.targets.size(); ++i) {
-    const PlannedTarget& target = round.targets[i];
+    const PlannerTarget& target = round.targets[i];
     if (!target.usable) continue;
     std::int64_t bytes_to_be_free = round.Free(i);
     for (const LedgerCopy& copy : target.ledger.copies) {
@@ -288,7 +288,7 @@
 }
 
 void PlacementPlanner::PlanAdapters(Round& round) {
-  for (const PlannedAdapter& adapter : round.input.adapters) {
+  for (const PlannerAdapter& adapter : round.input.adapters) {
     const auto model_targets = round.copies.find(adapter.model);
     if (model_targets == round.copies.end()) continue;
     for (const std::size_t i : model_targets->second) {
@@ -308,7 +308,7 @@
 
 void PlacementPlanner::PlanUnloads(Round& round) {
   std::set<std::string> configured;
-  for (const PlannedModel& model : round.input.models) {
+  for (const PlannerModel& model : round.input.models) {
     configured.insert(model.name);
     if (round.unload_planned.count(model.name) > 0) continue;
     const auto found = round.input.demand.find(model.name);
@@ -332,7 +332,7 @@
     round.Unload(*fullest, model.name, round.targets[retained].ledger.target);
     this->low_since.erase(model.name);
   }
-  for (const PlannedAdapter& adapter : round.input.adapters) {
+  for (const PlannerAdapter& adapter : round.input.adapters) {
     configured.insert(adapter.name);
   }
   // Drops copies of models and adapters that are no longer in the
--- a/dragonflyglade/decision/placement_planner.h
+++ b/dragonflyglade/decision/placement_planner.h
@@ -17,22 +17,22 @@
 namespace dragonflyglade {
 
 /// Input of the planner: a model.
-struct PlannedModel {
+struct PlannerModel {
   std::string name;
   std::string version;
   std::int64_t bytes = 0;
-  int least_copies = 1;
+  int min_copies = 1;
 };
 
 /// Input of the planner: an adapter.
-struct PlannedAdapter {
+struct PlannerAdapter {
   std::string name;
   std::string model;
   std::int64_t bytes = 0;
 };
 
 /// Input of the planner: a target.
-struct PlannedTarget {
+struct PlannerTarget {
   TargetLedger ledger;
   bool usable = true;  ///< reachable, not leaving, and reports its state
   /// Models and adapters in its memory by its last report. Nothing if that
@@ -41,17 +41,17 @@
 };
 
 /// Input of one planning round.
-struct PlanInput {
-  std::vector<PlannedModel> models;
-  std::vector<PlannedAdapter> adapters;
-  std::vector<PlannedTarget> targets;
+struct PlannerInput {
+  std::vector<PlannerModel> models;
+  std::vector<PlannerAdapter> adapters;
+  std::vector<PlannerTarget> targets;
   std::map<std::string, double> demand;  ///< model to tokens per second
-  int model_loads_open = 0;              ///< model loads in progress
-  int adapter_loads_open = 0;            ///< adapter loads in progress
+  int open_model_loads = 0;              ///< model loads in progress
+  int open_adapter_loads = 0;            ///< adapter loads in progress
 };
 
 /// Limits and thresholds.
-struct PlanOptions {
+struct PlannerOptions {
   double copy_tokens_per_second = 1000;  ///< demand that one copy can serve
   /// A copy is added when demand exceeds this share of what the copies can
   /// serve.
@@ -82,7 +82,7 @@
   std::string name;
   /// The target whose copy of the same model must stay loaded meanwhile; empty
   /// if there need not be one, as for adapters.
-  std::string relies_on;
+  std::string retained_copy_target;
 };
 using PlanStep = std::variant<PlanLoad, PlanReload, PlanUnload>;
 
@@ -95,26 +95,26 @@
 /// that has no copy at all.
 class PlacementPlanner {
  public:
-  PlacementPlanner(PlanOptions options, Clock clock);
+  PlacementPlanner(PlannerOptions options, Clock clock);
 
   /// Returns the next steps, within the limits of the weight store.
   /// Complexity: O(models log models + models * targets) in the worst case;
   /// targets are scanned only for models that need more copies.
-  std::vector<PlanStep> Plan(const PlanInput& input);
+  std::vector<PlanStep> Plan(const PlannerInput& input);
 
  private:
   struct Round;
 
-  int DesiredCopies(const PlannedModel& model, double demand, int present);
+  int DesiredCopies(const PlannerModel& model, double demand, int present);
   void PlanModels(Round& round);
-  void PlanModel(Round& round, const PlannedModel& model);
+  void PlanModel(Round& round, const PlannerModel& model);
   void PlanAdapters(Round& round);
   void PlanUnloads(Round& round);
   void Reconcile(Round& round);
   void ReconcileCopy(Round& round, std::size_t target, const LedgerCopy& copy);
   bool MakeRoom(Round& round, std::int64_t bytes);
 
-  const PlanOptions options;
+  const PlannerOptions options;
   const Clock clock;
   double load_credit = 0;
   Instant credited_at;
--- a/dragonflyglade/decision/refusal.cc
+++ b/dragonflyglade/decision/refusal.cc
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-const RefusalRule& RuleOf(RefusalCode code) {
+const RefusalRule& RefusalRuleFor(RefusalCode code) {
   return kRules.at(static_cast<std::size_t>(code));
 }
 
@@ -62,7 +62,7 @@
 
 std::string RefusalBody(const Refusal& refusal, std::string_view request_id) {
   using nlohmann::json;
-  const RefusalRule& rule = RuleOf(refusal.code);
+  const RefusalRule& rule = RefusalRuleFor(refusal.code);
   const json body = {{"error",
                       {{"code", rule.name},
                        {"message", refusal.message},
--- a/dragonflyglade/decision/refusal.h
+++ b/dragonflyglade/decision/refusal.h
@@ -57,7 +57,7 @@
 };
 
 /// The rule for a code.
-const RefusalRule& RuleOf(RefusalCode code);
+const RefusalRule& RefusalRuleFor(RefusalCode code);
 
 /// A refusal that is sent to a caller.
 struct Refusal {
--- a/dragonflyglade/decision/residency_planner.cc
+++ b/dragonflyglade/decision/residency_planner.cc
@@ -21,18 +21,18 @@
   return name.append(" ").append(model).append("/").append(adapter);
 }
 
-bool KeepsWeights(const EngineHoldings& engine, std::string_view model) {
+bool KeepsWeights(const EngineResidency& engine, std::string_view model) {
   return engine.in_memory.count(model) > 0 || engine.on_disk.count(model) > 0;
 }
 
-bool IsModelInUse(const EngineHoldings& engine, std::string_view model) {
+bool IsModelInUse(const EngineResidency& engine, std::string_view model) {
   return std::any_of(engine.in_use.begin(), engine.in_use.end(),
                      [&](std::string_view key) {
                        return key.substr(0, key.find('/')) == model;
                      });
 }
 
-int AdapterCount(const EngineHoldings& engine) {
+int AdapterCount(const EngineResidency& engine) {
   int count = 0;
   for (const auto& [model, adapters] : engine.models) {
     count += static_cast<int>(adapters.size());
@@ -45,9 +45,9 @@
 // Working state of one planning round: a copy of the engines' residency to
 // which the planned changes are applied.
 struct ResidencyPlanner::Round {
-  std::map<std::string, const WantedModel*, std::less<>> models;
-  std::map<std::string, const WantedAdapter*> adapters;
-  std::vector<EngineHoldings> engines;
+  std::map<std::string, const DemandedModel*, std::less<>> models;
+  std::map<std::string, const DemandedAdapter*> adapters;
+  std::vector<EngineResidency> engines;
   /// Copies of each model, including those that are being loaded.
   std::map<std::string, int, std::less<>> copies;
   /// Copies of each model that serve requests.
@@ -57,11 +57,11 @@
   std::map<std::string, int, std::less<>> adapter_demand_count;
   int adapter_slots = 0;  ///< the most of any engine
   /// Usable engines that hold each model, after the planning of models.
-  std::map<std::string, std::vector<EngineHoldings*>, std::less<>>
+  std::map<std::string, std::vector<EngineResidency*>, std::less<>>
       engines_by_model;
   std::vector<ResidencyChange> changes;
 
-  double UsedMb(const EngineHoldings& engine) const {
+  double UsedMb(const EngineResidency& engine) const {
     double used_mb = 0;
     for (const auto& [name, resident_adapters] : engine.models) {
       const auto model = this->models.find(name);
@@ -89,7 +89,7 @@
   }
 
   // Load of the model per copy.
-  double LoadPerCopy(const WantedModel& model) const {
+  double LoadPerCopy(const DemandedModel& model) const {
     return model.load / std::max(1, this->CopyCount(model.name));
   }
 
@@ -99,13 +99,13 @@
                       [](const auto& engine) { return engine.closing; }));
   }
 
-  double EngineLoad(const EngineHoldings& engine) const {
+  double EngineLoad(const EngineResidency& engine) const {
     return this->engine_loads[&engine - this->engines.data()];
   }
 
   void CountEngineLoads() {
     this->engine_loads.clear();
-    for (const EngineHoldings& engine : this->engines) {
+    for (const EngineResidency& engine : this->engines) {
       double load = 0;
       for (const auto& [name, adapters] : engine.models) {
         load += this->ModelLoad(name) / std::max(1, this->CopyCount(name));
@@ -115,7 +115,7 @@
   }
 
   // Counts a new copy and divides the model's load among all its copies.
-  void RecordNewCopy(const EngineHoldings& added, const WantedModel& model) {
+  void RecordNewCopy(const EngineResidency& added, const DemandedModel& model) {
     const int previous_copies = this->copies[model.name]++;
     const double share = model.load / (previous_copies + 1);
     const double change =
@@ -131,21 +131,21 @@
     : options(options), clock(std::move(clock)) {}
 
 std::vector<ResidencyChange> ResidencyPlanner::Plan(
-    absl::Span<const WantedModel> models,
-    absl::Span<const WantedAdapter> adapters,
-    absl::Span<const EngineHoldings> engines, int model_loads) {
+    absl::Span<const DemandedModel> models,
+    absl::Span<const DemandedAdapter> adapters,
+    absl::Span<const EngineResidency> engines, int model_loads) {
   Round round;
   round.engines.assign(engines.begin(), engines.end());
-  for (const WantedModel& model : models) round.models[model.name] = &model;
-  for (const WantedAdapter& adapter : adapters) {
+  for (const DemandedModel& model : models) round.models[model.name] = &model;
+  for (const DemandedAdapter& adapter : adapters) {
     round.adapters[absl::StrCat(adapter.model, "/", adapter.adapter)] =
         &adapter;
     round.adapter_demand_count[adapter.model] += 1;
   }
-  for (const EngineHoldings& engine : engines) {
+  for (const EngineResidency& engine : engines) {
     round.adapter_slots = std::max(round.adapter_slots, engine.adapter_slots);
   }
-  for (const EngineHoldings& engine : round.engines) {
+  for (const EngineResidency& engine : round.engines) {
     if (!engine.usable) continue;
     for (const auto& [name, resident_adapters] : engine.models) {
       round.copies[name] += 1;
@@ -161,7 +161,7 @@
 }
 
 bool ResidencyPlanner::NeedsCopy(const Round& round,
-                                 const WantedModel& model) const {
+                                 const DemandedModel& model) const {
   const int copies = round.CopyCount(model.name);
   const bool busy = round.LoadPerCopy(model) > this->options.add_above;
   // Adapters in demand need slots at engines that hold their model.
@@ -176,9 +176,9 @@
 // models by load per copy. Requests that wait while a copy is being loaded do
 // not count. Otherwise a rarely used model with a few such requests would get
 // its third copy before the model with most of the demand gets its second.
-bool ResidencyPlanner::HasPriority(const Round& round, const WantedModel& one,
-                                   const WantedModel& other) const {
-  const auto key = [&](const WantedModel& model) {
+bool ResidencyPlanner::HasPriority(const Round& round, const DemandedModel& one,
+                                   const DemandedModel& other) const {
+  const auto key = [&](const DemandedModel& model) {
     const bool has_no_copy = round.CopyCount(model.name) == 0;
     return std::make_tuple(has_no_copy, has_no_copy ? model.waiting : 0,
                            round.LoadPerCopy(model));
@@ -186,9 +186,9 @@
   return key(one) > key(other);
 }
 
-const WantedModel* ResidencyPlanner::MostUrgentModel(
+const DemandedModel* ResidencyPlanner::MostUrgentModel(
     const Round& round, const std::set<std::string_view>& blocked) const {
-  const WantedModel* best = nullptr;
+  const DemandedModel* best = nullptr;
   for (const auto& [name, model] : round.models) {
     if (blocked.count(name) > 0 || !this->NeedsCopy(round, *model)) continue;
     if (best != nullptr && !this->HasPriority(round, *model, *best)) continue;
@@ -206,7 +206,7 @@
   // evict one more copy.
   int evictions = std::max(1, model_loads) - round.UnloadingEngines();
   std::set<std::string_view> blocked;
-  while (const WantedModel* model = this->MostUrgentModel(round, blocked)) {
+  while (const DemandedModel* model = this->MostUrgentModel(round, blocked)) {
     if (this->AddCopy(round, *model, false)) continue;
     const bool fits = this->BestEngineFor(round, *model, true) != nullptr;
     if (fits && model_loads > 0 && this->AddCopy(round, *model, true)) {
@@ -219,22 +219,25 @@
 }
 
 // Cost of waiting until the model is loaded at the engine, in engine load.
-double ResidencyPlanner::LoadingCost(const EngineHoldings& engine,
-                                     const WantedModel& model) const {
+double ResidencyPlanner::LoadingCost(const EngineResidency& engine,
+                                     const DemandedModel& model) const {
   absl::Duration loading_time = model.from_store;
-  if (engine.on_disk.count(model.name) > 0) loading_time = model.from_disk;
-  if (engine.in_memory.count(model.name) > 0) loading_time = model.from_memory;
-  return this->options.load_per_second * absl::ToDoubleSeconds(loading_time);
+  if (engine.on_disk.count(model.name) > 0)
+    loading_time = model.load_time_from_disk;
+  if (engine.in_memory.count(model.name) > 0)
+    loading_time = model.load_time_from_memory;
+  return this->options.loading_penalty_per_second *
+         absl::ToDoubleSeconds(loading_time);
 }
 
 // The best engine with enough memory for a new copy, or null. Without
 // from_store only engines that keep the model's weights in memory or on disk.
-EngineHoldings* ResidencyPlanner::BestEngineFor(Round& round,
-                                                const WantedModel& model,
-                                                bool from_store) {
-  EngineHoldings* best = nullptr;
+EngineResidency* ResidencyPlanner::BestEngineFor(Round& round,
+                                                 const DemandedModel& model,
+                                                 bool from_store) {
+  EngineResidency* best = nullptr;
   double best_cost = 0;
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable || engine.busy) continue;
     if (engine.models.count(model.name) > 0) continue;
     if (!from_store && !KeepsWeights(engine, model.name)) continue;
@@ -248,9 +251,9 @@
   return best;
 }
 
-bool ResidencyPlanner::AddCopy(Round& round, const WantedModel& model,
+bool ResidencyPlanner::AddCopy(Round& round, const DemandedModel& model,
                                bool from_store) {
-  EngineHoldings* best = this->BestEngineFor(round, model, from_store);
+  EngineResidency* best = this->BestEngineFor(round, model, from_store);
   if (best == nullptr) return false;
   const bool keeps_weights = KeepsWeights(*best, model.name);
   best->models[model.name];
@@ -277,14 +280,14 @@
 // do not count as remaining copies. Otherwise a model in demand could lose its
 // only copy that serves requests, and for seconds its requests would find none.
 bool ResidencyPlanner::MayEvict(const Round& round,
-                                const EngineHoldings& engine,
+                                const EngineResidency& engine,
                                 const std::string& name,
-                                const WantedModel& wanted) const {
+                                const DemandedModel& wanted) const {
   const auto victim = round.models.find(name);
   if (victim == round.models.end()) return false;
   const int remaining = round.ReadyCopies(name) - 1;
   if (name == engine.loading || remaining < 1) return false;
-  if (this->IsProtected(engine.id, name, "", this->options.copy_stays))
+  if (this->IsProtected(engine.id, name, "", this->options.min_model_residency))
     return false;
   const double load = victim->second->load / remaining;
   // If the victim is in demand, its remaining copies must have far less load
@@ -292,13 +295,13 @@
   // more copies would evict each other's, and a copy that is being loaded
   // serves neither.
   const double after = wanted.load / (round.CopyCount(wanted.name) + 1);
-  return load <= this->options.spare_below || load < 0.5 * after;
+  return load <= this->options.spare_copy_load_limit || load < 0.5 * after;
 }
 
 // The time for which a copy is not evicted begins when it is loaded, because
 // loading it from the store can take as long as that time.
 void ResidencyPlanner::RecordLoading(const Round& round) {
-  for (const EngineHoldings& engine : round.engines) {
+  for (const EngineResidency& engine : round.engines) {
     if (engine.loading.empty()) continue;
     this->loaded_at[ResidencyKey(engine.id, engine.loading, "")] =
         this->clock.Now();
@@ -308,29 +311,29 @@
 // Cost of evicting a copy, in engine load: the load per remaining copy, and the
 // wait until requests that use the copy have ended.
 double ResidencyPlanner::EvictionCost(const Round& round,
-                                      const EngineHoldings& engine,
+                                      const EngineResidency& engine,
                                       const std::string& name) const {
   const double load_per_remaining_copy =
       round.models.at(name)->load / std::max(1, round.ReadyCopies(name) - 1);
   const double in_use_penalty =
-      IsModelInUse(engine, name) ? this->options.unload_in_use : 0;
+      IsModelInUse(engine, name) ? this->options.unload_in_use_penalty : 0;
   return load_per_remaining_copy + in_use_penalty;
 }
 
 // Evicts the copy with the least cost, at an engine where that frees enough
 // memory. The load follows in a later round, when the copy is unloaded.
-bool ResidencyPlanner::MakeRoom(Round& round, const WantedModel& model) {
-  EngineHoldings* best = nullptr;
+bool ResidencyPlanner::MakeRoom(Round& round, const DemandedModel& model) {
+  EngineResidency* best = nullptr;
   std::string best_victim;
   double best_cost = std::numeric_limits<double>::max();
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable || engine.busy) continue;
     if (engine.models.count(model.name) > 0) continue;
     const double missing_mb =
         round.UsedMb(engine) + model.memory_mb - engine.memory_mb;
     for (const auto& [name, resident_adapters] : engine.models) {
       if (!this->MayEvict(round, engine, name, model)) continue;
-      const WantedModel& victim = *round.models.at(name);
+      const DemandedModel& victim = *round.models.at(name);
       if (victim.memory_mb < missing_mb) continue;
       const double cost = this->EvictionCost(round, engine, name) +
                           round.EngineLoad(engine) +
@@ -352,28 +355,29 @@
 }
 
 void ResidencyPlanner::PlanAdapters(Round& round) {
-  std::vector<const WantedAdapter*> wanted;
+  std::vector<const DemandedAdapter*> wanted;
   for (const auto& [name, adapter] : round.adapters) {
     wanted.push_back(adapter);
   }
   std::sort(wanted.begin(), wanted.end(),
-            [](const WantedAdapter* one, const WantedAdapter* other) {
+            [](const DemandedAdapter* one, const DemandedAdapter* other) {
               return std::make_pair(-one->waiting, -one->load) <
                      std::make_pair(-other->waiting, -other->load);
             });
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable) continue;
     for (const auto& [name, resident_adapters] : engine.models) {
       round.engines_by_model[name].push_back(&engine);
     }
   }
-  for (const WantedAdapter* adapter : wanted) this->AddAdapter(round, *adapter);
+  for (const DemandedAdapter* adapter : wanted)
+    this->AddAdapter(round, *adapter);
 }
 
-void ResidencyPlanner::AddAdapter(Round& round, const WantedAdapter& wanted) {
+void ResidencyPlanner::AddAdapter(Round& round, const DemandedAdapter& wanted) {
   int copies = 0;
-  std::vector<EngineHoldings*> candidates;
-  for (EngineHoldings* engine : round.engines_by_model[wanted.model]) {
+  std::vector<EngineResidency*> candidates;
+  for (EngineResidency* engine : round.engines_by_model[wanted.model]) {
     if (engine->models.at(wanted.model).count(wanted.adapter) > 0) {
       copies += 1;
     } else if (!engine->busy) {
@@ -381,11 +385,12 @@
     }
   }
   const bool needs_second_copy =
-      copies == 1 && wanted.load / copies > this->options.second_adapter_above;
+      copies == 1 &&
+      wanted.load / copies > this->options.second_adapter_load_threshold;
   if (copies > 0 && !needs_second_copy) return;
   std::sort(candidates.begin(), candidates.end(),
-            [&](const EngineHoldings* one, const EngineHoldings* other) {
-              const auto key = [&](const EngineHoldings* engine) {
+            [&](const EngineResidency* one, const EngineResidency* other) {
+              const auto key = [&](const EngineResidency* engine) {
                 return std::make_pair(
                     AdapterCount(*engine) >= engine->adapter_slots,
                     round.EngineLoad(*engine) + 0.05 * AdapterCount(*engine));
@@ -394,7 +399,7 @@
             });
   const auto model = round.models.find(wanted.model);
   if (model == round.models.end()) return;
-  for (EngineHoldings* engine : candidates) {
+  for (EngineResidency* engine : candidates) {
     const bool has_slot = AdapterCount(*engine) < engine->adapter_slots;
     const bool has_memory =
         round.UsedMb(*engine) + model->second->adapter_mb <= engine->memory_mb;
@@ -413,15 +418,15 @@
 // Evicts the adapter with the least load that no request uses or waits for. Its
 // load must be less than the wanted adapter's, unless requests wait for that
 // one. So a second copy does not evict an adapter in greater demand.
-bool ResidencyPlanner::EvictAdapter(Round& round, EngineHoldings& engine,
-                                    const WantedAdapter& wanted) {
+bool ResidencyPlanner::EvictAdapter(Round& round, EngineResidency& engine,
+                                    const DemandedAdapter& wanted) {
   std::optional<std::pair<std::string, std::string>> victim;
   double min_load =
       wanted.waiting > 0 ? std::numeric_limits<double>::max() : wanted.load;
   for (const auto& [model, adapters] : engine.models) {
     for (const std::string& adapter : adapters) {
       if (this->IsProtected(engine.id, model, adapter,
-                            this->options.adapter_stays)) {
+                            this->options.min_adapter_residency)) {
         continue;
       }
       const auto demand =
--- a/dragonflyglade/decision/residency_planner.h
+++ b/dragonflyglade/decision/residency_planner.h
@@ -14,7 +14,7 @@
 namespace dragonflyglade {
 
 /// A model of a service and the current demand for it.
-struct WantedModel {
+struct DemandedModel {
   std::string name;
   double memory_mb = 0;
   double adapter_mb = 0;  ///< memory of each of its adapters
@@ -23,12 +23,12 @@
   int waiting = 0;  ///< requests that wait because no engine holds the model
   /// How long loading the model takes, by where an engine gets the weights.
   absl::Duration from_store = absl::Seconds(5);
-  absl::Duration from_disk = absl::Seconds(1);
-  absl::Duration from_memory = absl::Milliseconds(400);
+  absl::Duration load_time_from_disk = absl::Seconds(1);
+  absl::Duration load_time_from_memory = absl::Milliseconds(400);
 };
 
 /// An adapter and the current demand for it.
-struct WantedAdapter {
+struct DemandedAdapter {
   std::string model;
   std::string adapter;
   double load = 0;  ///< engine time, as for a model
@@ -36,7 +36,7 @@
 };
 
 /// An engine and the models and adapters that are resident there.
-struct EngineHoldings {
+struct EngineResidency {
   std::string id;
   double memory_mb = 0;
   int adapter_slots = 0;
@@ -75,22 +75,22 @@
   /// changes during the seconds that loading a copy takes.
   double add_above = 0.50;
   /// A copy may be evicted if the load per remaining copy is at most this.
-  double spare_below = 0.20;
+  double spare_copy_load_limit = 0.20;
   /// Load of an adapter's only copy above which it gets a second one.
-  double second_adapter_above = 0.15;
+  double second_adapter_load_threshold = 0.15;
   /// How long a loaded copy of a model is not evicted. As long as it takes to
   /// load it again.
-  absl::Duration copy_stays = absl::Seconds(5);
+  absl::Duration min_model_residency = absl::Seconds(5);
   /// When engines are compared, each second of loading time counts as this much
   /// engine load. A copy that is ready five seconds earlier is worth half an
   /// engine.
-  double load_per_second = 0.1;
+  double loading_penalty_per_second = 0.1;
   /// When engines are compared, unloading a model in use counts as this much
   /// engine load: the order stays open until the last request for the model
   /// ends, which takes seconds.
-  double unload_in_use = 0.3;
+  double unload_in_use_penalty = 0.3;
   /// How long a loaded adapter is not evicted.
-  absl::Duration adapter_stays = absl::Seconds(2);
+  absl::Duration min_adapter_residency = absl::Seconds(2);
 };
 
 /// Decides which models and adapters each engine loads. Not thread-safe.
@@ -107,38 +107,38 @@
   /// and none if it is busy.
   /// @param model_loads how many loads from the weight store may begin now
   /// Complexity: O(models * engines + adapters * copies of their models).
-  std::vector<ResidencyChange> Plan(absl::Span<const WantedModel> models,
-                                    absl::Span<const WantedAdapter> adapters,
-                                    absl::Span<const EngineHoldings> engines,
+  std::vector<ResidencyChange> Plan(absl::Span<const DemandedModel> models,
+                                    absl::Span<const DemandedAdapter> adapters,
+                                    absl::Span<const EngineResidency> engines,
                                     int model_loads);
 
  private:
   struct Round;
 
-  bool NeedsCopy(const Round& round, const WantedModel& model) const;
-  bool HasPriority(const Round& round, const WantedModel& one,
-                   const WantedModel& other) const;
-  const WantedModel* MostUrgentModel(
+  bool NeedsCopy(const Round& round, const DemandedModel& model) const;
+  bool HasPriority(const Round& round, const DemandedModel& one,
+                   const DemandedModel& other) const;
+  const DemandedModel* MostUrgentModel(
       const Round& round, const std::set<std::string_view>& blocked) const;
   void PlanModels(Round& round, int model_loads);
-  EngineHoldings* BestEngineFor(Round& round, const WantedModel& model,
-                                bool from_store);
-  bool AddCopy(Round& round, const WantedModel& model, bool from_store);
-  double LoadingCost(const EngineHoldings& engine,
-                     const WantedModel& model) const;
-  double EvictionCost(const Round& round, const EngineHoldings& engine,
+  EngineResidency* BestEngineFor(Round& round, const DemandedModel& model,
+                                 bool from_store);
+  bool AddCopy(Round& round, const DemandedModel& model, bool from_store);
+  double LoadingCost(const EngineResidency& engine,
+                     const DemandedModel& model) const;
+  double EvictionCost(const Round& round, const EngineResidency& engine,
                       const std::string& name) const;
   void RecordLoading(const Round& round);
-  bool MayEvict(const Round& round, const EngineHoldings& engine,
-                const std::string& name, const WantedModel& wanted) const;
+  bool MayEvict(const Round& round, const EngineResidency& engine,
+                const std::string& name, const DemandedModel& wanted) const;
   bool IsProtected(std::string_view engine, std::string_view model,
                    std::string_view adapter,
                    absl::Duration min_residency) const;
-  bool MakeRoom(Round& round, const WantedModel& model);
+  bool MakeRoom(Round& round, const DemandedModel& model);
   void PlanAdapters(Round& round);
-  void AddAdapter(Round& round, const WantedAdapter& wanted);
-  bool EvictAdapter(Round& round, EngineHoldings& engine,
-                    const WantedAdapter& wanted);
+  void AddAdapter(Round& round, const DemandedAdapter& wanted);
+  bool EvictAdapter(Round& round, EngineResidency& engine,
+                    const DemandedAdapter& wanted);
 
   const ResidencyOptions options;
   const Clock clock;
--- a/dragonflyglade/decision/retry_budget.cc
+++ b/dragonflyglade/decision/retry_budget.cc
@@ -9,13 +9,13 @@
       max_retries(max_retries),
       available_retries(max_retries) {}
 
-void RetryBudget::RequestMade() {
+void RetryBudget::RecordRequest() {
   absl::MutexLock lock(&this->mutex);
   this->available_retries = std::min(
       this->max_retries, this->available_retries + this->retries_per_request);
 }
 
-bool RetryBudget::TakeRetry() {
+bool RetryBudget::TryConsumeRetry() {
   absl::MutexLock lock(&this->mutex);
   if (this->available_retries < 1) return false;
   this->available_retries -= 1;
--- a/dragonflyglade/decision/retry_budget.h
+++ b/dragonflyglade/decision/retry_budget.h
@@ -14,10 +14,10 @@
   RetryBudget(double retries_per_request, double max_retries);
 
   /// Counts the first attempt of a request.
-  void RequestMade();
+  void RecordRequest();
 
   /// Consumes one retry. Returns false if none is available.
-  bool TakeRetry();
+  bool TryConsumeRetry();
 
  private:
   const double retries_per_request;
--- a/dragonflyglade/decision/route_table.h
+++ b/dragonflyglade/decision/route_table.h
@@ -35,7 +35,7 @@
   absl::Duration timeout = absl::Seconds(10);           ///< of a whole request
   absl::Duration latency_objective = absl::Seconds(1);  ///< to the first output
   /// The longest gap between two events of a stream that is still in time.
-  absl::Duration pause_objective = absl::InfiniteDuration();
+  absl::Duration event_gap_objective = absl::InfiniteDuration();
   int priority = 0;  ///< 0 is the most urgent
   std::vector<WeightedService> services;
   int max_targets = 1;     ///< targets that one request may be sent to
@@ -43,7 +43,7 @@
   bool resumable = false;  ///< whether broken streams may be resumed
 
   /// Whether a request that may have been executed may be executed again.
-  bool MayRunAgain() const {
+  bool MayReexecute() const {
     return this->repeatability == Repeatability::kIdempotent;
   }
 };
@@ -62,15 +62,15 @@
 
   absl::Span<const Route> Routes() const { return this->routes; }
 
-  /// The shortest pause_objective of the routes to a service, because an engine
-  /// runs streams of all these routes at the same time. Infinite if no route
-  /// has one.
-  absl::Duration PauseObjective(std::string_view service) const;
+  /// The shortest event_gap_objective of the routes to a service, because an
+  /// engine runs streams of all these routes at the same time. Infinite if no
+  /// route has one.
+  absl::Duration EventGapObjective(std::string_view service) const;
 
  private:
   std::vector<Route> routes;
   absl::flat_hash_map<std::string, std::size_t> index_by_key;
-  std::map<std::string, absl::Duration, std::less<>> pause_objectives;
+  std::map<std::string, absl::Duration, std::less<>> event_gap_objectives;
 };
 
 /// Picks a service with a probability in proportion to its weight.
--- a/dragonflyglade/decision/target_choice.cc
+++ b/dragonflyglade/decision/target_choice.cc
@@ -36,40 +36,46 @@
   return static_cast<double>(hash >> 11) * 0x1.0p-53;
 }
 
-double EngineWaitMs(const ChoiceRequest& request,
-                    const ChoiceCandidate& candidate) {
-  const double own_tokens = request.prompt_tokens - request.shared_tokens;
+double EngineWaitMs(const TargetChoiceRequest& request,
+                    const TargetCandidate& candidate) {
+  const double own_tokens =
+      request.prompt_tokens - request.shared_prefix_tokens;
   const double uncached_tokens =
-      request.shared_id.empty()
+      request.shared_prefix_id.empty()
           ? 0
-          : request.shared_tokens *
-                UncachedShare(request.shared_id, candidate.id);
+          : request.shared_prefix_tokens *
+                UncachedShare(request.shared_prefix_id, candidate.id);
   const double waiting_requests =
       std::max(0.0, candidate.requests + 1 - candidate.slots);
-  return (candidate.unread_tokens + own_tokens + uncached_tokens) / kReadPerMs +
+  return (candidate.unread_tokens + own_tokens + uncached_tokens) /
+             kPrefillTokensPerMs +
          std::min<double>(candidate.requests, candidate.slots) *
              kRunningRequestMs +
          waiting_requests * kWaitingRequestMs;
 }
 
-double PlainWaitMs(const ChoiceCandidate& candidate, double jitter) {
+double PlainWaitMs(const TargetCandidate& candidate, double jitter) {
   const double slots = std::max(1, candidate.slots);
   return (candidate.requests + jitter * 0.5) / slots * kPlainRequestMs;
 }
 
 }  // namespace
 
-double ExpectedRead(double prompt_tokens, double shared_tokens) {
-  return prompt_tokens - shared_tokens + kUncachedPrefixShare * shared_tokens;
+double ExpectedPrefillTokens(double prompt_tokens,
+                             double shared_prefix_tokens) {
+  return prompt_tokens - shared_prefix_tokens +
+         kUncachedPrefixShare * shared_prefix_tokens;
 }
 
-double EngineWorkMs(double prompt_tokens, double shared_tokens,
+double EngineWorkMs(double prompt_tokens, double shared_prefix_tokens,
                     double output_tokens) {
-  return ExpectedRead(prompt_tokens, shared_tokens) / kReadPerMs +
+  return ExpectedPrefillTokens(prompt_tokens, shared_prefix_tokens) /
+             kPrefillTokensPerMs +
          output_tokens * kOutputTokenMs;
 }
 
-int UrgencyOf(int route_priority, std::optional<int> workspace_priority) {
+int EngineRequestPriority(int route_priority,
+                          std::optional<int> workspace_priority) {
   constexpr int kRoutePriorities = 3;  // levels per workspace priority
   constexpr int kLastPriority = 9;
   const int route = std::clamp(route_priority, 0, kRoutePriorities - 1);
@@ -78,12 +84,12 @@
 }
 
 std::optional<TargetChoice> ChooseTarget(
-    const ChoiceRequest& request, absl::Span<const ChoiceCandidate> candidates,
-    double jitter) {
+    const TargetChoiceRequest& request,
+    absl::Span<const TargetCandidate> candidates, double jitter) {
   std::optional<TargetChoice> best;
   double best_ms = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const ChoiceCandidate& candidate = candidates[i];
+    const TargetCandidate& candidate = candidates[i];
     // A different phase for each candidate (golden ratio), so that ties are
     // broken evenly.
     const double phase =
@@ -91,7 +97,7 @@
     double wait_ms = request.prompt_tokens > 0
                          ? EngineWaitMs(request, candidate)
                          : PlainWaitMs(candidate, phase);
-    wait_ms += candidate.fault_share * kFailureMs;
+    wait_ms += candidate.failure_rate * kFailureMs;
     wait_ms += candidate.same_zone ? 0 : kOtherZoneMs;
     if (best.has_value() && wait_ms >= best_ms) continue;
     best_ms = wait_ms;
--- a/dragonflyglade/decision/target_choice.h
+++ b/dragonflyglade/decision/target_choice.h
@@ -13,17 +13,18 @@
 
 /// Prompt tokens that an engine is expected to prefill per millisecond while it
 /// also generates output for its running requests.
-inline constexpr double kReadPerMs = 30;
+inline constexpr double kPrefillTokensPerMs = 30;
 
 /// The request for which a target is chosen.
-struct ChoiceRequest {
-  double prompt_tokens = 0;    ///< 0 if the service is not an engine
-  double shared_tokens = 0;    ///< prompt prefix that other requests share
-  std::string_view shared_id;  ///< id of the shared prefix; empty if none
+struct TargetChoiceRequest {
+  double prompt_tokens = 0;         ///< 0 if the service is not an engine
+  double shared_prefix_tokens = 0;  ///< prompt prefix that other requests share
+  std::string_view
+      shared_prefix_id;  ///< id of the shared prefix; empty if none
 };
 
 /// A target that could run the request, as this instance knows it.
-struct ChoiceCandidate {
+struct TargetCandidate {
   std::string_view id;
   int slots = 1;  ///< requests that it runs at the same time
   /// Requests at the target, of this instance and, as far as known, of others.
@@ -34,26 +35,27 @@
   /// traffic crosses zones.
   bool same_zone = true;
   /// Share of the target's last requests that failed, from 0 to 1.
-  double fault_share = 0;
+  double failure_rate = 0;
 };
 
 /// The chosen candidate and the expected delay until its first output.
 struct TargetChoice {
   std::size_t index = 0;  ///< into the candidates
-  absl::Duration expected_wait;
+  absl::Duration expected_first_output_delay;
 };
 
 /// The priority of a request at an engine, from 0 (first) to 9 (last). The
 /// workspace's priority counts first, then the route's.
-int UrgencyOf(int route_priority, std::optional<int> workspace_priority);
+int EngineRequestPriority(int route_priority,
+                          std::optional<int> workspace_priority);
 
 /// Prompt tokens that an engine is expected to prefill, on average, as it has
 /// part of the shared prefix in its cache.
-double ExpectedRead(double prompt_tokens, double shared_tokens);
+double ExpectedPrefillTokens(double prompt_tokens, double shared_prefix_tokens);
 
 /// Expected engine time for a request, in milliseconds.
-/// @param shared_tokens prompt prefix that engines mostly have cached
-double EngineWorkMs(double prompt_tokens, double shared_tokens,
+/// @param shared_prefix_tokens prompt prefix that engines mostly have cached
+double EngineWorkMs(double prompt_tokens, double shared_prefix_tokens,
                     double output_tokens);
 
 /// Chooses the candidate with the least expected delay until the first output.
@@ -68,8 +70,8 @@
 /// @return nothing if there is no candidate
 /// Complexity: linear in the candidates.
 std::optional<TargetChoice> ChooseTarget(
-    const ChoiceRequest& request, absl::Span<const ChoiceCandidate> candidates,
-    double jitter);
+    const TargetChoiceRequest& request,
+    absl::Span<const TargetCandidate> candidates, double jitter);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/target_ledger.h
+++ b/dragonflyglade/decision/target_ledger.h
@@ -33,9 +33,10 @@
   /// have loaded the copy.
   bool repeated = false;
   /// Whether its open loads were ordered before the target's last restart.
-  bool survived_restart = false;
-  std::int64_t load_fence = 0;  ///< highest fencing token of its load orders
-  std::string order_id;         ///< of the newest order
+  bool loads_predate_restart = false;
+  std::int64_t load_fence_token =
+      0;                 ///< highest fencing token of its load orders
+  std::string order_id;  ///< of the newest order
 };
 
 /// The memory that is reserved at one target, and for what. Stored in the
@@ -50,7 +51,7 @@
 };
 
 /// Bytes reserved at a target.
-std::int64_t BookedBytes(const TargetLedger& ledger);
+std::int64_t ReservedBytes(const TargetLedger& ledger);
 
 /// The copy with that name, or null.
 const LedgerCopy* FindCopy(const TargetLedger& ledger, std::string_view name);
@@ -111,11 +112,12 @@
 /// Reserves memory for a copy that a target reported although no order loaded
 /// it: it was loaded before the ledger existed. Does nothing if the ledger has
 /// a copy with that name.
-void BookFound(TargetLedger& ledger, const CopySpec& spec);
+void AddUnorderedCopy(TargetLedger& ledger, const CopySpec& spec);
 
 /// Encodes a ledger as JSON.
 std::string EncodeLedger(const TargetLedger& ledger);
-/// Decodes a ledger. Errors: kBadAnswer if the text is not a valid ledger.
+/// Decodes a ledger. Errors: kMalformedResponse if the text is not a valid
+/// ledger.
 Result<TargetLedger> DecodeLedger(std::string_view text);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/target_book.cc
+++ b/dragonflyglade/decision/target_registry.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +21,7 @@
 // the next one does not yet include requests sent after this one.
 constexpr double kSpareSlotShare = 0.5;
 
-bool IsResident(const LoadReport& report, const TargetNeed& need) {
+bool IsResident(const LoadReport& report, const TargetRequirements& need) {
   const auto has = [&report](const std::string& name) {
     return name.empty() || report.resident.count(name) > 0;
   };
@@ -30,7 +30,8 @@
 
 }  // namespace
 
-TargetBook::TargetBook(TargetOptions options, Clock clock, std::uint64_t seed)
+TargetRegistry::TargetRegistry(TargetOptions options, Clock clock,
+                               std::uint64_t seed)
     : options(options), clock(clock) {
   for (Shard& shard : this->shards) {
     absl::MutexLock lock(&shard.mutex);
@@ -38,20 +39,21 @@
   }
 }
 
-TargetBook::Shard& TargetBook::ShardOf(std::string_view pool) {
+TargetRegistry::Shard& TargetRegistry::ShardOf(std::string_view pool) {
   return this->shards[StableHash(pool) % kShards];
 }
 
-TargetBook::Target* TargetBook::Find(Shard& shard, std::string_view pool,
-                                     std::string_view target) {
+TargetRegistry::Target* TargetRegistry::Find(Shard& shard,
+                                             std::string_view pool,
+                                             std::string_view target) {
   const auto targets = shard.pools.find(pool);
   if (targets == shard.pools.end()) return nullptr;
   const auto found = targets->second.find(target);
   return found == targets->second.end() ? nullptr : &found->second;
 }
 
-void TargetBook::TakeList(std::int64_t version,
-                          const std::vector<ListedTarget>& list) {
+void TargetRegistry::TakeList(std::int64_t version,
+                              const std::vector<ListedTarget>& list) {
   absl::MutexLock list_lock(&this->list_mutex);
   if (version < this->list_version) return;
   this->list_version = version;
@@ -72,16 +74,15 @@
           it = targets.erase(it);
           continue;
         }
-        if (names.count(it->first) == 0)
-          it->second.listed.leaving = true;
+        if (names.count(it->first) == 0) it->second.listed.leaving = true;
         ++it;
       }
     }
   }
 }
 
-void TargetBook::TakeReport(std::string_view pool, std::string_view target,
-                            LoadReport report) {
+void TargetRegistry::TakeReport(std::string_view pool, std::string_view target,
+                                LoadReport report) {
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
@@ -103,36 +104,36 @@
 // Failure: instances send a mark to one another and each renews it, so that the
 // target stays marked as leaving forever. Therefore a mark that is passed on
 // keeps the time at which the target was first seen leaving, and expires.
-void TargetBook::MarkLeaving(std::string_view target, absl::Duration age) {
+void TargetRegistry::MarkLeaving(std::string_view target, absl::Duration age) {
   const Instant now = this->clock.Now();
-  if (age >= this->options.leaving_memory) return;
+  if (age >= this->options.leaving_mark_ttl) return;
   absl::MutexLock lock(&this->leaving_mutex);
   const auto [found, added] =
       this->leaving_since.emplace(std::string(target), now - age);
-  const bool expired = now - found->second >= this->options.leaving_memory;
+  const bool expired = now - found->second >= this->options.leaving_mark_ttl;
   if (!added && expired) found->second = now - age;
 }
 
-std::map<std::string, absl::Duration> TargetBook::LeavingMarks() const {
+std::map<std::string, absl::Duration> TargetRegistry::LeavingTargets() const {
   absl::MutexLock lock(&this->leaving_mutex);
   std::map<std::string, absl::Duration> ages;
   const Instant now = this->clock.Now();
   for (const auto& [target, since] : this->leaving_since) {
-    if (now - since < this->options.leaving_memory) {
+    if (now - since < this->options.leaving_mark_ttl) {
       ages[target] = now - since;
     }
   }
   return ages;
 }
 
-bool TargetBook::IsMarkedLeaving(std::string_view target) const {
+bool TargetRegistry::IsMarkedLeaving(std::string_view target) const {
   absl::MutexLock lock(&this->leaving_mutex);
   const auto found = this->leaving_since.find(target);
   return found != this->leaving_since.end() &&
-         this->clock.Now() - found->second < this->options.leaving_memory;
+         this->clock.Now() - found->second < this->options.leaving_mark_ttl;
 }
 
-bool TargetBook::IsEjected(const Target& target, Instant now) const {
+bool TargetRegistry::IsEjected(const Target& target, Instant now) const {
   return now < target.ejected_until;
 }
 
@@ -140,17 +141,17 @@
 // once and fails again. Its limit of requests in flight grows from one to the
 // full limit over the recovery time, so few requests fail if it still is
 // faulty.
-int TargetBook::InFlightLimit(const Target& target, Instant now) const {
+int TargetRegistry::InFlightLimit(const Target& target, Instant now) const {
   const absl::Duration since_return = now - target.ejected_until;
-  if (since_return >= this->options.slow_return)
+  if (since_return >= this->options.recovery_ramp)
     return this->options.max_in_flight;
   const double fraction =
-      absl::FDivDuration(since_return, this->options.slow_return);
+      absl::FDivDuration(since_return, this->options.recovery_ramp);
   const double limit = fraction * this->options.max_in_flight;
   return std::max(1, static_cast<int>(std::floor(limit)));
 }
 
-void TargetBook::SetSharers(int instances) {
+void TargetRegistry::SetInstanceCount(int instances) {
   this->instance_count = std::max(1, instances);
 }
 
@@ -160,7 +161,7 @@
 // keep the backlog in the instances' queues, each instance uses only an equal
 // share of a target's slots, plus an equal share of the slots that a report
 // shows as free.
-bool TargetBook::HasFreeSlot(const Target& target, Instant now) const {
+bool TargetRegistry::HasFreeSlot(const Target& target, Instant now) const {
   if (target.in_flight >= this->InFlightLimit(target, now)) return false;
   if (target.report.slots <= 0) return true;
   const int equal_share =
@@ -173,7 +174,8 @@
 // counts the requests of all instances but may be old. This instance's requests
 // are known exactly, and other instances have about as many each. The weight of
 // the report decreases with its age.
-double TargetBook::EstimatedRequests(const Target& target, Instant now) const {
+double TargetRegistry::EstimatedRequests(const Target& target,
+                                         Instant now) const {
   const double own_estimate =
       static_cast<double>(target.in_flight) * this->instance_count;
   const absl::Duration age = now - target.report_at;
@@ -188,18 +190,18 @@
 
 // An estimate: cache events arrive late and incomplete, and a busy engine
 // evicts prefixes after a while.
-bool TargetBook::IsLikelyCached(const Target& target, std::uint64_t prefix,
-                                Instant now) const {
+bool TargetRegistry::IsLikelyCached(const Target& target, std::uint64_t prefix,
+                                    Instant now) const {
   if (prefix == 0) return false;
   const auto seen = target.prefixes.find(prefix);
   return seen != target.prefixes.end() &&
-         now - seen->second < this->options.prefix_memory;
+         now - seen->second < this->options.prefix_hint_ttl;
 }
 
 // The expected wait at the target, expressed in tokens. Requests in its batch
 // delay a new one only a little, requests that wait for a slot delay it much.
-double TargetBook::Cost(const Target& target, const TargetNeed& need,
-                        Instant now) const {
+double TargetRegistry::Cost(const Target& target,
+                            const TargetRequirements& need, Instant now) const {
   const double requests = this->EstimatedRequests(target, now);
   const double slots =
       target.report.slots > 0 ? target.report.slots : kAssumedSlots;
@@ -219,9 +221,9 @@
 // one target has the prefix in its cache. Rendezvous hashing gives the same
 // result on all instances without messages between them. Empty if there is
 // none.
-std::string TargetBook::PreferredTarget(
+std::string TargetRegistry::PreferredTarget(
     const std::map<std::string, Target, std::less<>>& targets,
-    const TargetNeed& need) {
+    const TargetRequirements& need) {
   if (need.prefix == 0) return {};
   std::string preferred;
   std::uint64_t max_weight = 0;
@@ -235,12 +237,13 @@
   return preferred;
 }
 
-std::variant<TargetPlace, NoPlace> TargetBook::Take(const TargetNeed& need) {
+std::variant<TargetReservation, ReservationError> TargetRegistry::Take(
+    const TargetRequirements& need) {
   Shard& shard = this->ShardOf(need.pool);
   absl::MutexLock lock(&shard.mutex);
   const auto targets = shard.pools.find(need.pool);
   if (targets == shard.pools.end() || targets->second.empty()) {
-    return NoPlace::kUnknownPool;
+    return ReservationError::kUnknownPool;
   }
   const Instant now = this->clock.Now();
   const std::string preferred = this->PreferredTarget(targets->second, need);
@@ -267,16 +270,18 @@
     best_cost = cost;
   }
   if (best == nullptr) {
-    if (busy) return NoPlace::kBusy;
-    return resident ? NoPlace::kUnreachable : NoPlace::kNotResident;
+    if (busy) return ReservationError::kBusy;
+    return resident ? ReservationError::kUnreachable
+                    : ReservationError::kNotResident;
   }
   ++best->in_flight;
   best->outstanding += need.tokens;
-  return TargetPlace{best->listed.name, need.pool, best->listed.address,
-                     best->listed.port, need.tokens};
+  return TargetReservation{best->listed.name, need.pool, best->listed.address,
+                           best->listed.port, need.tokens};
 }
 
-void TargetBook::Finish(const TargetPlace& place, PlaceOutcome outcome) {
+void TargetRegistry::Finish(const TargetReservation& place,
+                            RequestOutcome outcome) {
   Shard& shard = this->ShardOf(place.pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, place.pool, place.target);
@@ -284,31 +289,31 @@
   Target& target = *found;
   target.in_flight = std::max(0, target.in_flight - 1);
   target.outstanding = std::max(0.0, target.outstanding - place.tokens);
-  if (outcome == PlaceOutcome::kGood) {
+  if (outcome == RequestOutcome::kSucceeded) {
     target.failures = 0;
     const Instant now = this->clock.Now();
-    if (now - target.ejected_until >= this->options.slow_return) {
+    if (now - target.ejected_until >= this->options.recovery_ramp) {
       target.ejections = 0;
     }
   }
-  if (outcome != PlaceOutcome::kTargetFault) return;
+  if (outcome != RequestOutcome::kTargetFault) return;
   // A target that has just returned is ejected again after one failure.
   // Otherwise as many requests would fail after each return as before the first
   // ejection.
   const bool on_trial =
-      this->clock.Now() - target.ejected_until < this->options.slow_return;
-  if (++target.failures < this->options.failures_to_eject && !on_trial)
-    return;
+      this->clock.Now() - target.ejected_until < this->options.recovery_ramp;
+  if (++target.failures < this->options.failures_to_eject && !on_trial) return;
   const absl::Duration ejection_time = std::min(
-      this->options.longest_ejection,
+      this->options.max_ejection,
       this->options.ejection * std::pow(2.0, std::min(target.ejections, 10)));
   target.ejected_until = this->clock.Now() + ejection_time;
   target.failures = 0;
   ++target.ejections;
 }
 
-void TargetBook::NotePrefix(std::string_view pool, std::string_view target,
-                            std::uint64_t prefix) {
+void TargetRegistry::RecordCachedPrefix(std::string_view pool,
+                                        std::string_view target,
+                                        std::uint64_t prefix) {
   if (prefix == 0) return;
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
@@ -320,15 +325,16 @@
   found->prefixes[prefix] = this->clock.Now();
 }
 
-void TargetBook::DropPrefix(std::string_view pool, std::string_view target,
-                            std::uint64_t prefix) {
+void TargetRegistry::ForgetCachedPrefix(std::string_view pool,
+                                        std::string_view target,
+                                        std::uint64_t prefix) {
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
   if (found != nullptr) found->prefixes.erase(prefix);
 }
 
-std::vector<TargetStatus> TargetBook::Status() const {
+std::vector<TargetStatus> TargetRegistry::Status() const {
   std::vector<TargetStatus> all;
   const Instant now = this->clock.Now();
   for (const Shard& shard : this->shards) {
--- a/dragonflyglade/decision/target_book.h
+++ b/dragonflyglade/decision/target_registry.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
+#define DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
 
 #include <array>
 #include <atomic>
@@ -46,12 +46,12 @@
   int failures_to_eject = 3;  ///< consecutive failures
   /// Duration of the first ejection. Each further one lasts twice as long.
   absl::Duration ejection = absl::Seconds(5);
-  absl::Duration longest_ejection = absl::Seconds(60);
+  absl::Duration max_ejection = absl::Seconds(60);
   /// Time over which the limit of requests in flight grows back to
   /// max_in_flight after an ejection.
-  absl::Duration slow_return = absl::Seconds(10);
+  absl::Duration recovery_ramp = absl::Seconds(10);
   /// How long a target that was marked as leaving gets no requests.
-  absl::Duration leaving_memory = absl::Seconds(60);
+  absl::Duration leaving_mark_ttl = absl::Seconds(60);
   /// Added to the cost of a target in another availability zone.
   double zone_penalty_tokens = 200;
   /// Subtracted from the cost of a target that is likely to have the prompt's
@@ -59,11 +59,11 @@
   double prefix_bonus_tokens = 300;
   /// How long a target is assumed to have a prefix cached after the prefix was
   /// last recorded for it.
-  absl::Duration prefix_memory = absl::Seconds(5);
+  absl::Duration prefix_hint_ttl = absl::Seconds(5);
 };
 
 /// What a request requires of a target.
-struct TargetNeed {
+struct TargetRequirements {
   std::string pool;
   std::string model;         ///< empty for plain services
   std::string adapter;       ///< empty for none
@@ -74,8 +74,8 @@
 };
 
 /// A reservation for one request at a target, to be released by
-/// TargetBook::Finish.
-struct TargetPlace {
+/// TargetRegistry::Finish.
+struct TargetReservation {
   std::string target;
   std::string pool;
   std::string address;
@@ -84,7 +84,7 @@
 };
 
 /// Why a reservation failed.
-enum class NoPlace {
+enum class ReservationError {
   kBusy,         ///< a suitable target is at its limit; the request may wait
   kUnreachable,  ///< all suitable targets are ejected, leaving or to be avoided
   kNotResident,  ///< no target has the model and adapter in memory
@@ -92,7 +92,7 @@
 };
 
 /// How a request at a target ended.
-enum class PlaceOutcome { kGood, kTargetFault, kNeutral };
+enum class RequestOutcome { kSucceeded, kTargetFault, kNeutral };
 
 /// A target's state for status reports.
 struct TargetStatus {
@@ -109,9 +109,9 @@
 
 /// Knows the targets and their load, and chooses a target for each request.
 /// Thread-safe; the pools are distributed over shards that have a lock each.
-class TargetBook {
+class TargetRegistry {
  public:
-  TargetBook(TargetOptions options, Clock clock, std::uint64_t seed);
+  TargetRegistry(TargetOptions options, Clock clock, std::uint64_t seed);
 
   /// Applies the platform's list of targets.
   /// @param version lists older than the newest one applied are ignored
@@ -128,26 +128,27 @@
 
   /// The targets marked as leaving and the time since each was first seen
   /// leaving, to be sent to other instances.
-  std::map<std::string, absl::Duration> LeavingMarks() const;
+  std::map<std::string, absl::Duration> LeavingTargets() const;
 
   /// Sets the number of instances that send requests to the same targets.
-  void SetSharers(int instances);
+  void SetInstanceCount(int instances);
 
   /// Reserves a slot for a request at the best target, or tells why that
   /// failed.
-  std::variant<TargetPlace, NoPlace> Take(const TargetNeed& need);
+  std::variant<TargetReservation, ReservationError> Take(
+      const TargetRequirements& need);
 
   /// Releases a reservation when the request at the target has ended.
-  void Finish(const TargetPlace& place, PlaceOutcome outcome);
+  void Finish(const TargetReservation& place, RequestOutcome outcome);
 
   /// Records that a target has the prefix in its cache. The information is a
   /// hint: it may be late or incomplete.
-  void NotePrefix(std::string_view pool, std::string_view target,
-                  std::uint64_t prefix);
+  void RecordCachedPrefix(std::string_view pool, std::string_view target,
+                          std::uint64_t prefix);
 
   /// Records that a target no longer has the prefix in its cache.
-  void DropPrefix(std::string_view pool, std::string_view target,
-                  std::uint64_t prefix);
+  void ForgetCachedPrefix(std::string_view pool, std::string_view target,
+                          std::uint64_t prefix);
 
   /// The state of all targets of all pools.
   std::vector<TargetStatus> Status() const;
@@ -192,9 +193,10 @@
                       Instant now) const;
   static std::string PreferredTarget(
       const std::map<std::string, Target, std::less<>>& targets,
-      const TargetNeed& need);
+      const TargetRequirements& need);
   double EstimatedRequests(const Target& target, Instant now) const;
-  double Cost(const Target& target, const TargetNeed& need, Instant now) const;
+  double Cost(const Target& target, const TargetRequirements& need,
+              Instant now) const;
 
   const TargetOptions options;
   const Clock clock;
@@ -209,4 +211,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
--- a/tests/unit/unit-fair-queue.cc
+++ b/tests/unit/unit-fair-queue.cc
@@ -111,8 +111,8 @@
     queue.Push(Entry(2, "a", RequestClass::kUrgent, 1, "busy"));
     queue.Push(Entry(3, "a", RequestClass::kChat, 1, "free"));
     int checked = 0;
-    const auto popped =
-        queue.PopFirst(Instant(), [&checked](const QueueEntry& entry) {
+    const auto popped = queue.PopFirstDispatchable(
+        Instant(), [&checked](const QueueEntry& entry) {
           ++checked;
           return entry.group == "free";
         });
--- a/tests/unit/unit-pacing.cc
+++ b/tests/unit/unit-pacing.cc
@@ -104,8 +104,8 @@
       : load(load),
         load_info(load_info),
         engines(load.engines),
-        sent_tokens(load.engines, LeakyBucket(kReadPerMs)),
-        paced_tokens(load.engines, LeakyBucket(kPacedPerMs)),
+        sent_tokens(load.engines, LeakyBucket(kPrefillTokensPerMs)),
+        paced_tokens(load.engines, LeakyBucket(kPacedPrefillTokensPerMs)),
         summarized_tokens(load.engines, 0),
         sent_since_summary(kInstances, std::vector<double>(load.engines, 0)) {}
 
@@ -159,24 +159,24 @@
   }
 
   int Choose(const PendingRequest& request, double now) const {
-    std::vector<ChoiceCandidate> candidates;
+    std::vector<TargetCandidate> candidates;
     for (int i = 0; i < this->load.engines; ++i) {
-      ChoiceCandidate candidate;
+      TargetCandidate candidate;
       candidate.slots = 64;
       candidate.unread_tokens =
           this->UnprocessedTokens(request.instance, i, now);
       candidates.push_back(candidate);
     }
-    const ChoiceRequest choice_request{kPromptTokens, 0, ""};
+    const TargetChoiceRequest choice_request{kPromptTokens, 0, ""};
     return static_cast<int>(ChooseTarget(choice_request, candidates, 0)->index);
   }
 
   bool MustDelay(const PendingRequest& request, int engine, double now) const {
     if (this->load_info != LoadInfo::kSendNoticesAndPacing) return false;
     const absl::Duration waited = absl::Milliseconds(now - request.arrived_ms);
-    if (waited >= LongestPacing(kLatencyObjective)) return false;
-    return PacingHold(this->paced_tokens[engine].Level(At(now)), kPromptTokens,
-                      kEventGapObjective) > absl::ZeroDuration();
+    if (waited >= MaxPacingDelay(kLatencyObjective)) return false;
+    return PacingDelay(this->paced_tokens[engine].Level(At(now)), kPromptTokens,
+                       kEventGapObjective) > absl::ZeroDuration();
   }
 
   void SendPending(double now) {
@@ -234,7 +234,7 @@
     };
     for (const DelayCase& item : cases) {
       const absl::Duration delay =
-          PacingHold(item.backlog_tokens, item.prompt_tokens, item.objective);
+          PacingDelay(item.backlog_tokens, item.prompt_tokens, item.objective);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.delayed,
                                    delay > absl::ZeroDuration());
     }
--- a/tests/unit/unit-target-book.cc
+++ b/tests/unit/unit-target-book.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 
 namespace dragonflyglade {
 namespace {
@@ -42,8 +42,8 @@
     this->registry.TakeReport(kPool, name, report);
   }
 
-  std::variant<TargetPlace, NoPlace> Take(double tokens = 10) {
-    TargetNeed requirements;
+  std::variant<TargetReservation, ReservationError> Take(double tokens = 10) {
+    TargetRequirements requirements;
     requirements.pool = kPool;
     requirements.model = this->model;
     requirements.zone = "near";
@@ -54,12 +54,12 @@
 
   std::string ReservedName(double tokens = 10) {
     const auto reservation = this->Take(tokens);
-    const auto* reserved = std::get_if<TargetPlace>(&reservation);
+    const auto* reserved = std::get_if<TargetReservation>(&reservation);
     return reserved == nullptr ? "none" : reserved->target;
   }
 
   ManualClock manual;
-  TargetBook registry;
+  TargetRegistry registry;
   std::string model = "m";
   std::set<std::string> avoid;
 };
@@ -96,27 +96,31 @@
   // instances, whose queues are fair.
   void LimitsRequestsPerInstance() {
     TestRegistry test;
-    test.registry.SetSharers(4);
+    test.registry.SetInstanceCount(4);
     test.avoid = {"b"};
     test.Report("a", 8);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
-    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kBusy);
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+                   ReservationError::kBusy);
   }
 
   void TellsWhyReservationFailed() {
     TestRegistry test;
     for (int i = 0; i < 8; ++i) test.ReservedName();
-    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kBusy);
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+                   ReservationError::kBusy);
     test.model = "other";
-    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kNotResident);
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+                   ReservationError::kNotResident);
     test.model = "m";
     test.avoid = {"a", "b"};
-    CPPUNIT_ASSERT(std::get<NoPlace>(test.Take()) == NoPlace::kUnreachable);
-    TargetNeed elsewhere;
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+                   ReservationError::kUnreachable);
+    TargetRequirements elsewhere;
     elsewhere.pool = "q";
-    CPPUNIT_ASSERT(std::get<NoPlace>(test.registry.Take(elsewhere)) ==
-                   NoPlace::kUnknownPool);
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.registry.Take(elsewhere)) ==
+                   ReservationError::kUnknownPool);
   }
 
   // Failure: a target that returns after an ejection is still faulty and fails
@@ -127,8 +131,8 @@
     TestRegistry test;
     test.avoid = {"b"};
     for (int i = 0; i < 3; ++i) {
-      const auto reservation = std::get<TargetPlace>(test.Take());
-      test.registry.Finish(reservation, PlaceOutcome::kTargetFault);
+      const auto reservation = std::get<TargetReservation>(test.Take());
+      test.registry.Finish(reservation, RequestOutcome::kTargetFault);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
     test.manual.Advance(absl::Seconds(5));
@@ -145,12 +149,12 @@
       CPPUNIT_ASSERT_EQUAL(std::string("b"), test.ReservedName());
     }
     CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.registry.LeavingMarks().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.registry.LeavingTargets().size());
     // A mark that is passed on keeps its age, so it expires.
     test.manual.Advance(absl::Minutes(2));
-    CPPUNIT_ASSERT(test.registry.LeavingMarks().empty());
+    CPPUNIT_ASSERT(test.registry.LeavingTargets().empty());
     test.registry.MarkLeaving("b", absl::Minutes(2));
-    CPPUNIT_ASSERT(test.registry.LeavingMarks().empty());
+    CPPUNIT_ASSERT(test.registry.LeavingTargets().empty());
   }
 
   void IgnoresOlderList() {
--- a/tests/unit/unit-target-choice.cc
+++ b/tests/unit/unit-target-choice.cc
@@ -9,9 +9,9 @@
 namespace dragonflyglade {
 namespace {
 
-ChoiceCandidate Candidate(std::string_view id, double requests,
+TargetCandidate Candidate(std::string_view id, double requests,
                           double unprocessed_tokens = 0) {
-  ChoiceCandidate candidate;
+  TargetCandidate candidate;
   candidate.id = id;
   candidate.slots = 64;
   candidate.requests = requests;
@@ -19,25 +19,25 @@
   return candidate;
 }
 
-ChoiceCandidate Failing(ChoiceCandidate candidate, double share) {
-  candidate.fault_share = share;
+TargetCandidate Failing(TargetCandidate candidate, double share) {
+  candidate.failure_rate = share;
   return candidate;
 }
 
-ChoiceCandidate OtherZone(ChoiceCandidate candidate) {
+TargetCandidate OtherZone(TargetCandidate candidate) {
   candidate.same_zone = false;
   return candidate;
 }
 
 struct ChoiceCase {
   const char* what;
-  ChoiceRequest request;
-  std::vector<ChoiceCandidate> candidates;
+  TargetChoiceRequest request;
+  std::vector<TargetCandidate> candidates;
   const char* expected;
 };
 
-const ChoiceRequest kPlain;
-const ChoiceRequest kPrompt{3000, 0, ""};
+const TargetChoiceRequest kPlain;
+const TargetChoiceRequest kPrompt{3000, 0, ""};
 
 class TargetChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TargetChoiceTest);
@@ -88,18 +88,18 @@
   // All instances prefer the same engine for requests with the same shared
   // prefix, without messages between them, unless it is far busier than others.
   void KeepsSharedPrefixesTogether() {
-    const std::vector<ChoiceCandidate> idle = {
+    const std::vector<TargetCandidate> idle = {
         Candidate("a", 0), Candidate("b", 0), Candidate("c", 0),
         Candidate("d", 0)};
     std::map<std::size_t, int> chosen;
     for (int prefix = 0; prefix < 200; ++prefix) {
       const std::string id = "part" + std::to_string(prefix);
-      const ChoiceRequest request{9000, 6000, id};
+      const TargetChoiceRequest request{9000, 6000, id};
       const auto first = ChooseTarget(request, idle, 0.1);
       const auto second = ChooseTarget(request, idle, 0.9);
       CPPUNIT_ASSERT(first->index == second->index);
       chosen[first->index] += 1;
-      std::vector<ChoiceCandidate> loaded = idle;
+      std::vector<TargetCandidate> loaded = idle;
       loaded[first->index].unread_tokens = 20000;
       const auto third = ChooseTarget(request, loaded, 0.1);
       CPPUNIT_ASSERT(third->index != first->index);
@@ -125,7 +125,7 @@
     };
     for (const PriorityCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL(item.expected,
-                           UrgencyOf(item.route, item.workspace));
+                           EngineRequestPriority(item.route, item.workspace));
     }
   }
 };
