--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -117,8 +117,8 @@
                               : this->Send(job).answer;
   // A call that a refusal kept from running cost nothing.
   const auto* refusal = std::get_if<Refusal>(&answer);
-  const bool not_run =
-      refusal != nullptr && RefusalRuleFor(refusal->code).ran == Ran::kNo;
+  const bool not_run = refusal != nullptr &&
+                       RefusalRuleFor(refusal->code).ran == WasExecuted::kNo;
   this->gate.Settle(std::get<Admission>(admitted),
                     not_run ? 0 : service->cost_tokens);
   this->metrics.Observe(
--- a/dragonflyglade/decision/backoff.cc
+++ b/dragonflyglade/decision/backoff.cc
@@ -13,7 +13,7 @@
       limit(initial_limit),
       random(seed) {}
 
-absl::Duration Backoff::Next() {
+absl::Duration Backoff::NextDelay() {
   const double fraction =
       absl::Uniform(absl::IntervalOpenClosed, this->random, 0.0, 1.0);
   const absl::Duration delay = fraction * this->limit;
--- a/dragonflyglade/decision/backoff.h
+++ b/dragonflyglade/decision/backoff.h
@@ -18,7 +18,7 @@
 
   /// The delay before the next attempt, uniform in (0, limit]. The limit
   /// doubles with each call up to max_limit.
-  absl::Duration Next();
+  absl::Duration NextDelay();
 
   /// Resets the limit to initial_limit after an attempt succeeded.
   void Reset();
--- a/dragonflyglade/decision/leader_lease.cc
+++ b/dragonflyglade/decision/leader_lease.cc
@@ -4,7 +4,7 @@
 
 namespace dragonflyglade {
 
-LeaderLease::LeaderLease(LeaderLeaseOptions options, ReadTime read_clocks)
+LeaderLease::LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks)
     : options(options), read_clocks(std::move(read_clocks)) {}
 
 void LeaderLease::OnLeaseAcquired(std::uint64_t fencing_token,
@@ -20,7 +20,7 @@
   this->valid_until = {sent_at.steady + valid_for, sent_at.boot + valid_for};
 }
 
-void LeaderLease::Lost() { this->held = false; }
+void LeaderLease::OnLeaseLost() { this->held = false; }
 
 Instant LeaderLease::EarliestOrderTime() const {
   // The margin need not be added: the previous leader issued its last order a
--- a/dragonflyglade/decision/leader_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -37,9 +37,9 @@
 /// machine was suspended.
 class LeaderLease {
  public:
-  using ReadTime = std::function<ClockReadings()>;
+  using ClockReader = std::function<ClockReadings()>;
 
-  LeaderLease(LeaderLeaseOptions options, ReadTime read_clocks);
+  LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks);
 
   /// Records that this instance became the leader.
   /// @param fencing_token increases with each new leader
@@ -52,11 +52,11 @@
   void OnLeaseRenewed(ClockReadings sent_at, absl::Duration ttl);
 
   /// Records that this instance is no longer the leader.
-  void Lost();
+  void OnLeaseLost();
 
   /// Whether this instance is the leader according to the store, even if it
   /// may not issue orders now.
-  bool Held() const { return this->held; }
+  bool IsLeader() const { return this->held; }
 
   /// Whether this instance may issue an order now. False for a while after it
   /// became the leader, because an order of the previous leader may still be in
@@ -64,14 +64,14 @@
   bool MayIssueOrders() const;
 
   /// The earliest time on the steady clock at which MayIssueOrders can become
-  /// true after Acquired.
+  /// true after OnLeaseAcquired.
   Instant EarliestOrderTime() const;
 
-  std::uint64_t Fence() const { return this->fencing_token; }
+  std::uint64_t FencingToken() const { return this->fencing_token; }
 
  private:
   const LeaderLeaseOptions options;
-  const ReadTime read_clocks;
+  const ClockReader read_clocks;
   bool held = false;
   std::uint64_t fencing_token = 0;
   ClockReadings acquired_at;
--- a/dragonflyglade/decision/refusal.h
+++ b/dragonflyglade/decision/refusal.h
@@ -45,14 +45,14 @@
     static_cast<int>(RefusalCode::kInternal) + 1;
 
 /// Whether a target may have executed the refused request.
-enum class Ran { kNo, kUnknown };
+enum class WasExecuted { kNo, kUnknown };
 
 /// The response that a refusal code leads to.
 struct RefusalRule {
   RefusalCode code;
   std::string_view name;  ///< the `code` of the JSON error
   int http_status;
-  Ran ran;
+  WasExecuted ran;
   bool retry_later;  ///< whether the response has a Retry-After header
 };
 
@@ -66,8 +66,8 @@
   absl::Duration retry_after = absl::Seconds(1);
 };
 
-/// The name of a Ran value: "no" or "unknown".
-std::string_view NameOf(Ran ran);
+/// The name of a WasExecuted value: "no" or "unknown".
+std::string_view NameOf(WasExecuted ran);
 
 /// The JSON body of the response to a refused request.
 std::string RefusalBody(const Refusal& refusal, std::string_view request_id);
--- a/dragonflyglade/decision/residency_planner.cc
+++ b/dragonflyglade/decision/residency_planner.cc
@@ -96,7 +96,7 @@
   int UnloadingEngines() const {
     return static_cast<int>(
         std::count_if(this->engines.begin(), this->engines.end(),
-                      [](const auto& engine) { return engine.closing; }));
+                      [](const auto& engine) { return engine.unloading; }));
   }
 
   double EngineLoad(const EngineResidency& engine) const {
@@ -149,7 +149,7 @@
     if (!engine.usable) continue;
     for (const auto& [name, resident_adapters] : engine.models) {
       round.copies[name] += 1;
-      const bool serves = name != engine.loading && engine.answers;
+      const bool serves = name != engine.loading && engine.responsive;
       if (serves) round.ready_copies[name] += 1;
     }
   }
@@ -163,7 +163,7 @@
 bool ResidencyPlanner::NeedsCopy(const Round& round,
                                  const DemandedModel& model) const {
   const int copies = round.CopyCount(model.name);
-  const bool busy = round.LoadPerCopy(model) > this->options.add_above;
+  const bool busy = round.LoadPerCopy(model) > this->options.add_copy_threshold;
   // Adapters in demand need slots at engines that hold their model.
   const auto adapters = round.adapter_demand_count.find(model.name);
   const bool lacks_slots =
@@ -180,7 +180,8 @@
                                    const DemandedModel& other) const {
   const auto key = [&](const DemandedModel& model) {
     const bool has_no_copy = round.CopyCount(model.name) == 0;
-    return std::make_tuple(has_no_copy, has_no_copy ? model.waiting : 0,
+    return std::make_tuple(has_no_copy,
+                           has_no_copy ? model.waiting_requests : 0,
                            round.LoadPerCopy(model));
   };
   return key(one) > key(other);
@@ -221,7 +222,7 @@
 // Cost of waiting until the model is loaded at the engine, in engine load.
 double ResidencyPlanner::LoadingCost(const EngineResidency& engine,
                                      const DemandedModel& model) const {
-  absl::Duration loading_time = model.from_store;
+  absl::Duration loading_time = model.load_time_from_store;
   if (engine.on_disk.count(model.name) > 0)
     loading_time = model.load_time_from_disk;
   if (engine.in_memory.count(model.name) > 0)
@@ -238,7 +239,7 @@
   EngineResidency* best = nullptr;
   double best_cost = 0;
   for (EngineResidency& engine : round.engines) {
-    if (!engine.usable || engine.busy) continue;
+    if (!engine.usable || engine.has_open_order) continue;
     if (engine.models.count(model.name) > 0) continue;
     if (!from_store && !KeepsWeights(engine, model.name)) continue;
     if (round.UsedMb(engine) + model.memory_mb > engine.memory_mb) continue;
@@ -257,7 +258,7 @@
   if (best == nullptr) return false;
   const bool keeps_weights = KeepsWeights(*best, model.name);
   best->models[model.name];
-  best->busy = true;
+  best->has_open_order = true;
   round.RecordNewCopy(*best, model);
   this->loaded_at[ResidencyKey(best->id, model.name, "")] = this->clock.Now();
   round.changes.push_back(
@@ -327,7 +328,7 @@
   std::string best_victim;
   double best_cost = std::numeric_limits<double>::max();
   for (EngineResidency& engine : round.engines) {
-    if (!engine.usable || engine.busy) continue;
+    if (!engine.usable || engine.has_open_order) continue;
     if (engine.models.count(model.name) > 0) continue;
     const double missing_mb =
         round.UsedMb(engine) + model.memory_mb - engine.memory_mb;
@@ -346,7 +347,7 @@
   }
   if (best == nullptr) return false;
   best->models.erase(best_victim);
-  best->busy = true;
+  best->has_open_order = true;
   round.copies[best_victim] -= 1;
   round.ready_copies[best_victim] -= 1;
   round.changes.push_back(
@@ -361,8 +362,8 @@
   }
   std::sort(wanted.begin(), wanted.end(),
             [](const DemandedAdapter* one, const DemandedAdapter* other) {
-              return std::make_pair(-one->waiting, -one->load) <
-                     std::make_pair(-other->waiting, -other->load);
+              return std::make_pair(-one->waiting_requests, -one->load) <
+                     std::make_pair(-other->waiting_requests, -other->load);
             });
   for (EngineResidency& engine : round.engines) {
     if (!engine.usable) continue;
@@ -380,7 +381,7 @@
   for (EngineResidency* engine : round.engines_by_model[wanted.model]) {
     if (engine->models.at(wanted.model).count(wanted.adapter) > 0) {
       copies += 1;
-    } else if (!engine->busy) {
+    } else if (!engine->has_open_order) {
       candidates.push_back(engine);
     }
   }
@@ -421,8 +422,9 @@
 bool ResidencyPlanner::EvictAdapter(Round& round, EngineResidency& engine,
                                     const DemandedAdapter& wanted) {
   std::optional<std::pair<std::string, std::string>> victim;
-  double min_load =
-      wanted.waiting > 0 ? std::numeric_limits<double>::max() : wanted.load;
+  double min_load = wanted.waiting_requests > 0
+                        ? std::numeric_limits<double>::max()
+                        : wanted.load;
   for (const auto& [model, adapters] : engine.models) {
     for (const std::string& adapter : adapters) {
       if (this->IsProtected(engine.id, model, adapter,
@@ -433,8 +435,8 @@
           round.adapters.find(absl::StrCat(model, "/", adapter));
       const double load =
           demand == round.adapters.end() ? 0 : demand->second->load;
-      const bool has_waiting_requests =
-          demand != round.adapters.end() && demand->second->waiting > 0;
+      const bool has_waiting_requests = demand != round.adapters.end() &&
+                                        demand->second->waiting_requests > 0;
       // Unloading an adapter in use would wait until its requests have ended,
       // and the engine would take no other order meanwhile.
       const bool in_use =
--- a/dragonflyglade/decision/residency_planner.h
+++ b/dragonflyglade/decision/residency_planner.h
@@ -20,9 +20,10 @@
   double adapter_mb = 0;  ///< memory of each of its adapters
   /// Demand in engine time: 1 keeps one engine busy.
   double load = 0;
-  int waiting = 0;  ///< requests that wait because no engine holds the model
+  /// Requests that wait because no engine holds the model.
+  int waiting_requests = 0;
   /// How long loading the model takes, by where an engine gets the weights.
-  absl::Duration from_store = absl::Seconds(5);
+  absl::Duration load_time_from_store = absl::Seconds(5);
   absl::Duration load_time_from_disk = absl::Seconds(1);
   absl::Duration load_time_from_memory = absl::Milliseconds(400);
 };
@@ -32,7 +33,8 @@
   std::string model;
   std::string adapter;
   double load = 0;  ///< engine time, as for a model
-  int waiting = 0;  ///< requests that wait because no engine holds the adapter
+  /// Requests that wait because no engine holds the adapter.
+  int waiting_requests = 0;
 };
 
 /// An engine and the models and adapters that are resident there.
@@ -53,9 +55,9 @@
   std::set<std::string> in_use;
   bool usable = true;  ///< running and not leaving
   /// False while requests to the engine fail: it may have lost its models.
-  bool answers = true;
-  bool busy = false;     ///< cannot take another order for a model now
-  bool closing = false;  ///< a model is being unloaded
+  bool responsive = true;
+  bool has_open_order = false;  ///< cannot take another order for a model now
+  bool unloading = false;       ///< a model is being unloaded
 };
 
 /// A model or adapter to load or unload at an engine.
@@ -65,7 +67,7 @@
   std::string target;
   std::string model;
   std::string adapter;      ///< empty if the model itself changes
-  bool from_store = false;  ///< whether the load uses the weight store
+  bool uses_store = false;  ///< whether a load uses the weight store
 };
 
 /// Thresholds. Loads are in engine time: 1 keeps one engine busy.
@@ -73,7 +75,7 @@
   /// Load per copy above which a model gets another copy. Far below 1, because
   /// all requests at an engine slow down as it fills, and because demand
   /// changes during the seconds that loading a copy takes.
-  double add_above = 0.50;
+  double add_copy_threshold = 0.50;
   /// A copy may be evicted if the load per remaining copy is at most this.
   double spare_copy_load_limit = 0.20;
   /// Load of an adapter's only copy above which it gets a second one.
--- a/dragonflyglade/decision/route_table.h
+++ b/dragonflyglade/decision/route_table.h
@@ -39,7 +39,7 @@
   int priority = 0;  ///< 0 is the most urgent
   std::vector<WeightedService> services;
   int max_targets = 1;     ///< targets that one request may be sent to
-  bool open = false;       ///< whether callers need no API key
+  bool is_public = false;  ///< whether callers need no API key
   bool resumable = false;  ///< whether broken streams may be resumed
 
   /// Whether a request that may have been executed may be executed again.
--- a/dragonflyglade/decision/target_choice.cc
+++ b/dragonflyglade/decision/target_choice.cc
@@ -47,7 +47,7 @@
                 UncachedShare(request.shared_prefix_id, candidate.id);
   const double waiting_requests =
       std::max(0.0, candidate.requests + 1 - candidate.slots);
-  return (candidate.unread_tokens + own_tokens + uncached_tokens) /
+  return (candidate.unprocessed_prompt_tokens + own_tokens + uncached_tokens) /
              kPrefillTokensPerMs +
          std::min<double>(candidate.requests, candidate.slots) *
              kRunningRequestMs +
--- a/dragonflyglade/decision/target_choice.h
+++ b/dragonflyglade/decision/target_choice.h
@@ -30,7 +30,7 @@
   /// Requests at the target, of this instance and, as far as known, of others.
   double requests = 0;
   /// Tokens of prompts sent to the target without any output so far.
-  double unread_tokens = 0;
+  double unprocessed_prompt_tokens = 0;
   /// Whether the target is in this instance's availability zone, so that no
   /// traffic crosses zones.
   bool same_zone = true;
--- a/dragonflyglade/decision/target_registry.cc
+++ b/dragonflyglade/decision/target_registry.cc
@@ -52,8 +52,8 @@
   return found == targets->second.end() ? nullptr : &found->second;
 }
 
-void TargetRegistry::TakeList(std::int64_t version,
-                              const std::vector<ListedTarget>& list) {
+void TargetRegistry::ApplyTargetList(std::int64_t version,
+                                     const std::vector<ListedTarget>& list) {
   absl::MutexLock list_lock(&this->list_mutex);
   if (version < this->list_version) return;
   this->list_version = version;
@@ -81,8 +81,9 @@
   }
 }
 
-void TargetRegistry::TakeReport(std::string_view pool, std::string_view target,
-                                LoadReport report) {
+void TargetRegistry::ApplyLoadReport(std::string_view pool,
+                                     std::string_view target,
+                                     LoadReport report) {
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
@@ -237,7 +238,7 @@
   return preferred;
 }
 
-std::variant<TargetReservation, ReservationError> TargetRegistry::Take(
+std::variant<TargetReservation, ReservationError> TargetRegistry::ReserveTarget(
     const TargetRequirements& need) {
   Shard& shard = this->ShardOf(need.pool);
   absl::MutexLock lock(&shard.mutex);
@@ -280,8 +281,8 @@
                            best->listed.port, need.tokens};
 }
 
-void TargetRegistry::Finish(const TargetReservation& place,
-                            RequestOutcome outcome) {
+void TargetRegistry::ReleaseTarget(const TargetReservation& place,
+                                   RequestOutcome outcome) {
   Shard& shard = this->ShardOf(place.pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, place.pool, place.target);
--- a/dragonflyglade/decision/target_registry.h
+++ b/dragonflyglade/decision/target_registry.h
@@ -74,7 +74,7 @@
 };
 
 /// A reservation for one request at a target, to be released by
-/// TargetRegistry::Finish.
+/// TargetRegistry::ReleaseTarget.
 struct TargetReservation {
   std::string target;
   std::string pool;
@@ -115,11 +115,12 @@
 
   /// Applies the platform's list of targets.
   /// @param version lists older than the newest one applied are ignored
-  void TakeList(std::int64_t version, const std::vector<ListedTarget>& list);
+  void ApplyTargetList(std::int64_t version,
+                       const std::vector<ListedTarget>& list);
 
   /// Applies a target's load report. Ignored if the target is not known.
-  void TakeReport(std::string_view pool, std::string_view target,
-                  LoadReport report);
+  void ApplyLoadReport(std::string_view pool, std::string_view target,
+                       LoadReport report);
 
   /// Marks a target as leaving, even if the list does not say so.
   /// @param age time since it was first seen leaving
@@ -135,11 +136,11 @@
 
   /// Reserves a slot for a request at the best target, or tells why that
   /// failed.
-  std::variant<TargetReservation, ReservationError> Take(
+  std::variant<TargetReservation, ReservationError> ReserveTarget(
       const TargetRequirements& need);
 
   /// Releases a reservation when the request at the target has ended.
-  void Finish(const TargetReservation& place, RequestOutcome outcome);
+  void ReleaseTarget(const TargetReservation& place, RequestOutcome outcome);
 
   /// Records that a target has the prefix in its cache. The information is a
   /// hint: it may be late or incomplete.
--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -205,7 +205,7 @@
 }
 
 void FleetChannel::TakeReport(const wire::InstanceReport& report) {
-  if (!this->duty.Held()) return;
+  if (!this->duty.IsLeader()) return;
   this->hub.Take(report);
   this->desk.Reported(report);
   bool anyone_waits = false;
@@ -240,7 +240,7 @@
         this->desk.UnreportedGrantTokens(spend.workspace));
   }
   summary.holder = this->self.incarnation;
-  summary.fence = static_cast<std::int64_t>(this->duty.Fence());
+  summary.fence = static_cast<std::int64_t>(this->duty.FencingToken());
   summary.store = this->relay.DigestSince(
       static_cast<std::uint64_t>(report.store_revision));
   summary.holdings_version = this->holdings.Version();
@@ -257,7 +257,7 @@
 
 bool FleetChannel::IsHolder() const {
   const std::optional<LeaderRecord>& holder = this->fleet.Leader();
-  return this->duty.Held() && holder.has_value() &&
+  return this->duty.IsLeader() && holder.has_value() &&
          holder->instance.incarnation == this->self.incarnation;
 }
 
@@ -300,7 +300,7 @@
 
 void FleetChannel::TellUrgent() {
   this->FollowDuty();
-  if (!this->duty.Held()) {
+  if (!this->duty.IsLeader()) {
     this->relay.NotifySubscribers();
     return;
   }
@@ -318,7 +318,7 @@
 }
 
 asio::awaitable<void> FleetChannel::TellReporters() {
-  while (this->tell_again && this->duty.Held()) {
+  while (this->tell_again && this->duty.IsLeader()) {
     this->tell_again = false;
     std::vector<wire::InstanceReport> reporters = this->hub.RecentReports();
     std::stable_partition(
@@ -340,7 +340,7 @@
 asio::awaitable<void> FleetChannel::PushGathered() {
   co_await Sleep(this->context, kPushGather);
   this->push_pending = false;
-  if (!this->duty.Held()) co_return;
+  if (!this->duty.IsLeader()) co_return;
   for (const wire::InstanceReport& report : this->hub.RecentReports()) {
     if (!IsIdle(report)) this->SendSummary(report);
   }
--- a/dragonflyglade/gateway/gateway.h
+++ b/dragonflyglade/gateway/gateway.h
@@ -62,7 +62,7 @@
   /// After Run: see EventLog::Drain.
   bool DrainLog(absl::Duration at_most) { return this->log.Drain(at_most); }
   const FleetState& Fleet() const { return this->fleet; }
-  bool HoldsLeaderLease() const { return this->duty.Held(); }
+  bool HoldsLeaderLease() const { return this->duty.IsLeader(); }
 
  private:
   using Acceptor = boost::asio::ip::tcp::acceptor;
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -142,7 +142,7 @@
 }
 
 std::optional<Refusal> Pipeline::FindWorkspace(RequestJob& job) {
-  if (!job.config->requires_keys || job.route->open) return std::nullopt;
+  if (!job.config->requires_keys || job.route->is_public) return std::nullopt;
   if (job.request.key.empty()) {
     return MakeRefusal(RefusalCode::kMissingKey, "no key was shown");
   }
@@ -221,7 +221,7 @@
     candidate.id = record.id;
     candidate.slots = record.slots;
     candidate.requests = target->Requests(now);
-    candidate.unread_tokens = target->Unread(now);
+    candidate.unprocessed_prompt_tokens = target->Unread(now);
     candidate.same_zone = record.zone == this->settings.zone;
     candidate.failure_rate = target->FaultShare();
     candidates.push_back(candidate);
@@ -325,7 +325,7 @@
     co_return;
   }
   const RefusalRule& rule = RefusalRuleFor(refusal.code);
-  if (rule.ran == Ran::kNo && job.workspace != nullptr &&
+  if (rule.ran == WasExecuted::kNo && job.workspace != nullptr &&
       refusal.code != RefusalCode::kOverRate) {
     this->quotas.GiveBack(job.workspace->name, job.cost);
   }
--- a/dragonflyglade/gateway/placement_controller.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -57,7 +57,7 @@
     this->plan_wanted = false;
     if (!this->duty.MayIssueOrders()) {
       if (this->acting) this->Forget();
-      if (!this->duty.Held()) {
+      if (!this->duty.IsLeader()) {
         this->hub.Clear();
         this->channel.ClearGrants();
       }
@@ -66,7 +66,8 @@
     if (!this->acting) {
       this->acting = true;
       this->ceilings.clear();
-      this->log.Write("placement", "acting", {{"fence", this->duty.Fence()}});
+      this->log.Write("placement", "acting",
+                      {{"fence", this->duty.FencingToken()}});
     }
     const Instant begun = this->clock.Now();
     this->Follow();
@@ -117,7 +118,7 @@
   this->acting = false;
   this->engines.clear();
   this->channel.Holdings().Clear();
-  this->log.Write("placement", "not acting", {{"held", this->duty.Held()}});
+  this->log.Write("placement", "not acting", {{"held", this->duty.IsLeader()}});
 }
 
 void PlacementController::Follow() {
@@ -257,13 +258,13 @@
     model.name = served.name;
     model.memory_mb = served.memory_mb;
     model.adapter_mb = served.adapter_mb;
-    model.from_store = served.load_time;
+    model.load_time_from_store = served.load_time;
     model.load_time_from_disk = served.disk_load_time;
     model.load_time_from_memory = served.memory_load_time;
     const auto asked = demand.find({service.name, served.name, ""});
     if (asked != demand.end()) {
       model.load = asked->second.load;
-      model.waiting = asked->second.waiting;
+      model.waiting_requests = asked->second.waiting;
     }
     models.push_back(std::move(model));
   }
@@ -286,7 +287,8 @@
     if (in_use != residents_in_use.end()) item.in_use = in_use->second;
     item.usable = target != nullptr && !target->Record().leaving &&
                   !this->HasEnded(*engine);
-    item.answers = target != nullptr && !target->IsAvoided(this->clock.Now());
+    item.responsive =
+        target != nullptr && !target->IsAvoided(this->clock.Now());
     item.loading = engine->loading.value_or("");
     // What it kept before its last order may have made way for that since.
     if (target != nullptr && target->UpdatedAt() > engine->settled_at) {
@@ -294,9 +296,10 @@
       item.in_memory = {record.in_memory.begin(), record.in_memory.end()};
       item.on_disk = {record.on_disk.begin(), record.on_disk.end()};
     }
-    item.busy = engine->ordering || engine->inspect ||
-                engine->loading.has_value() || !engine->closing.empty();
-    item.closing = !engine->closing.empty();
+    item.has_open_order = engine->ordering || engine->inspect ||
+                          engine->loading.has_value() ||
+                          !engine->closing.empty();
+    item.unloading = !engine->closing.empty();
     holdings.push_back(std::move(item));
   }
   const std::vector<ResidencyChange> changes =
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -51,7 +51,7 @@
         served.begin(), served.end(),
         [&](const ServedModel& item) { return item.name == change.model; });
     engine.loading_until = this->clock.Now() + kLoadPatience * model->load_time;
-    if (change.from_store) this->LoadLimiterOf(service).RecordLoadStart();
+    if (change.uses_store) this->LoadLimiterOf(service).RecordLoadStart();
   } else if (loads) {
     engine.models[change.model].insert(change.adapter);
     engine.unready.insert(PlaceOf(change));
@@ -85,7 +85,7 @@
   order.adapter = change.adapter;
   order.orders_taken = engine.orders_taken;
   order.holder = this->settings.instance;
-  order.fence = this->duty.Fence();
+  order.fence = this->duty.FencingToken();
   OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("orders");
@@ -131,9 +131,9 @@
       {{"target", engine.id},
        {"load", change.kind == ResidencyChange::Kind::kLoad},
        {"model", PlaceOf(change)},
-       {"from_store", change.from_store},
+       {"from_store", change.uses_store},
        {"expected", engine.orders_taken},
-       {"fence", this->duty.Fence()},
+       {"fence", this->duty.FencingToken()},
        {"answer", answer.has_value() ? static_cast<int>(*answer) : -1}});
   if (answer.has_value()) {
     this->Settle(engine, change, *answer);
--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -148,7 +148,7 @@
   const std::int64_t number = ++this->last_number;
   const std::string address = this->fleet.Leader()->instance.peers;
   if (this->fleet.Leader()->instance.incarnation == this->self.incarnation) {
-    if (!this->duty.Held()) co_return std::nullopt;
+    if (!this->duty.IsLeader()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
         this->Decide(this->self.incarnation, number, workspace, tokens);
     const bool granted = verdict.has_value() && verdict->admitted;
@@ -188,7 +188,7 @@
 }
 
 void QuotaAdmission::ReceiveAsk(const wire::QuotaAsk& ask) {
-  if (!this->duty.Held()) return;
+  if (!this->duty.IsLeader()) return;
   const std::optional<QuotaVerdict> verdict =
       this->Decide(ask.incarnation, ask.number, ask.workspace,
                    static_cast<double>(ask.tokens));
@@ -208,8 +208,8 @@
 // and callers that come back at once would be refused again.
 bool QuotaAdmission::HearsReports(const FleetSpending& spend) {
   const Instant now = this->clock.Now();
-  if (this->duty_fence != this->duty.Fence()) {
-    this->duty_fence = this->duty.Fence();
+  if (this->duty_fence != this->duty.FencingToken()) {
+    this->duty_fence = this->duty.FencingToken();
     this->duty_since = now;
   }
   const auto listed = static_cast<int>(this->fleet.ListedInstances().size());
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -121,15 +121,16 @@
   if (lease == nullptr) co_return;
   this->granted = lease->ttl;
   this->renewed = sent;
-  if (this->duty.Held()) this->duty.OnLeaseRenewed(sent, lease->ttl);
+  if (this->duty.IsLeader()) this->duty.OnLeaseRenewed(sent, lease->ttl);
 }
 
 void Registration::LeaseEnded() {
-  this->log.Write("registration", "lease ended",
-                  {{"lease", this->lease}, {"held_duty", this->duty.Held()}});
+  this->log.Write(
+      "registration", "lease ended",
+      {{"lease", this->lease}, {"held_duty", this->duty.IsLeader()}});
   this->lease = 0;
   this->entered = false;
-  this->duty.Lost();
+  this->duty.OnLeaseLost();
 }
 
 bool Registration::DutyIsMine() const {
@@ -141,12 +142,12 @@
 // What the store shows goes before what this instance knows of its lease: a
 // later change of the duty means that somebody else may hold it.
 void Registration::CheckDuty() {
-  if (!this->duty.Held() || this->DutyIsMine()) return;
-  if (this->fleet.LeaderRevision() <= this->duty.Fence()) return;
+  if (!this->duty.IsLeader() || this->DutyIsMine()) return;
+  if (this->fleet.LeaderRevision() <= this->duty.FencingToken()) return;
   this->log.Write("duty", "lost to another",
-                  {{"fence", this->duty.Fence()},
+                  {{"fence", this->duty.FencingToken()},
                    {"revision", this->fleet.LeaderRevision()}});
-  this->duty.Lost();
+  this->duty.OnLeaseLost();
 }
 
 absl::Duration Registration::WantedLease() const {
@@ -179,14 +180,14 @@
     // The answer to the taking write was lost, and the store shows it. An
     // entry under an earlier lease is about to vanish: going on from it, this
     // instance would give orders with an old fence beside the next holder.
-    if (this->DutyIsMine() && !this->duty.Held()) {
+    if (this->DutyIsMine() && !this->duty.IsLeader()) {
       this->duty.OnLeaseAcquired(this->fleet.Leader()->revision, this->renewed,
                                  this->granted);
     }
     co_return;
   }
   if (this->fleet.Config() == nullptr) co_return;
-  if (this->duty.Held()) co_return;
+  if (this->duty.IsLeader()) co_return;
   // The duty stands under this instance's lease, and a long one would keep it
   // from others for as long after this one's end.
   if (this->asked_for != this->lease_durations.listed) co_return;
@@ -209,14 +210,14 @@
 
 asio::awaitable<void> Registration::Leave() {
   this->leaving = true;
-  const bool held = this->duty.Held();
-  this->duty.Lost();
+  const bool held = this->duty.IsLeader();
+  this->duty.OnLeaseLost();
   StoreTransaction transaction;
   transaction.deletes.push_back(FleetState::InstanceKey(this->self.name));
   if (held) {
     // Its own watch may not show the duty yet, right after it was taken.
     const std::string key(FleetState::kLeaderKey);
-    transaction.expected.push_back({key, this->duty.Fence()});
+    transaction.expected.push_back({key, this->duty.FencingToken()});
     transaction.deletes.push_back(key);
   }
   // While the store is away, leases may stand still, and the duty would stay
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -37,7 +37,7 @@
   bool taken_over = false;
   while (true) {
     co_await Sleep(this->context, taken_over ? kLookEvery : kDutyLook);
-    if (!this->duty.Held()) {
+    if (!this->duty.IsLeader()) {
       taken_over = false;
     } else if (!taken_over) {
       taken_over = co_await this->TakeOver();
@@ -66,11 +66,11 @@
                                  : absl::InfiniteDuration();
   const bool usable =
       record.Ok() && IsRecent(record.Value(), this->time_of_day());
-  if (usable && this->duty.Held()) this->hub.TakeOver(record.Value());
+  if (usable && this->duty.IsLeader()) this->hub.TakeOver(record.Value());
   this->log.Write("quota", usable ? "spending taken over" : "record too old",
                   {{"revision", item->revision},
                    {"age_ms", age},
-                   {"fence", this->duty.Fence()}});
+                   {"fence", this->duty.FencingToken()}});
   co_return true;
 }
 
@@ -93,7 +93,7 @@
   StoreTransaction transaction;
   // A holder that was replaced and does not know it yet writes nothing.
   transaction.expected.push_back(
-      {std::string(FleetState::kLeaderKey), this->duty.Fence()});
+      {std::string(FleetState::kLeaderKey), this->duty.FencingToken()});
   transaction.puts.push_back(
       {std::string(FleetState::kSpendsKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
--- a/dragonflyglade/instance/config_follower.cc
+++ b/dragonflyglade/instance/config_follower.cc
@@ -91,7 +91,7 @@
       this->PullFrom(member);
     }
   }
-  return this->backoff.Next();
+  return this->backoff.NextDelay();
 }
 
 bool ConfigFollower::ReadService(bool whole) {
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -170,7 +170,7 @@
     const TargetStatus& status = found->second;
     const bool after = this->ReportIsAfter(round, status, absl::ZeroDuration());
     const std::string before = EncodeLedger(stored.ledger);
-    TakeReport(stored.ledger, status.boot_id, status.resident, after);
+    ApplyResidencyReport(stored.ledger, status.boot_id, status.resident, after);
     if (after) this->BookUnordered(stored.ledger, status.resident);
     const bool is_first = after && stored.mod_revision == 0;
     if (!is_first && EncodeLedger(stored.ledger) == before) continue;
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -22,7 +22,7 @@
       [&pool, this](const QueueEntry& entry)
           ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex) {
             Waiter& waiter = *pool.waiters.at(entry.id);
-            waiter.result = this->targets.Take(*waiter.need);
+            waiter.result = this->targets.ReserveTarget(*waiter.need);
             waiter.granted =
                 std::holds_alternative<TargetReservation>(waiter.result);
             return waiter.granted;
@@ -64,7 +64,7 @@
 
 void Dispatcher::Release(const TargetReservation& place,
                          RequestOutcome outcome) {
-  this->targets.Finish(place, outcome);
+  this->targets.ReleaseTarget(place, outcome);
   PoolQueue& pool = this->QueueOf(place.pool);
   absl::MutexLock lock(&pool.mutex);
   this->Serve(pool);
--- a/dragonflyglade/target/target_poller.cc
+++ b/dragonflyglade/target/target_poller.cc
@@ -45,7 +45,7 @@
 absl::Duration TargetPoller::ListRound() {
   const Result<DiscoveredTargets> list = this->lists.Targets();
   if (list.Ok()) {
-    this->targets.TakeList(list.Value().version, list.Value().targets);
+    this->targets.ApplyTargetList(list.Value().version, list.Value().targets);
     this->report_worker.Wake();
   } else {
     LogFor(LogPart::kStore).debug("{}.", list.Error().ToString());
@@ -59,7 +59,7 @@
   const Result<EngineReport> report = engine.Report();
   if (!report.Ok()) return;
   if (report.Value().leaving) this->targets.MarkLeaving(target.name);
-  this->targets.TakeReport(target.pool, target.name, report.Value().load);
+  this->targets.ApplyLoadReport(target.pool, target.name, report.Value().load);
   this->PollCacheEvents(engine, target);
 }
 
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -139,13 +139,13 @@
       list.push_back(ListedTarget{fmt::format("t{:04}", i), "10.0.0.1", 8000,
                                   "a", kPool, false});
     }
-    book.TakeList(1, list);
+    book.ApplyTargetList(1, list);
     for (const ListedTarget& target : list) {
       LoadReport report;
       report.slots = 8;
       report.boot_id = "1";
       report.resident = {"m0", "m1", "m2", "m3"};
-      book.TakeReport(kPool, target.name, report);
+      book.ApplyLoadReport(kPool, target.name, report);
     }
     TargetRequirements need;
     need.pool = kPool;
@@ -154,9 +154,9 @@
     need.prefix = 99;
     need.tokens = 1000;
     PrintCost(fmt::format("targets.{}.take_and_finish", count), 2000, [&](int) {
-      const auto place = book.Take(need);
+      const auto place = book.ReserveTarget(need);
       if (const auto* found = std::get_if<TargetReservation>(&place)) {
-        book.Finish(*found, RequestOutcome::kSucceeded);
+        book.ReleaseTarget(*found, RequestOutcome::kSucceeded);
       }
     });
   }
--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -108,7 +108,8 @@
     const Instant made_at = now - kReportLag;
     const std::string before = EncodeLedger(stored.ledger);
     if (now > since + kReportLag) {
-      TakeReport(stored.ledger, BootId(target), resident, made_at > since);
+      ApplyResidencyReport(stored.ledger, BootId(target), resident,
+                           made_at > since);
     }
     if (EncodeLedger(stored.ledger) != before) this->Write(stored, {});
     stored = this->store.at(name);
@@ -165,7 +166,7 @@
   const auto fresh = [&](const std::string& target) {
     Stored stored = picture.at(target);
     const Stored& current = this->store.at(target);
-    if (current.ledger.fence == fence) stored = current;
+    if (current.ledger.fencing_token == fence) stored = current;
     return stored;
   };
   if (const auto* load = std::get_if<PlanLoad>(&step)) {
--- a/measure/model/serving_fleet.cc
+++ b/measure/model/serving_fleet.cc
@@ -85,7 +85,7 @@
     TargetOptions options;
     entry.book =
         std::make_unique<TargetRegistry>(options, this->clock, run.seed + i);
-    entry.book->TakeList(1, list);
+    entry.book->ApplyTargetList(1, list);
     entry.book->SetInstanceCount(static_cast<int>(run.instances));
     // Waiting in the order of arrival is a fair queue with one line.
     entry.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
@@ -209,7 +209,7 @@
   need.prefix = request->prefix;
   need.tokens = request->prompt + request->output;
   need.avoid = request->avoid;
-  const auto place = entry.book->Take(need);
+  const auto place = entry.book->ReserveTarget(need);
   if (!std::holds_alternative<TargetReservation>(place)) return false;
   this->Send(instance, request, std::get<TargetReservation>(place));
   return true;
@@ -294,7 +294,7 @@
                           RequestOutcome outcome) {
   Entry& entry = this->entries[instance];
   if (this->run.routing == RoutingWay::kBook) {
-    entry.book->Finish(place, outcome);
+    entry.book->ReleaseTarget(place, outcome);
   } else {
     --entry.own[place.target];
   }
@@ -337,7 +337,7 @@
     report.resident = {kModel};
     report.lag = now - target.reports.front().at;
     for (Entry& entry : this->entries) {
-      entry.book->TakeReport(kPool, name, report);
+      entry.book->ApplyLoadReport(kPool, name, report);
     }
   }
 }
--- a/tests/platform/platform-codecs.cc
+++ b/tests/platform/platform-codecs.cc
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(stream.repeatability == Repeatability::kStream);
     CPPUNIT_ASSERT(stream.timeout == absl::Seconds(6));
     CPPUNIT_ASSERT(stream.latency_objective == absl::Milliseconds(800));
-    CPPUNIT_ASSERT(stream.open && stream.resumable);
+    CPPUNIT_ASSERT(stream.is_public && stream.resumable);
     CPPUNIT_ASSERT_EQUAL(2, stream.max_targets);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stream.services.size());
     const Route& once = *config.routes.Find("h.example", "/b/x");
--- a/tests/unit/unit-duty-lease.cc
+++ b/tests/unit/unit-duty-lease.cc
@@ -54,7 +54,7 @@
       now = {item.steady_now, item.boot_now};
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.may_issue_orders,
                                    lease.MayIssueOrders());
-      CPPUNIT_ASSERT(lease.Held());
+      CPPUNIT_ASSERT(lease.IsLeader());
     }
   }
 
@@ -65,10 +65,10 @@
     CPPUNIT_ASSERT(!lease.MayIssueOrders());
     lease.OnLeaseAcquired(7, now, kTtl);
     CPPUNIT_ASSERT(lease.MayIssueOrders());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, lease.Fence());
-    lease.Lost();
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, lease.FencingToken());
+    lease.OnLeaseLost();
     CPPUNIT_ASSERT(!lease.MayIssueOrders());
-    CPPUNIT_ASSERT(!lease.Held());
+    CPPUNIT_ASSERT(!lease.IsLeader());
   }
 };
 
--- a/tests/unit/unit-pacing.cc
+++ b/tests/unit/unit-pacing.cc
@@ -163,7 +163,7 @@
     for (int i = 0; i < this->load.engines; ++i) {
       TargetCandidate candidate;
       candidate.slots = 64;
-      candidate.unread_tokens =
+      candidate.unprocessed_prompt_tokens =
           this->UnprocessedTokens(request.instance, i, now);
       candidates.push_back(candidate);
     }
--- a/tests/unit/unit-placement.cc
+++ b/tests/unit/unit-placement.cc
@@ -111,10 +111,10 @@
     CPPUNIT_ASSERT(BeginLoad(ledger, Spec("sure", 30), 1).Ok());
     FinishLoad(ledger, Outcome("t-1", "sure", true), false);
     CPPUNIT_ASSERT(BeginLoad(ledger, Spec("open", 30), 1).Ok());
-    TakeReport(ledger, "boot-2", {}, true);
+    ApplyResidencyReport(ledger, "boot-2", {}, true);
     // The open order may have reached the new process.
     CPPUNIT_ASSERT_EQUAL(std::int64_t{30}, ReservedBytes(ledger));
-    TakeReport(ledger, "boot-3", {}, true);
+    ApplyResidencyReport(ledger, "boot-3", {}, true);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, ReservedBytes(ledger));
   }
 
--- a/tests/unit/unit-refusal.cc
+++ b/tests/unit/unit-refusal.cc
@@ -30,8 +30,9 @@
       CPPUNIT_ASSERT(rule.code == code);
       CPPUNIT_ASSERT(names.insert(rule.name).second);
       CPPUNIT_ASSERT(rule.http_status >= 400 && rule.http_status < 600);
-      const Ran expected =
-          after_dispatch.count(code) > 0 ? Ran::kUnknown : Ran::kNo;
+      const WasExecuted expected = after_dispatch.count(code) > 0
+                                       ? WasExecuted::kUnknown
+                                       : WasExecuted::kNo;
       CPPUNIT_ASSERT_MESSAGE(std::string(rule.name), rule.ran == expected);
       const bool overload = rule.http_status == 429 || rule.http_status == 503;
       CPPUNIT_ASSERT_MESSAGE(std::string(rule.name),
--- a/tests/unit/unit-residency.cc
+++ b/tests/unit/unit-residency.cc
@@ -49,13 +49,13 @@
 };
 
 EngineResidency Busy(EngineResidency engine) {
-  engine.busy = true;
+  engine.has_open_order = true;
   return engine;
 }
 
 EngineResidency Unloading(EngineResidency engine) {
-  engine.busy = true;
-  engine.closing = true;
+  engine.has_open_order = true;
+  engine.unloading = true;
   return engine;
 }
 
@@ -70,13 +70,13 @@
 }
 
 EngineResidency Loading(EngineResidency engine, std::string model) {
-  engine.busy = true;
+  engine.has_open_order = true;
   engine.loading = std::move(model);
   return engine;
 }
 
 EngineResidency Unresponsive(EngineResidency engine) {
-  engine.answers = false;
+  engine.responsive = false;
   return engine;
 }
 
@@ -323,7 +323,7 @@
         }
         std::vector<EngineResidency> holdings;
         for (auto& [id, engine] : engines) {
-          engine.busy = *rc::gen::inRange(0, 3) == 0;
+          engine.has_open_order = *rc::gen::inRange(0, 3) == 0;
           holdings.push_back(engine);
         }
         const auto changes = planner.Plan(models, adapters, holdings, 2);
--- a/tests/unit/unit-target-book.cc
+++ b/tests/unit/unit-target-book.cc
@@ -15,8 +15,8 @@
  public:
   TestRegistry() : registry(Options(), Clock(&this->manual), 1) {
     this->manual.Advance(absl::Hours(1));
-    this->registry.TakeList(1,
-                            {MakeTarget("a", "near"), MakeTarget("b", "far")});
+    this->registry.ApplyTargetList(
+        1, {MakeTarget("a", "near"), MakeTarget("b", "far")});
     this->Report("a", 0);
     this->Report("b", 0);
   }
@@ -39,21 +39,22 @@
     report.boot_id = "1";
     report.resident = {"m"};
     report.lag = lag;
-    this->registry.TakeReport(kPool, name, report);
+    this->registry.ApplyLoadReport(kPool, name, report);
   }
 
-  std::variant<TargetReservation, ReservationError> Take(double tokens = 10) {
+  std::variant<TargetReservation, ReservationError> ReserveTarget(
+      double tokens = 10) {
     TargetRequirements requirements;
     requirements.pool = kPool;
     requirements.model = this->model;
     requirements.zone = "near";
     requirements.tokens = tokens;
     requirements.avoid = this->avoid;
-    return this->registry.Take(requirements);
+    return this->registry.ReserveTarget(requirements);
   }
 
   std::string ReservedName(double tokens = 10) {
-    const auto reservation = this->Take(tokens);
+    const auto reservation = this->ReserveTarget(tokens);
     const auto* reserved = std::get_if<TargetReservation>(&reservation);
     return reserved == nullptr ? "none" : reserved->target;
   }
@@ -101,26 +102,26 @@
     test.Report("a", 8);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), test.ReservedName());
-    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.ReserveTarget()) ==
                    ReservationError::kBusy);
   }
 
   void TellsWhyReservationFailed() {
     TestRegistry test;
     for (int i = 0; i < 8; ++i) test.ReservedName();
-    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.ReserveTarget()) ==
                    ReservationError::kBusy);
     test.model = "other";
-    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.ReserveTarget()) ==
                    ReservationError::kNotResident);
     test.model = "m";
     test.avoid = {"a", "b"};
-    CPPUNIT_ASSERT(std::get<ReservationError>(test.Take()) ==
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.ReserveTarget()) ==
                    ReservationError::kUnreachable);
     TargetRequirements elsewhere;
     elsewhere.pool = "q";
-    CPPUNIT_ASSERT(std::get<ReservationError>(test.registry.Take(elsewhere)) ==
-                   ReservationError::kUnknownPool);
+    CPPUNIT_ASSERT(std::get<ReservationError>(test.registry.ReserveTarget(
+                       elsewhere)) == ReservationError::kUnknownPool);
   }
 
   // Failure: a target that returns after an ejection is still faulty and fails
@@ -131,8 +132,9 @@
     TestRegistry test;
     test.avoid = {"b"};
     for (int i = 0; i < 3; ++i) {
-      const auto reservation = std::get<TargetReservation>(test.Take());
-      test.registry.Finish(reservation, RequestOutcome::kTargetFault);
+      const auto reservation =
+          std::get<TargetReservation>(test.ReserveTarget());
+      test.registry.ReleaseTarget(reservation, RequestOutcome::kTargetFault);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("none"), test.ReservedName());
     test.manual.Advance(absl::Seconds(5));
@@ -159,9 +161,9 @@
 
   void IgnoresOlderList() {
     TestRegistry test;
-    test.registry.TakeList(0, {});
+    test.registry.ApplyTargetList(0, {});
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, test.registry.Status().size());
-    test.registry.TakeList(2, {TestRegistry::MakeTarget("b", "far")});
+    test.registry.ApplyTargetList(2, {TestRegistry::MakeTarget("b", "far")});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, test.registry.Status().size());
   }
 };
--- a/tests/unit/unit-target-choice.cc
+++ b/tests/unit/unit-target-choice.cc
@@ -15,7 +15,7 @@
   candidate.id = id;
   candidate.slots = 64;
   candidate.requests = requests;
-  candidate.unread_tokens = unprocessed_tokens;
+  candidate.unprocessed_prompt_tokens = unprocessed_tokens;
   return candidate;
 }
 
@@ -100,7 +100,7 @@
       CPPUNIT_ASSERT(first->index == second->index);
       chosen[first->index] += 1;
       std::vector<TargetCandidate> loaded = idle;
-      loaded[first->index].unread_tokens = 20000;
+      loaded[first->index].unprocessed_prompt_tokens = 20000;
       const auto third = ChooseTarget(request, loaded, 0.1);
       CPPUNIT_ASSERT(third->index != first->index);
     }
