--- a/dragonflyglade/decision/instance_choice.cc
+++ b/dragonflyglade/decision/instance_choice.cc
@@ -39,13 +39,14 @@
 }
 
 std::vector<std::size_t> OrderByCapacity(
-    absl::Span<const InstanceCandidate> offers, std::string_view key) {
+    absl::Span<const InstanceCandidate> candidates, std::string_view key) {
   const std::uint64_t seed = StableHash(key);
   const auto rank = [&](std::size_t index) {
-    const InstanceCandidate& offer = offers[index];
-    return std::make_pair(-offer.capacity, StableHash(offer.name, seed));
+    const InstanceCandidate& candidate = candidates[index];
+    return std::make_pair(-candidate.capacity,
+                          StableHash(candidate.name, seed));
   };
-  std::vector<std::size_t> order(offers.size());
+  std::vector<std::size_t> order(candidates.size());
   std::iota(order.begin(), order.end(), 0);
   std::sort(order.begin(), order.end(), [&](std::size_t one, std::size_t two) {
     return rank(one) < rank(two);
@@ -54,13 +55,13 @@
 }
 
 std::vector<std::size_t> ChooseInstances(
-    absl::Span<const InstanceCandidate> offers) {
-  const std::vector<std::size_t> order = OrderByCapacity(offers, kOrderKey);
+    absl::Span<const InstanceCandidate> candidates) {
+  const std::vector<std::size_t> order = OrderByCapacity(candidates, kOrderKey);
   if (order.empty()) return {};
   const double min_capacity =
-      kMinRelativeCapacity * offers[order.front()].capacity;
+      kMinRelativeCapacity * candidates[order.front()].capacity;
   const double total_capacity =
-      std::accumulate(offers.begin(), offers.end(), 0.0,
+      std::accumulate(candidates.begin(), candidates.end(), 0.0,
                       [](double sum, const InstanceCandidate& one) {
                         return sum + one.capacity;
                       });
@@ -69,19 +70,19 @@
   std::vector<std::size_t> others;
   double capacity = 0;
   for (const std::size_t index : order) {
-    const InstanceCandidate& offer = offers[index];
-    if (offer.capacity < min_capacity &&
-        chosen_in_zone[offer.zone] >= kMinInstancesPerZone) {
+    const InstanceCandidate& candidate = candidates[index];
+    if (candidate.capacity < min_capacity &&
+        chosen_in_zone[candidate.zone] >= kMinInstancesPerZone) {
       others.push_back(index);
       continue;
     }
-    chosen_in_zone[offer.zone] += 1;
-    capacity += offer.capacity;
+    chosen_in_zone[candidate.zone] += 1;
+    capacity += candidate.capacity;
     chosen.push_back(index);
   }
   for (const std::size_t index : others) {
     if (capacity >= kMinTotalCapacityShare * total_capacity) break;
-    capacity += offers[index].capacity;
+    capacity += candidates[index].capacity;
     chosen.push_back(index);
   }
   return chosen;
--- a/dragonflyglade/decision/instance_choice.h
+++ b/dragonflyglade/decision/instance_choice.h
@@ -25,20 +25,20 @@
 /// of the largest capacity, at least two of each availability zone, and as many
 /// more as are needed for a fifth of the total capacity.
 ///
-/// The choice does not depend on the order of the offers, so all instances that
-/// know the same offers choose the same instances.
-/// @return indexes into the offers by decreasing capacity, those that were
-/// added
-///   for the total capacity last
+/// The choice does not depend on the order of the candidates, so all instances
+/// that know the same candidates choose the same instances.
+/// @return indexes into the candidates by decreasing capacity, except that
+/// those
+///   added for the total capacity come last
 /// Complexity: O(n log n).
 std::vector<std::size_t> ChooseInstances(
-    absl::Span<const InstanceCandidate> offers);
+    absl::Span<const InstanceCandidate> candidates);
 
-/// Orders the offers by decreasing capacity. A stable hash of key and name
+/// Orders the candidates by decreasing capacity. A stable hash of key and name
 /// orders those of equal capacity, differently for each key.
-/// @return indexes into the offers
+/// @return indexes into the candidates
 std::vector<std::size_t> OrderByCapacity(
-    absl::Span<const InstanceCandidate> offers, std::string_view key);
+    absl::Span<const InstanceCandidate> candidates, std::string_view key);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/leader_lease.cc
+++ b/dragonflyglade/decision/leader_lease.cc
@@ -9,7 +9,7 @@
 
 void LeaderLease::OnLeaseAcquired(std::uint64_t fencing_token,
                                   ClockReadings sent_at, absl::Duration ttl) {
-  this->held = true;
+  this->is_leader = true;
   this->fencing_token = fencing_token;
   this->acquired_at = this->read_clocks();
   this->OnLeaseRenewed(sent_at, ttl);
@@ -20,7 +20,7 @@
   this->valid_until = {sent_at.steady + valid_for, sent_at.boot + valid_for};
 }
 
-void LeaderLease::OnLeaseLost() { this->held = false; }
+void LeaderLease::OnLeaseLost() { this->is_leader = false; }
 
 Instant LeaderLease::EarliestOrderTime() const {
   // The margin need not be added: the previous leader issued its last order a
@@ -30,7 +30,7 @@
 }
 
 bool LeaderLease::MayIssueOrders() const {
-  if (!this->held) return false;
+  if (!this->is_leader) return false;
   const ClockReadings now = this->read_clocks();
   if (now.steady < this->EarliestOrderTime()) return false;
   return now.steady < this->valid_until.steady &&
--- a/dragonflyglade/decision/leader_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -56,7 +56,7 @@
 
   /// Whether this instance is the leader according to the store, even if it
   /// may not issue orders now.
-  bool IsLeader() const { return this->held; }
+  bool IsLeader() const { return this->is_leader; }
 
   /// Whether this instance may issue an order now. False for a while after it
   /// became the leader, because an order of the previous leader may still be in
@@ -72,7 +72,7 @@
  private:
   const LeaderLeaseOptions options;
   const ClockReader read_clocks;
-  bool held = false;
+  bool is_leader = false;
   std::uint64_t fencing_token = 0;
   ClockReadings acquired_at;
   ClockReadings valid_until;
--- a/dragonflyglade/decision/target_choice.h
+++ b/dragonflyglade/decision/target_choice.h
@@ -19,8 +19,7 @@
 struct TargetChoiceRequest {
   double prompt_tokens = 0;         ///< 0 if the service is not an engine
   double shared_prefix_tokens = 0;  ///< prompt prefix that other requests share
-  std::string_view
-      shared_prefix_id;  ///< id of the shared prefix; empty if none
+  std::string_view shared_prefix_id;  ///< empty if there is no shared prefix
 };
 
 /// A target that could run the request, as this instance knows it.
--- a/dragonflyglade/decision/target_ledger.cc
+++ b/dragonflyglade/decision/target_ledger.cc
@@ -126,9 +126,9 @@
 }  // namespace
 
 std::int64_t ReservedBytes(const TargetLedger& ledger) {
-  std::int64_t booked = 0;
-  for (const LedgerCopy& copy : ledger.copies) booked += copy.bytes;
-  return booked;
+  std::int64_t reserved = 0;
+  for (const LedgerCopy& copy : ledger.copies) reserved += copy.bytes;
+  return reserved;
 }
 
 const LedgerCopy* FindCopy(const TargetLedger& ledger, std::string_view name) {
@@ -238,8 +238,8 @@
 // load only if a single load order can have loaded the copy.
 void ApplyResidencyReport(TargetLedger& ledger, std::string_view boot_id,
                           const std::set<std::string>& resident,
-                          bool after_booking) {
-  if (!after_booking) return;
+                          bool made_after_newest_order) {
+  if (!made_after_newest_order) return;
   ApplyRestart(ledger, boot_id);
   std::vector<LedgerCopy> kept_copies;
   for (LedgerCopy& copy : ledger.copies) {
--- a/dragonflyglade/decision/target_ledger.h
+++ b/dragonflyglade/decision/target_ledger.h
@@ -105,11 +105,11 @@
                   bool fenced);
 
 /// Applies a target's report of the models and adapters in its memory.
-/// @param after_booking whether the report was made after the newest order
-///   was recorded; other reports are ignored
+/// @param made_after_newest_order whether the report was made after the newest
+///   order was recorded; other reports are ignored
 void ApplyResidencyReport(TargetLedger& ledger, std::string_view boot_id,
                           const std::set<std::string>& resident,
-                          bool after_booking);
+                          bool made_after_newest_order);
 
 /// Reserves memory for a copy that a target reported although no order loaded
 /// it: it was loaded before the ledger existed. Does nothing if the ledger has
--- a/dragonflyglade/decision/target_registry.cc
+++ b/dragonflyglade/decision/target_registry.cc
@@ -21,11 +21,11 @@
 // the next one does not yet include requests sent after this one.
 constexpr double kSpareSlotShare = 0.5;
 
-bool IsResident(const LoadReport& report, const TargetRequirements& need) {
+bool IsResident(const LoadReport& report, const TargetRequirements& wanted) {
   const auto has = [&report](const std::string& name) {
     return name.empty() || report.resident.count(name) > 0;
   };
-  return has(need.model) && has(need.adapter);
+  return has(wanted.model) && has(wanted.adapter);
 }
 
 }  // namespace
@@ -202,17 +202,18 @@
 // The expected wait at the target, expressed in tokens. Requests in its batch
 // delay a new one only a little, requests that wait for a slot delay it much.
 double TargetRegistry::Cost(const Target& target,
-                            const TargetRequirements& need, Instant now) const {
+                            const TargetRequirements& wanted,
+                            Instant now) const {
   const double requests = this->EstimatedRequests(target, now);
   const double slots =
       target.report.slots > 0 ? target.report.slots : kAssumedSlots;
-  double cost = kFullBatchCost * need.tokens * requests / slots;
+  double cost = kFullBatchCost * wanted.tokens * requests / slots;
   cost +=
-      kWaitingRequestCost * need.tokens * std::max(0.0, requests + 1 - slots);
-  if (target.listed.zone != need.zone) {
+      kWaitingRequestCost * wanted.tokens * std::max(0.0, requests + 1 - slots);
+  if (target.listed.zone != wanted.zone) {
     cost += this->options.zone_penalty_tokens;
   }
-  if (this->IsLikelyCached(target, need.prefix, now)) {
+  if (this->IsLikelyCached(target, wanted.prefix, now)) {
     cost -= this->options.prefix_bonus_tokens;
   }
   return cost;
@@ -224,13 +225,13 @@
 // none.
 std::string TargetRegistry::PreferredTarget(
     const std::map<std::string, Target, std::less<>>& targets,
-    const TargetRequirements& need) {
-  if (need.prefix == 0) return {};
+    const TargetRequirements& wanted) {
+  if (wanted.prefix == 0) return {};
   std::string preferred;
   std::uint64_t max_weight = 0;
   for (const auto& [name, target] : targets) {
-    if (!IsResident(target.report, need) || target.listed.leaving) continue;
-    const std::uint64_t weight = StableHash(name, need.prefix);
+    if (!IsResident(target.report, wanted) || target.listed.leaving) continue;
+    const std::uint64_t weight = StableHash(name, wanted.prefix);
     if (!preferred.empty() && weight <= max_weight) continue;
     preferred = name;
     max_weight = weight;
@@ -239,24 +240,24 @@
 }
 
 std::variant<TargetReservation, ReservationError> TargetRegistry::ReserveTarget(
-    const TargetRequirements& need) {
-  Shard& shard = this->ShardOf(need.pool);
+    const TargetRequirements& wanted) {
+  Shard& shard = this->ShardOf(wanted.pool);
   absl::MutexLock lock(&shard.mutex);
-  const auto targets = shard.pools.find(need.pool);
+  const auto targets = shard.pools.find(wanted.pool);
   if (targets == shard.pools.end() || targets->second.empty()) {
     return ReservationError::kUnknownPool;
   }
   const Instant now = this->clock.Now();
-  const std::string preferred = this->PreferredTarget(targets->second, need);
+  const std::string preferred = this->PreferredTarget(targets->second, wanted);
   bool resident = false;
   bool busy = false;
   Target* best = nullptr;
   double best_cost = 0;
   for (auto& [name, target] : targets->second) {
-    if (!IsResident(target.report, need)) continue;
+    if (!IsResident(target.report, wanted)) continue;
     resident = true;
     if (target.listed.leaving || this->IsMarkedLeaving(name)) continue;
-    if (this->IsEjected(target, now) || need.avoid.count(name) > 0) continue;
+    if (this->IsEjected(target, now) || wanted.avoid.count(name) > 0) continue;
     if (!this->HasFreeSlot(target, now)) {
       busy = true;
       continue;
@@ -264,7 +265,7 @@
     // Ties are broken at random, so that instances with the same information do
     // not all choose the same target.
     const double jitter = absl::Uniform(shard.random, 0.0, 1.0);
-    double cost = this->Cost(target, need, now) + jitter;
+    double cost = this->Cost(target, wanted, now) + jitter;
     if (name == preferred) cost -= this->options.prefix_bonus_tokens;
     if (best != nullptr && cost >= best_cost) continue;
     best = &target;
@@ -276,20 +277,20 @@
                     : ReservationError::kNotResident;
   }
   ++best->in_flight;
-  best->outstanding += need.tokens;
-  return TargetReservation{best->listed.name, need.pool, best->listed.address,
-                           best->listed.port, need.tokens};
+  best->outstanding += wanted.tokens;
+  return TargetReservation{best->listed.name, wanted.pool, best->listed.address,
+                           best->listed.port, wanted.tokens};
 }
 
-void TargetRegistry::ReleaseTarget(const TargetReservation& place,
+void TargetRegistry::ReleaseTarget(const TargetReservation& reservation,
                                    RequestOutcome outcome) {
-  Shard& shard = this->ShardOf(place.pool);
+  Shard& shard = this->ShardOf(reservation.pool);
   absl::MutexLock lock(&shard.mutex);
-  Target* found = Find(shard, place.pool, place.target);
+  Target* found = Find(shard, reservation.pool, reservation.target);
   if (found == nullptr) return;
   Target& target = *found;
   target.in_flight = std::max(0, target.in_flight - 1);
-  target.outstanding = std::max(0.0, target.outstanding - place.tokens);
+  target.outstanding = std::max(0.0, target.outstanding - reservation.tokens);
   if (outcome == RequestOutcome::kSucceeded) {
     target.failures = 0;
     const Instant now = this->clock.Now();
--- a/dragonflyglade/decision/target_registry.h
+++ b/dragonflyglade/decision/target_registry.h
@@ -92,7 +92,11 @@
 };
 
 /// How a request at a target ended.
-enum class RequestOutcome { kSucceeded, kTargetFault, kNeutral };
+enum class RequestOutcome {
+  kSucceeded,
+  kTargetFault,  ///< counts towards the ejection of the target
+  kNeutral,      ///< says nothing about the target, e.g. the caller left
+};
 
 /// A target's state for status reports.
 struct TargetStatus {
@@ -137,10 +141,11 @@
   /// Reserves a slot for a request at the best target, or tells why that
   /// failed.
   std::variant<TargetReservation, ReservationError> ReserveTarget(
-      const TargetRequirements& need);
+      const TargetRequirements& wanted);
 
   /// Releases a reservation when the request at the target has ended.
-  void ReleaseTarget(const TargetReservation& place, RequestOutcome outcome);
+  void ReleaseTarget(const TargetReservation& reservation,
+                     RequestOutcome outcome);
 
   /// Records that a target has the prefix in its cache. The information is a
   /// hint: it may be late or incomplete.
@@ -194,9 +199,9 @@
                       Instant now) const;
   static std::string PreferredTarget(
       const std::map<std::string, Target, std::less<>>& targets,
-      const TargetRequirements& need);
+      const TargetRequirements& wanted);
   double EstimatedRequests(const Target& target, Instant now) const;
-  double Cost(const Target& target, const TargetRequirements& need,
+  double Cost(const Target& target, const TargetRequirements& wanted,
               Instant now) const;
 
   const TargetOptions options;
--- a/tests/unit/unit-instance-choice.cc
+++ b/tests/unit/unit-instance-choice.cc
@@ -20,7 +20,7 @@
 
 struct Fleet {
   std::vector<std::string> names;
-  std::vector<InstanceCandidate> offers;
+  std::vector<InstanceCandidate> candidates;
 
   explicit Fleet(const std::vector<Group>& groups) {
     std::size_t total = 0;
@@ -29,7 +29,7 @@
     for (const Group& group : groups) {
       for (int i = 0; i < group.count; ++i) {
         this->names.push_back("i-" + std::to_string(this->names.size()));
-        this->offers.push_back(
+        this->candidates.push_back(
             {this->names.back(), group.zone, group.capacity});
       }
     }
@@ -70,7 +70,7 @@
     };
     for (const Case& item : cases) {
       const Fleet fleet(item.groups);
-      const auto chosen = ChooseInstances(fleet.offers);
+      const auto chosen = ChooseInstances(fleet.candidates);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.expected, chosen.size());
       const std::set<std::size_t> distinct(chosen.begin(), chosen.end());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, chosen.size(), distinct.size());
@@ -81,21 +81,22 @@
   // small instances that are left.
   void ReplacesFailedInstances() {
     const Fleet fleet({{"a", 10, 3}, {"b", 10, 3}});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{20}, ChooseInstances(fleet.offers).size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{20},
+                         ChooseInstances(fleet.candidates).size());
   }
 
   void IgnoresOrderOfCandidates() {
     const Fleet fleet({{"a", 1, 12}, {"a", 20, 3}, {"b", 20, 3}});
-    const auto names = [&](const std::vector<InstanceCandidate>& offers) {
+    const auto names = [&](const std::vector<InstanceCandidate>& candidates) {
       std::set<std::string> result;
-      for (const std::size_t index : ChooseInstances(offers)) {
-        result.insert(std::string(offers[index].name));
+      for (const std::size_t index : ChooseInstances(candidates)) {
+        result.insert(std::string(candidates[index].name));
       }
       return result;
     };
-    std::vector<InstanceCandidate> reversed = fleet.offers;
+    std::vector<InstanceCandidate> reversed = fleet.candidates;
     std::reverse(reversed.begin(), reversed.end());
-    CPPUNIT_ASSERT(names(fleet.offers) == names(reversed));
+    CPPUNIT_ASSERT(names(fleet.candidates) == names(reversed));
   }
 
   void LimitsCapacityByProcessorAndLink() {
