--- a/dragonflyglade/decision/leader_lease.cc
+++ b/dragonflyglade/decision/leader_lease.cc
@@ -4,33 +4,34 @@
 
 namespace dragonflyglade {
 
-LeaderLease::LeaderLease(LeaderLeaseOptions options, ReadTime read)
-    : options(options), read(std::move(read)) {}
-
-void LeaderLease::OnLeaseAcquired(std::uint64_t fence, ClockReadings sent,
-                                  absl::Duration ttl) {
-  this->held = true;
-  this->fence = fence;
-  this->acquired = this->read();
-  this->OnLeaseRenewed(sent, ttl);
+LeaderLease::LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks)
+    : options(options), read_clocks(std::move(read_clocks)) {}
+
+void LeaderLease::OnLeaseAcquired(std::uint64_t fencing_token,
+                                  ClockReadings sent_at, absl::Duration ttl) {
+  this->is_leader = true;
+  this->fencing_token = fencing_token;
+  this->acquired_at = this->read_clocks();
+  this->OnLeaseRenewed(sent_at, ttl);
 }
 
-void LeaderLease::OnLeaseRenewed(ClockReadings sent, absl::Duration ttl) {
-  const absl::Duration usable = ttl - this->options.margin;
-  this->valid_until = {sent.steady + usable, sent.boot + usable};
+void LeaderLease::OnLeaseRenewed(ClockReadings sent_at, absl::Duration ttl) {
+  const absl::Duration valid_for = ttl - this->options.margin;
+  this->valid_until = {sent_at.steady + valid_for, sent_at.boot + valid_for};
 }
 
-void LeaderLease::Lost() { this->held = false; }
+void LeaderLease::OnLeaseLost() { this->is_leader = false; }
 
 Instant LeaderLease::EarliestOrderTime() const {
-  // The holder before stopped a margin before its lease ended, and this one
-  // acquired the duty after that, so the margin is in the sum already.
-  return this->acquired.steady + this->options.leader_handover_delay;
+  // The margin need not be added: the previous leader issued its last order a
+  // margin before its lease expired, and this instance became the leader after
+  // that lease had expired.
+  return this->acquired_at.steady + this->options.leader_handover_delay;
 }
 
 bool LeaderLease::MayIssueOrders() const {
-  if (!this->held) return false;
-  const ClockReadings now = this->read();
+  if (!this->is_leader) return false;
+  const ClockReadings now = this->read_clocks();
   if (now.steady < this->EarliestOrderTime()) return false;
   return now.steady < this->valid_until.steady &&
          now.boot < this->valid_until.boot;
--- a/dragonflyglade/decision/leader_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -9,63 +9,72 @@
 
 namespace dragonflyglade {
 
-/// Two readings at one moment. The steady clock stands still while the
-/// machine is suspended, the boot clock does not.
+/// The steady clock and the boot clock, read at the same moment. The steady
+/// clock stops while the machine is suspended, the boot clock does not.
 struct ClockReadings {
   Instant steady;
   Instant boot;
 };
 
-/// Times of a duty's lease.
+/// Timing of the leader lease.
 struct LeaderLeaseOptions {
-  /// Orders of two holders to one target must lie further apart than this.
+  /// Minimum time between the last order of one leader and the first order of
+  /// the next leader to the same target.
   absl::Duration leader_handover_delay = absl::Seconds(3);
-  /// Taken off the lease: what the store's clock and an order on its way may
-  /// add between the last check here and the order's arrival there.
+  /// Subtracted from the lease's time to live. Covers the error of the store's
+  /// clock and the time from the last check of the lease until the order
+  /// arrives at the target.
   absl::Duration margin = absl::Milliseconds(400);
 };
 
-/// Whether this instance may act as the holder of a duty right now.
-/// Not synchronised.
+/// Decides whether this instance is the leader and may issue orders now.
+/// Not thread-safe.
 ///
-/// A renewal counts from when it was sent, the earliest moment at which the
-/// store can have taken it. So this instance stops before the store lets
-/// another one in, also when answers are lost or it was suspended in between:
-/// either clock running out is enough.
+/// The time to live counts from when the renewal was sent, the earliest moment
+/// at which the store can have received it. The lease has expired as soon as
+/// one of the two clocks says so. So this instance stops before the store
+/// grants the lease to another instance, even if responses were lost or the
+/// machine was suspended.
 class LeaderLease {
  public:
-  using ReadTime = std::function<ClockReadings()>;
+  using ClockReader = std::function<ClockReadings()>;
 
-  LeaderLease(LeaderLeaseOptions options, ReadTime read);
+  LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks);
 
-  /// The duty was acquired under a lease that was renewed at sent.
-  /// @param fence grows with each holder
-  void OnLeaseAcquired(std::uint64_t fence, ClockReadings sent,
+  /// Records that this instance became the leader.
+  /// @param fencing_token increases with each new leader
+  /// @param sent_at when the last renewal of the lease was sent
+  /// @param ttl time to live of the lease
+  void OnLeaseAcquired(std::uint64_t fencing_token, ClockReadings sent_at,
                        absl::Duration ttl);
 
-  /// The lease was renewed by a call sent at that time.
-  void OnLeaseRenewed(ClockReadings sent, absl::Duration ttl);
+  /// Records that the lease was renewed by a call that was sent at `sent_at`.
+  void OnLeaseRenewed(ClockReadings sent_at, absl::Duration ttl);
 
-  void Lost();
+  /// Records that this instance is no longer the leader.
+  void OnLeaseLost();
 
-  /// Holding according to the store, whether or not orders may go out.
-  bool Held() const { return this->held; }
+  /// Whether this instance is the leader according to the store, even if it
+  /// may not issue orders now.
+  bool IsLeader() const { return this->is_leader; }
 
-  /// Whether an order may be sent now. False for a while after the duty was
-  /// acquired: an order of the holder before may still be on its way.
+  /// Whether this instance may issue an order now. False for a while after it
+  /// became the leader, because an order of the previous leader may still be in
+  /// transit.
   bool MayIssueOrders() const;
 
-  /// When MayIssueOrders can become true after Acquired, on the steady clock.
+  /// The earliest time on the steady clock at which MayIssueOrders can become
+  /// true after OnLeaseAcquired.
   Instant EarliestOrderTime() const;
 
-  std::uint64_t Fence() const { return this->fence; }
+  std::uint64_t FencingToken() const { return this->fencing_token; }
 
  private:
   const LeaderLeaseOptions options;
-  const ReadTime read;
-  bool held = false;
-  std::uint64_t fence = 0;
-  ClockReadings acquired;
+  const ClockReader read_clocks;
+  bool is_leader = false;
+  std::uint64_t fencing_token = 0;
+  ClockReadings acquired_at;
   ClockReadings valid_until;
 };
 
