--- a/dragonflyglade/gateway/change_codec.cc
+++ b/dragonflyglade/gateway/change_codec.cc
@@ -26,11 +26,11 @@
 }  // namespace
 
 PackedChanges PackChanges(absl::Span<const StoreEvent> changes,
-                          std::size_t most_bytes) {
+                          std::size_t max_bytes) {
   std::size_t count = changes.size();
   while (count > 0) {
     std::string bytes = Pack(changes.first(count));
-    if (bytes.size() <= most_bytes) return {std::move(bytes), count};
+    if (bytes.size() <= max_bytes) return {std::move(bytes), count};
     count /= 2;
   }
   return {};
--- a/dragonflyglade/gateway/change_codec.h
+++ b/dragonflyglade/gateway/change_codec.h
@@ -20,7 +20,7 @@
 
 /// Packs as many changes as fit, from the first one on.
 PackedChanges PackChanges(absl::Span<const StoreEvent> changes,
-                          std::size_t most_bytes);
+                          std::size_t max_bytes);
 
 /// @return nothing for bytes that are no packed changes
 std::optional<std::vector<StoreEvent>> UnpackChanges(std::string_view packed);
--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -23,29 +23,29 @@
 // Requests move in and out of targets within some hundred milliseconds, so
 // older news says little; faster reports cost processor time for each pair of
 // messages.
-constexpr absl::Duration kReportEvery = absl::Milliseconds(200);
+constexpr absl::Duration kReportInterval = absl::Milliseconds(200);
 // An instance without requests has nothing to tell, but must hear of changes.
 // In a fleet of 82 instances most are idle, and the holder's work is reports.
-constexpr absl::Duration kIdleReportEvery = absl::Milliseconds(500);
+constexpr absl::Duration kIdleReportInterval = absl::Milliseconds(500);
 // Several orders are mostly answered within some milliseconds of one another;
 // a request that waits for an adapter loses no more than this.
-constexpr absl::Duration kPushGather = absl::Milliseconds(8);
+constexpr absl::Duration kPushDelay = absl::Milliseconds(8);
 // Sends of this time are told in one message. Engines read a prompt in some ten
 // milliseconds, so older news would send several instances to the same engine.
-constexpr absl::Duration kSendsGather = absl::Milliseconds(3);
+constexpr absl::Duration kSentPromptsDelay = absl::Milliseconds(3);
 // Each instance tells all others, so the messages grow with the square of the
 // instances that callers are sent to. Larger fleets go by the summaries.
-constexpr std::size_t kMostToldOfSends = 24;
+constexpr std::size_t kMaxSentPromptRecipients = 24;
 constexpr std::size_t kLargestDatagram = 65000;
 // How many instances are told of a change in one go, and the pause after that:
 // with a configuration of 8 KB, a link of 200 Mbit/s is then half full.
-constexpr std::size_t kToldAtOnce = 16;
-constexpr absl::Duration kToldPause = absl::Milliseconds(10);
+constexpr std::size_t kRecipientsPerBatch = 16;
+constexpr absl::Duration kBatchPause = absl::Milliseconds(10);
 // Reports whose summary is still awaited.
-constexpr std::size_t kMostUnanswered = 32;
+constexpr std::size_t kMaxPendingReports = 32;
 // News of targets that lack something; more are told in later reports.
-constexpr std::size_t kMostLacks = 32;
-constexpr absl::Duration kAgeless = absl::Hours(24);
+constexpr std::size_t kMaxReportedLacks = 32;
+constexpr absl::Duration kUnlimitedAge = absl::Hours(24);
 
 bool IsIdle(const wire::InstanceReport& report) {
   return report.targets.empty() && report.wishes.empty();
@@ -53,7 +53,7 @@
 
 // Callers are not sent there and it has none: it needs the store's changes and
 // nothing else, and so do most instances of a large fleet.
-bool StandsBy(const wire::InstanceReport& report) {
+bool IsStandby(const wire::InstanceReport& report) {
   return IsIdle(report) && !report.listed;
 }
 
@@ -90,8 +90,8 @@
   };
   this->desk.OnSend(send);
   this->relay.OnSend(send);
-  this->relay.OnTaken([this] { this->FollowDuty(); });
-  this->news.OnUrgent([this] { this->TellUrgent(); });
+  this->relay.OnTaken([this] { this->CheckLeaderChange(); });
+  this->news.OnUrgent([this] { this->SendUrgentChanges(); });
 }
 
 asio::awaitable<void> FleetChannel::Receive() {
@@ -103,7 +103,7 @@
         asio::buffer(space), sender,
         asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-      co_await Sleep(this->context, kReportEvery);
+      co_await Sleep(this->context, kReportInterval);
       continue;
     }
     this->Take(std::string_view(space.data(), got));
@@ -117,10 +117,10 @@
     return;
   }
   if (message->__isset.report) this->TakeReport(message->report);
-  if (message->__isset.summary) this->TakeSummary(message->summary);
+  if (message->__isset.summary) this->ReceiveSummary(message->summary);
   if (message->__isset.ask) this->desk.TakeAsk(message->ask);
   if (message->__isset.grant) this->desk.TakeGrant(message->grant);
-  if (message->__isset.note) this->TakeNote(message->note);
+  if (message->__isset.note) this->ReceiveSendNote(message->note);
   if (message->__isset.store) this->relay.TakeDigest(message->store);
   if (message->__isset.store_question) {
     this->relay.TakeQuestion(message->store_question);
@@ -153,7 +153,8 @@
   report.sequence = ++this->sequence;
   // Before the first start of all nothing was spent, so no age matters.
   const absl::Duration age = this->clock.Now() - this->started;
-  report.age_ms = absl::ToInt64Milliseconds(this->first_start ? kAgeless : age);
+  report.age_ms =
+      absl::ToInt64Milliseconds(this->first_start ? kUnlimitedAge : age);
   report.lacks.swap(this->lacks);
   report.refusing.assign(this->refusing.begin(), this->refusing.end());
   this->refusing.clear();
@@ -190,16 +191,16 @@
   // part counts by that at the holder.
   this->desk.FollowInstances();
   report.listed = this->fleet.IsListed(this->self.name);
-  report.listed_ms =
-      absl::ToInt64Milliseconds(std::min(kAgeless, this->quotas.ListedFor()));
+  report.listed_ms = absl::ToInt64Milliseconds(
+      std::min(kUnlimitedAge, this->quotas.ListedFor()));
   report.grants_through = this->desk.SettledThrough();
-  report.holdings_of = this->told_by;
-  report.holdings_version = this->told_version;
+  report.holdings_of = this->holdings_leader;
+  report.holdings_version = this->known_holdings_version;
   report.interval_ms = absl::ToInt64Milliseconds(
-      IsIdle(report) ? kIdleReportEvery : kReportEvery);
-  this->spent_at[this->sequence] = spent;
-  if (this->spent_at.size() > kMostUnanswered) {
-    this->spent_at.erase(this->spent_at.begin());
+      IsIdle(report) ? kIdleReportInterval : kReportInterval);
+  this->spent_by_report[this->sequence] = spent;
+  if (this->spent_by_report.size() > kMaxPendingReports) {
+    this->spent_by_report.erase(this->spent_by_report.begin());
   }
   return report;
 }
@@ -213,17 +214,19 @@
     anyone_waits = anyone_waits || wish.waiting > 0;
   }
   if (anyone_waits && this->waiting) this->waiting();
-  if (this->on_lack) {
-    for (const wire::TargetLack& lack : report.lacks) this->on_lack(lack);
+  if (this->on_missing_model) {
+    for (const wire::TargetLack& lack : report.lacks)
+      this->on_missing_model(lack);
   }
-  if (this->on_refusing) {
-    for (const std::string& target : report.refusing) this->on_refusing(target);
+  if (this->on_connection_refused) {
+    for (const std::string& target : report.refusing)
+      this->on_connection_refused(target);
   }
   this->Answer(report);
 }
 
 void FleetChannel::Answer(const wire::InstanceReport& report) {
-  if (!StandsBy(report)) {
+  if (!IsStandby(report)) {
     this->SendSummary(report);
     return;
   }
@@ -249,95 +252,96 @@
                                                    : 0);
   message.__set_summary(std::move(summary));
   if (report.incarnation == this->self.incarnation) {
-    this->TakeSummary(message.summary);
+    this->ReceiveSummary(message.summary);
   } else {
     this->Send(message, report.address);
   }
 }
 
-bool FleetChannel::IsHolder() const {
+bool FleetChannel::IsLeader() const {
   const std::optional<DutyHolder>& holder = this->fleet.Duty();
   return this->duty.Held() && holder.has_value() &&
          holder->instance.incarnation == this->self.incarnation;
 }
 
 // A new holder knows nothing until it has everybody's report.
-void FleetChannel::FollowDuty() {
-  if (this->fleet.DutyRevision() == this->duty_revision) return;
-  this->duty_revision = this->fleet.DutyRevision();
+void FleetChannel::CheckLeaderChange() {
+  if (this->fleet.DutyRevision() == this->leader_revision) return;
+  this->leader_revision = this->fleet.DutyRevision();
   this->wake.Notify();
-  if (!this->IsHolder()) return;
-  this->tasks.Spawn("announce duty", this->AnnounceDuty());
+  if (!this->IsLeader()) return;
+  this->tasks.Spawn("announce duty", this->AnnounceLeadership());
 }
 
 // Instances that were led by the holder before would hear of this one only
 // when its word has grown old.
-asio::awaitable<void> FleetChannel::AnnounceDuty() {
+asio::awaitable<void> FleetChannel::AnnounceLeadership() {
   std::vector<std::string> addresses;
   for (const auto& [name, record] : this->fleet.Instances()) {
     if (name != this->self.name) addresses.push_back(record.peers);
   }
   const std::string duty = this->relay.PackDuty();
   const std::function<void(std::size_t)> tell = [&](std::size_t index) {
-    if (!this->IsHolder()) return;
+    if (!this->IsLeader()) return;
     wire::FleetMessage message;
     message.__set_store(this->relay.DigestOf(duty));
     this->Send(message, addresses[index]);
   };
-  co_await this->InParts(addresses.size(), tell);
+  co_await this->ForEachPaced(addresses.size(), tell);
 }
 
 // So that a fleet of hundreds does not keep this instance's requests waiting,
 // and a large change does not fill its link, where datagrams are lost. What is
 // lost all the same comes with the answer to the next report.
-asio::awaitable<void> FleetChannel::InParts(
+asio::awaitable<void> FleetChannel::ForEachPaced(
     std::size_t count, const std::function<void(std::size_t)>& tell) {
   for (std::size_t i = 0; i < count; ++i) {
     tell(i);
-    if ((i + 1) % kToldAtOnce == 0) co_await Sleep(this->context, kToldPause);
+    if ((i + 1) % kRecipientsPerBatch == 0)
+      co_await Sleep(this->context, kBatchPause);
   }
 }
 
-void FleetChannel::TellUrgent() {
-  this->FollowDuty();
+void FleetChannel::SendUrgentChanges() {
+  this->CheckLeaderChange();
   if (!this->duty.Held()) {
     this->relay.TellAskers();
     return;
   }
-  this->tell_again = true;
-  if (this->telling_everyone) return;
-  this->telling_everyone = true;
-  this->tasks.Spawn("tell everyone", this->TellEveryone());
+  this->notify_again = true;
+  if (this->notifying_reporters) return;
+  this->notifying_reporters = true;
+  this->tasks.Spawn("tell everyone", this->NotifyReporters());
 }
 
-asio::awaitable<void> FleetChannel::TellEveryone() {
-  const std::exception_ptr fault = co_await Caught(this->TellReporters());
-  this->telling_everyone = false;
+asio::awaitable<void> FleetChannel::NotifyReporters() {
+  const std::exception_ptr fault = co_await Caught(this->SendToReporters());
+  this->notifying_reporters = false;
   if (fault) std::rethrow_exception(fault);
 }
 
-asio::awaitable<void> FleetChannel::TellReporters() {
-  while (this->tell_again && this->duty.Held()) {
-    this->tell_again = false;
+asio::awaitable<void> FleetChannel::SendToReporters() {
+  while (this->notify_again && this->duty.Held()) {
+    this->notify_again = false;
     std::vector<wire::InstanceReport> reporters = this->hub.Reporters();
     std::stable_partition(
         reporters.begin(), reporters.end(),
-        [](const wire::InstanceReport& one) { return !StandsBy(one); });
+        [](const wire::InstanceReport& one) { return !IsStandby(one); });
     const std::function<void(std::size_t)> tell = [&](std::size_t index) {
       this->Answer(reporters[index]);
     };
-    co_await this->InParts(reporters.size(), tell);
+    co_await this->ForEachPaced(reporters.size(), tell);
   }
 }
 
 void FleetChannel::PushSoon() {
   if (this->push_pending) return;
   this->push_pending = true;
-  this->tasks.Spawn("push summaries", this->PushGathered());
+  this->tasks.Spawn("push summaries", this->PushSummaries());
 }
 
-asio::awaitable<void> FleetChannel::PushGathered() {
-  co_await Sleep(this->context, kPushGather);
+asio::awaitable<void> FleetChannel::PushSummaries() {
+  co_await Sleep(this->context, kPushDelay);
   this->push_pending = false;
   if (!this->duty.Held()) co_return;
   for (const wire::InstanceReport& report : this->hub.Reporters()) {
@@ -345,7 +349,7 @@
   }
 }
 
-void FleetChannel::TakeSummary(const wire::FleetSummary& summary) {
+void FleetChannel::ReceiveSummary(const wire::FleetSummary& summary) {
   const std::optional<DutyHolder>& holder = this->fleet.Duty();
   // A holder that was replaced may not know it yet.
   if (!holder.has_value() || holder->instance.incarnation != summary.holder) {
@@ -353,14 +357,14 @@
   }
   // The changes may be of the duty itself, so the holder is not used below.
   const bool own = summary.holder == this->self.incarnation;
-  this->TakeUses(summary);
-  this->TakeHoldings(summary);
-  this->TakeSpends(summary);
+  this->ApplyTargetUses(summary);
+  this->ApplyHoldings(summary);
+  this->ApplyFleetSpends(summary);
   if (!own) this->relay.TakeDigest(summary.store);
   this->fleet.Changed().Notify();
 }
 
-void FleetChannel::TakeUses(const wire::FleetSummary& summary) {
+void FleetChannel::ApplyTargetUses(const wire::FleetSummary& summary) {
   const Instant now = this->clock.Now();
   std::map<std::string_view, const wire::TargetUse*> uses;
   for (const wire::TargetUse& use : summary.targets) uses[use.target] = &use;
@@ -370,24 +374,24 @@
       target.SetOthers(0, 0, now);
     } else {
       const auto unread = static_cast<double>(use->second->unread_tokens);
-      target.SetOthers(use->second->requests, this->TellsSends() ? 0 : unread,
-                       now);
+      target.SetOthers(use->second->requests,
+                       this->BroadcastsSentPrompts() ? 0 : unread, now);
     }
   });
 }
 
-void FleetChannel::TakeHoldings(const wire::FleetSummary& summary) {
-  if (this->told_by != summary.holder) this->told_holdings.clear();
-  this->told_by = summary.holder;
-  this->told_version = summary.holdings_version;
+void FleetChannel::ApplyHoldings(const wire::FleetSummary& summary) {
+  if (this->holdings_leader != summary.holder) this->known_holdings.clear();
+  this->holdings_leader = summary.holder;
+  this->known_holdings_version = summary.holdings_version;
   std::set<std::string_view> changed;
   for (const wire::TargetHoldings& item : summary.holdings) {
-    this->told_holdings[item.target] = item;
+    this->known_holdings[item.target] = item;
     changed.insert(item.target);
   }
   if (summary.holdings_version == 0) return;
   const Instant now = this->clock.Now();
-  for (const auto& [id, item] : this->told_holdings) {
+  for (const auto& [id, item] : this->known_holdings) {
     const std::shared_ptr<TargetState> target = this->fleet.Target(id);
     // What was told of a process before this one is of no use.
     if (target == nullptr || target->Record().born_ms != item.born_ms) continue;
@@ -400,13 +404,13 @@
   }
 }
 
-void FleetChannel::TakeSpends(const wire::FleetSummary& summary) {
-  const auto own = this->spent_at.find(summary.answers);
+void FleetChannel::ApplyFleetSpends(const wire::FleetSummary& summary) {
+  const auto own = this->spent_by_report.find(summary.answers);
   for (const wire::WorkspaceSpend& spend : summary.spends) {
     FleetSpend fleet_spend;
     fleet_spend.total = static_cast<double>(spend.tokens);
     fleet_spend.instances = summary.instances;
-    if (own != this->spent_at.end()) {
+    if (own != this->spent_by_report.end()) {
       const auto mine = own->second.find(spend.workspace);
       if (mine != own->second.end()) fleet_spend.own = mine->second;
     }
@@ -416,22 +420,22 @@
   }
 }
 
-bool FleetChannel::TellsSends() const {
-  return this->fleet.ListedInstances().size() <= kMostToldOfSends;
+bool FleetChannel::BroadcastsSentPrompts() const {
+  return this->fleet.ListedInstances().size() <= kMaxSentPromptRecipients;
 }
 
 // The summaries of reports are some hundred milliseconds old. Instances that
 // choose by them send their prompts to the same engine until the next one
 // comes, and its running streams pause for as long as it reads.
 void FleetChannel::NoteSent(const std::string& target, double prompt_tokens) {
-  if (!this->TellsSends()) return;
+  if (!this->BroadcastsSentPrompts()) return;
   const bool first = this->sends.empty();
   this->sends[target] += prompt_tokens;
-  if (first) this->tasks.Spawn("tell sends", this->TellSends());
+  if (first) this->tasks.Spawn("tell sends", this->SendPromptNote());
 }
 
-asio::awaitable<void> FleetChannel::TellSends() {
-  co_await Sleep(this->context, kSendsGather);
+asio::awaitable<void> FleetChannel::SendPromptNote() {
+  co_await Sleep(this->context, kSentPromptsDelay);
   wire::SendNote note;
   for (const auto& [target, tokens] : this->sends) {
     wire::SentPrompts prompts;
@@ -448,7 +452,7 @@
   }
 }
 
-void FleetChannel::TakeNote(const wire::SendNote& note) {
+void FleetChannel::ReceiveSendNote(const wire::SendNote& note) {
   const Instant now = this->clock.Now();
   for (const wire::SentPrompts& prompts : note.prompts) {
     const std::shared_ptr<TargetState> target =
@@ -466,7 +470,7 @@
 }
 
 void FleetChannel::ReportLack(std::string_view target, const ModelName& name) {
-  if (this->lacks.size() >= kMostLacks) return;
+  if (this->lacks.size() >= kMaxReportedLacks) return;
   wire::TargetLack lack;
   lack.target = std::string(target);
   lack.model = name.model;
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -59,7 +59,7 @@
   }
   /// As holder: a target was seen to lack what it should hold.
   void OnLack(std::function<void(const wire::TargetLack&)> act) {
-    this->on_lack = std::move(act);
+    this->on_missing_model = std::move(act);
   }
 
   /// The duty ended: what was granted as holder is not counted here any more.
@@ -70,7 +70,7 @@
 
   /// As holder: called for a target that refused a connection somewhere.
   void OnRefusing(std::function<void(const std::string& target)> act) {
-    this->on_refusing = std::move(act);
+    this->on_connection_refused = std::move(act);
   }
 
   /// A target refused a connection: nobody listens there any more.
@@ -80,27 +80,27 @@
   void ReportLack(std::string_view target, const ModelName& name);
 
  private:
-  boost::asio::awaitable<void> PushGathered();
-  void TellUrgent();
-  void FollowDuty();
-  bool IsHolder() const;
-  boost::asio::awaitable<void> AnnounceDuty();
-  boost::asio::awaitable<void> TellEveryone();
-  boost::asio::awaitable<void> TellReporters();
-  boost::asio::awaitable<void> InParts(
+  boost::asio::awaitable<void> PushSummaries();
+  void SendUrgentChanges();
+  void CheckLeaderChange();
+  bool IsLeader() const;
+  boost::asio::awaitable<void> AnnounceLeadership();
+  boost::asio::awaitable<void> NotifyReporters();
+  boost::asio::awaitable<void> SendToReporters();
+  boost::asio::awaitable<void> ForEachPaced(
       std::size_t count, const std::function<void(std::size_t)>& tell);
   void Answer(const wire::InstanceReport& report);
   wire::InstanceReport MakeReport();
-  bool TellsSends() const;
-  boost::asio::awaitable<void> TellSends();
-  void TakeNote(const wire::SendNote& note);
+  bool BroadcastsSentPrompts() const;
+  boost::asio::awaitable<void> SendPromptNote();
+  void ReceiveSendNote(const wire::SendNote& note);
   void Take(std::string_view datagram);
   void TakeReport(const wire::InstanceReport& report);
-  void TakeSummary(const wire::FleetSummary& summary);
+  void ReceiveSummary(const wire::FleetSummary& summary);
   void SendSummary(const wire::InstanceReport& report);
-  void TakeUses(const wire::FleetSummary& summary);
-  void TakeHoldings(const wire::FleetSummary& summary);
-  void TakeSpends(const wire::FleetSummary& summary);
+  void ApplyTargetUses(const wire::FleetSummary& summary);
+  void ApplyHoldings(const wire::FleetSummary& summary);
+  void ApplyFleetSpends(const wire::FleetSummary& summary);
   void Send(const wire::FleetMessage& message, const std::string& address);
 
   boost::asio::io_context& context;
@@ -122,21 +122,21 @@
   Signal wake;
   std::int64_t sequence = 0;
   /// What this instance had spent when it made a report, by its sequence.
-  std::map<std::int64_t, std::map<std::string, double>> spent_at;
+  std::map<std::int64_t, std::map<std::string, double>> spent_by_report;
   HoldingsBook holdings;
   /// What the holder said is at the targets, and its version of it.
-  std::map<std::string, wire::TargetHoldings> told_holdings;
-  std::string told_by;
-  std::int64_t told_version = 0;
+  std::map<std::string, wire::TargetHoldings> known_holdings;
+  std::string holdings_leader;
+  std::int64_t known_holdings_version = 0;
   std::function<void()> waiting;
-  std::function<void(const wire::TargetLack&)> on_lack;
-  std::function<void(const std::string&)> on_refusing;
+  std::function<void(const wire::TargetLack&)> on_missing_model;
+  std::function<void(const std::string&)> on_connection_refused;
   std::vector<wire::TargetLack> lacks;
-  std::set<std::string> refusing;   ///< not reported yet
-  std::uint64_t duty_revision = 0;  ///< that was followed
+  std::set<std::string> refusing;     ///< not reported yet
+  std::uint64_t leader_revision = 0;  ///< that was followed
   bool push_pending = false;
-  bool telling_everyone = false;
-  bool tell_again = false;  ///< something came while everyone was told
+  bool notifying_reporters = false;
+  bool notify_again = false;  ///< something came while everyone was told
   std::map<std::string, double> sends;  ///< not told yet, by target
 };
 
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -7,14 +7,14 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-constexpr std::string_view kInstancesPrefix = "dragonflyglade/instances/";
+constexpr std::string_view kInstanceKeyPrefix = "dragonflyglade/instances/";
 // Living targets are back in the store within this time of its return.
-constexpr absl::Duration kGraceAfterReturn = absl::Seconds(2);
+constexpr absl::Duration kStoreRecoveryGrace = absl::Seconds(2);
 // A follower beside the holder costs some calls a second throughout. It saves
 // some calls of each other instance whenever the holder is lost, so that it
 // pays from some tens of instances on. A second one covers the first.
-constexpr std::size_t kInstancesPerFollower = 40;
-constexpr std::size_t kMostFollowers = 2;  // beside the holder
+constexpr std::size_t kInstancesPerRelay = 40;
+constexpr std::size_t kMaxExtraRelays = 2;  // beside the holder
 
 bool HasName(const std::vector<const InstanceRecord*>& records,
              std::string_view name) {
@@ -30,7 +30,7 @@
     : wire(wire), clock(std::move(clock)), log(log), changed(context) {}
 
 std::string FleetState::InstanceKey(std::string_view name) {
-  std::string key(kInstancesPrefix);
+  std::string key(kInstanceKeyPrefix);
   key.append(name);
   return key;
 }
@@ -61,9 +61,9 @@
   const bool of_target = this->HasPrefix(item.key, this->wire.targets_prefix);
   const bool urgent = !of_target || this->ApplyTarget(item);
   if (item.key == this->wire.config_key) this->ApplyConfig(item);
-  if (this->HasPrefix(item.key, kInstancesPrefix)) this->ApplyInstance(item);
-  if (item.key == kDutyKey) this->ApplyDuty(item);
-  if (urgent) this->NoteUrgent({item, false});
+  if (this->HasPrefix(item.key, kInstanceKeyPrefix)) this->ApplyInstance(item);
+  if (item.key == kDutyKey) this->ApplyLeader(item);
+  if (urgent) this->AddUrgentChange({item, false});
   this->changed.Notify();
 }
 
@@ -98,7 +98,7 @@
          names(old) != names(record);
 }
 
-void FleetState::NoteUrgent(StoreEvent event) {
+void FleetState::AddUrgentChange(StoreEvent event) {
   this->urgent_revision = std::max(this->urgent_revision, event.item.revision);
   this->recent.Add(std::move(event));
 }
@@ -137,17 +137,17 @@
   this->log.Write(
       "instances", "entry",
       {{"peer", decoded.Value().name}, {"revision", item.revision}});
-  this->instances[item.key.substr(kInstancesPrefix.size())] =
+  this->instances[item.key.substr(kInstanceKeyPrefix.size())] =
       std::move(decoded.Value());
   this->choice.reset();
 }
 
-void FleetState::ApplyDuty(const StoreItem& item) {
+void FleetState::ApplyLeader(const StoreItem& item) {
   Result<InstanceRecord> decoded = DecodeInstanceRecord(item.value);
   if (!decoded.Ok()) return;
   this->duty =
       DutyHolder{std::move(decoded.Value()), item.lease, item.revision};
-  this->duty_revision = item.revision;
+  this->leader_revision = item.revision;
   this->choice.reset();
   this->log.Write(
       "duty", "holder",
@@ -164,7 +164,7 @@
         {{"revision", item.revision}, {"why", record.Error().ToString()}});
     return;
   }
-  this->spent_before = std::move(record.Value());
+  this->initial_spend_record = std::move(record.Value());
 }
 
 void FleetState::ApplyDeleted(std::string_view key, std::uint64_t revision) {
@@ -172,13 +172,13 @@
   StoreItem gone;
   gone.key = std::string(key);
   gone.revision = revision;
-  this->NoteUrgent({std::move(gone), true});
+  this->AddUrgentChange({std::move(gone), true});
   if (this->HasPrefix(key, this->wire.targets_prefix)) {
     this->DropTarget(key.substr(this->wire.targets_prefix.size()),
                      "entry removed");
   }
-  if (this->HasPrefix(key, kInstancesPrefix)) {
-    const std::string_view name = key.substr(kInstancesPrefix.size());
+  if (this->HasPrefix(key, kInstanceKeyPrefix)) {
+    const std::string_view name = key.substr(kInstanceKeyPrefix.size());
     this->log.Write("instances", "gone",
                     {{"peer", name}, {"revision", revision}});
     const auto found = this->instances.find(name);
@@ -187,7 +187,7 @@
   }
   if (key == kDutyKey) {
     this->duty.reset();
-    this->duty_revision = revision;
+    this->leader_revision = revision;
     this->choice.reset();
     this->log.Write("duty", "no holder", {{"revision", revision}});
   }
@@ -211,14 +211,14 @@
   this->listed_before = true;
 }
 
-void FleetState::StoreReturned() { this->returned_at = this->clock.Now(); }
+void FleetState::StoreReturned() { this->recovered_at = this->clock.Now(); }
 
 void FleetState::DropTarget(std::string_view id, std::string_view why) {
   const std::shared_ptr<TargetState> target = this->Target(id);
   if (target == nullptr) return;
   const Instant now = this->clock.Now();
-  const bool in_grace = this->returned_at.has_value() &&
-                        now - *this->returned_at < kGraceAfterReturn;
+  const bool in_grace = this->recovered_at.has_value() &&
+                        now - *this->recovered_at < kStoreRecoveryGrace;
   this->log.Write("targets", in_grace ? "missing" : "gone",
                   {{"target", id}, {"why", why}});
   if (in_grace && !target->Record().leaving) {
@@ -238,9 +238,9 @@
 }
 
 void FleetState::Sweep() {
-  if (!this->returned_at.has_value()) return;
-  if (this->clock.Now() - *this->returned_at < kGraceAfterReturn) return;
-  this->returned_at.reset();
+  if (!this->recovered_at.has_value()) return;
+  if (this->clock.Now() - *this->recovered_at < kStoreRecoveryGrace) return;
+  this->recovered_at.reset();
   std::vector<std::string> gone;
   for (const auto& [id, target] : this->targets) {
     if (target->missing_since.has_value()) gone.push_back(id);
@@ -270,7 +270,7 @@
   return found == this->targets.end() ? nullptr : found->second;
 }
 
-std::vector<InstanceOffer> FleetState::Offers() const {
+std::vector<InstanceOffer> FleetState::InstanceOffers() const {
   std::vector<InstanceOffer> offers;
   for (const auto& [name, record] : this->instances) {
     offers.push_back({name, record.zone, record.capacity});
@@ -287,22 +287,23 @@
   return result;
 }
 
-const FleetState::Choice& FleetState::Chosen() const {
+const FleetState::Choice& FleetState::ChosenInstances() const {
   if (!this->choice.has_value()) {
-    this->choice = Choice{this->Records(ChooseInstances(this->Offers())),
-                          this->ChooseFollowers()};
+    this->choice =
+        Choice{this->Records(ChooseInstances(this->InstanceOffers())),
+               this->ChooseRelays()};
   }
   return *this->choice;
 }
 
-std::vector<const InstanceRecord*> FleetState::ChooseFollowers() const {
+std::vector<const InstanceRecord*> FleetState::ChooseRelays() const {
   std::vector<const InstanceRecord*> followers;
   const std::string holder =
       this->duty.has_value() ? this->duty->instance.name : std::string();
   const auto known = this->instances.find(holder);
   if (known != this->instances.end()) followers.push_back(&known->second);
   const std::size_t others =
-      std::min(kMostFollowers, this->instances.size() / kInstancesPerFollower);
+      std::min(kMaxExtraRelays, this->instances.size() / kInstancesPerRelay);
   const std::size_t most = followers.size() + others;
   for (const InstanceRecord* record : this->InstancesByStrength(kDutyKey)) {
     if (followers.size() >= most) break;
@@ -321,7 +322,7 @@
 
 std::vector<const InstanceRecord*> FleetState::InstancesByStrength(
     std::string_view key) const {
-  return this->Records(ByStrength(this->Offers(), key));
+  return this->Records(ByStrength(this->InstanceOffers(), key));
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -75,13 +75,13 @@
   }
   /// The instances that callers are sent to, the strongest first.
   const std::vector<const InstanceRecord*>& ListedInstances() const {
-    return this->Chosen().listed;
+    return this->ChosenInstances().listed;
   }
   bool IsListed(std::string_view instance) const;
   /// The instances that follow the store for all others: the holder of the
   /// placing duty, and in a large fleet the strongest ones beside it.
   const std::vector<const InstanceRecord*>& Followers() const {
-    return this->Chosen().followers;
+    return this->ChosenInstances().followers;
   }
   bool FollowsStore(std::string_view instance) const;
   /// All instances by strength; ties are broken by a hash with the key.
@@ -89,12 +89,12 @@
       std::string_view key) const;
   const std::optional<DutyHolder>& Duty() const { return this->duty; }
   /// When the duty was last taken or let go.
-  std::uint64_t DutyRevision() const { return this->duty_revision; }
+  std::uint64_t DutyRevision() const { return this->leader_revision; }
 
   /// What the store said that the fleet had spent of quotas, when this process
   /// first read it.
   const std::optional<SpendRecord>& SpentBefore() const {
-    return this->spent_before;
+    return this->initial_spend_record;
   }
 
   /// The newest revision of a change that must be followed at once: all but
@@ -117,10 +117,10 @@
   bool IsNewer(std::string_view key, std::uint64_t revision);
   void ApplyConfig(const StoreItem& item);
   bool ApplyTarget(const StoreItem& item);
-  void NoteUrgent(StoreEvent event);
+  void AddUrgentChange(StoreEvent event);
   bool IsUrgent(const TargetRecord& record) const;
   void ApplyInstance(const StoreItem& item);
-  void ApplyDuty(const StoreItem& item);
+  void ApplyLeader(const StoreItem& item);
   void ApplySpends(const StoreItem& item);
   void DropTarget(std::string_view id, std::string_view why);
   void RemoveTarget(std::string_view id);
@@ -130,9 +130,9 @@
     std::vector<const InstanceRecord*> followers;
   };
 
-  const Choice& Chosen() const;
-  std::vector<const InstanceRecord*> ChooseFollowers() const;
-  std::vector<InstanceOffer> Offers() const;
+  const Choice& ChosenInstances() const;
+  std::vector<const InstanceRecord*> ChooseRelays() const;
+  std::vector<InstanceOffer> InstanceOffers() const;
   std::vector<const InstanceRecord*> Records(
       absl::Span<const std::size_t> order) const;
   bool HasPrefix(std::string_view key, std::string_view prefix) const;
@@ -150,11 +150,11 @@
   /// Made when asked for, since a listing brings hundreds of instances one by
   /// one; nothing after a change of the instances or of the duty.
   mutable std::optional<Choice> choice;
-  std::optional<SpendRecord> spent_before;
+  std::optional<SpendRecord> initial_spend_record;
   bool listed_before = false;  ///< a listing was applied
   std::optional<DutyHolder> duty;
-  std::uint64_t duty_revision = 0;
-  std::optional<Instant> returned_at;
+  std::uint64_t leader_revision = 0;
+  std::optional<Instant> recovered_at;
   std::uint64_t urgent_revision = 0;
   RecentChanges recent;
 };
--- a/dragonflyglade/gateway/placement_duty.cc
+++ b/dragonflyglade/gateway/placement_duty.cc
@@ -10,17 +10,17 @@
 namespace {
 
 // Demand for models moves within seconds; adapters wake the planner at once.
-constexpr absl::Duration kPlanEvery = absl::Milliseconds(250);
+constexpr absl::Duration kPlanInterval = absl::Milliseconds(250);
 // A round takes some milliseconds of a small machine's processor at 90 engines,
 // and news that wake it come each few milliseconds. An adapter is there some
 // ten milliseconds after its order in any case.
-constexpr absl::Duration kPlanPause = absl::Milliseconds(20);
+constexpr absl::Duration kMinPlanPause = absl::Milliseconds(20);
 // Rounds take at most a sixth of the holder's time, so that its requests and
 // reports are not held up: at 300 instances and 3,000 targets the holder used
 // 71 % of its machine, and the fleet served 0.72 against 0.95 at 30.
-constexpr int kPausePerRound = 5;
+constexpr int kPausePerPlanTime = 5;
 // The entry of an engine whose process ended is removed after three heartbeats.
-constexpr absl::Duration kEntryLapses = absl::Seconds(4);
+constexpr absl::Duration kEntryExpiry = absl::Seconds(4);
 
 }  // namespace
 
@@ -43,18 +43,19 @@
       clock(clock),
       planner(ResidencyOptions(), clock),
       wake(context) {
-  this->channel.OnWaiting([this] { this->WantPlan(); });
+  this->channel.OnWaiting([this] { this->RequestPlan(); });
   this->channel.OnLack(
-      [this](const wire::TargetLack& lack) { this->TakeLack(lack); });
-  this->channel.OnRefusing(
-      [this](const std::string& target) { this->TakeRefusing(target); });
+      [this](const wire::TargetLack& lack) { this->HandleMissingModel(lack); });
+  this->channel.OnRefusing([this](const std::string& target) {
+    this->HandleConnectionRefused(target);
+  });
 }
 
 asio::awaitable<void> PlacementDuty::Run() {
-  absl::Duration pause = kPlanPause;
+  absl::Duration pause = kMinPlanPause;
   while (true) {
     co_await Sleep(this->context, pause);
-    if (!this->plan_wanted) co_await this->wake.Wait(kPlanEvery);
+    if (!this->plan_wanted) co_await this->wake.Wait(kPlanInterval);
     this->plan_wanted = false;
     if (!this->duty.MayAct()) {
       if (this->acting) this->Forget();
@@ -73,12 +74,12 @@
     this->Follow();
     this->Plan();
     this->channel.Holdings().Set(this->Holdings());
-    pause = std::clamp((this->clock.Now() - begun) * kPausePerRound, kPlanPause,
-                       kPlanEvery);
+    pause = std::clamp((this->clock.Now() - begun) * kPausePerPlanTime,
+                       kMinPlanPause, kPlanInterval);
   }
 }
 
-void PlacementDuty::TakeLack(const wire::TargetLack& lack) {
+void PlacementDuty::HandleMissingModel(const wire::TargetLack& lack) {
   const auto found = this->engines.find(lack.target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
@@ -98,20 +99,20 @@
 
 // Its entry stands for some heartbeats more. Counted until then, its copies
 // keep the planner from loading their models elsewhere.
-void PlacementDuty::TakeRefusing(const std::string& target) {
+void PlacementDuty::HandleConnectionRefused(const std::string& target) {
   const auto found = this->engines.find(target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
-  if (!this->HasEnded(engine)) {
+  if (!this->IsTerminated(engine)) {
     this->log.Write("placement", "refusing", {{"target", engine.id}});
-    this->WantPlan();
+    this->RequestPlan();
   }
   engine.refused_at = this->clock.Now();
 }
 
-bool PlacementDuty::HasEnded(const Engine& engine) const {
+bool PlacementDuty::IsTerminated(const Engine& engine) const {
   return engine.refused_at.has_value() &&
-         this->clock.Now() - *engine.refused_at < kEntryLapses;
+         this->clock.Now() - *engine.refused_at < kEntryExpiry;
 }
 
 void PlacementDuty::Forget() {
@@ -129,7 +130,7 @@
     if (service == config->services.end()) return;
     if (!service->second.engine.has_value()) return;
     present.insert(target.Record().id);
-    this->FollowEngine(target);
+    this->UpdateEngine(target);
   });
   for (auto item = this->engines.begin(); item != this->engines.end();) {
     if (present.count(item->first) == 0) {
@@ -140,13 +141,13 @@
   }
 }
 
-void PlacementDuty::FollowEngine(const TargetState& target) {
+void PlacementDuty::UpdateEngine(const TargetState& target) {
   const TargetRecord& record = target.Record();
   std::shared_ptr<Engine>& engine = this->engines[record.id];
   const bool known = engine != nullptr && engine->born_ms == record.born_ms &&
                      engine->service == record.service;
   if (known) {
-    this->FollowRecord(*engine, target);
+    this->ApplyTargetRecord(*engine, target);
     return;
   }
   engine = std::make_shared<Engine>();
@@ -163,7 +164,8 @@
 
 // The record says which models are there, at its last heartbeat; adapters are
 // known better here. A record from before the last order says nothing of it.
-void PlacementDuty::FollowRecord(Engine& engine, const TargetState& target) {
+void PlacementDuty::ApplyTargetRecord(Engine& engine,
+                                      const TargetState& target) {
   const Instant now = this->clock.Now();
   const TargetRecord& record = target.Record();
   if (engine.loading.has_value()) {
@@ -214,12 +216,12 @@
   return all;
 }
 
-void PlacementDuty::WantPlan() {
+void PlacementDuty::RequestPlan() {
   this->plan_wanted = true;
   this->wake.Notify();
 }
 
-void PlacementDuty::TellHoldings() {
+void PlacementDuty::PublishHoldings() {
   this->channel.Holdings().Set(this->Holdings());
   this->channel.PushSoon();
 }
@@ -283,7 +285,7 @@
     const auto in_use = residents_in_use.find(id);
     if (in_use != residents_in_use.end()) item.in_use = in_use->second;
     item.usable = target != nullptr && !target->Record().leaving &&
-                  !this->HasEnded(*engine);
+                  !this->IsTerminated(*engine);
     item.answers = target != nullptr && !target->Avoided(this->clock.Now());
     item.loading = engine->loading.value_or("");
     // What it kept before its last order may have made way for that since.
--- a/dragonflyglade/gateway/placement_duty.h
+++ b/dragonflyglade/gateway/placement_duty.h
@@ -64,22 +64,22 @@
     std::optional<Instant> refused_at;
   };
 
-  void TakeLack(const wire::TargetLack& lack);
-  void TakeRefusing(const std::string& target);
-  bool HasEnded(const Engine& engine) const;
+  void HandleMissingModel(const wire::TargetLack& lack);
+  void HandleConnectionRefused(const std::string& target);
+  bool IsTerminated(const Engine& engine) const;
   void Forget();
   void Follow();
-  void FollowEngine(const TargetState& target);
-  void FollowRecord(Engine& engine, const TargetState& target);
+  void UpdateEngine(const TargetState& target);
+  void ApplyTargetRecord(Engine& engine, const TargetState& target);
   void Plan();
   void PlanService(const ServiceSpec& service,
                    const std::map<ModelName, FleetDemand>& demand);
   LoadCeiling& CeilingOf(const ServiceSpec& service);
   bool Book(const ServiceSpec& service, const ResidencyChange& change);
-  boost::asio::awaitable<void> CarryOut(std::shared_ptr<Engine> engine,
-                                        ResidencyChange change);
-  boost::asio::awaitable<void> GiveOrder(Engine& engine,
-                                         const ResidencyChange& change);
+  boost::asio::awaitable<void> ExecuteOrder(std::shared_ptr<Engine> engine,
+                                            ResidencyChange change);
+  boost::asio::awaitable<void> DeliverOrder(Engine& engine,
+                                            const ResidencyChange& change);
   boost::asio::awaitable<ExchangeOutcome> Call(TargetState& target,
                                                HttpCallText call);
   boost::asio::awaitable<std::optional<OrderAnswer>> SendOrder(
@@ -87,11 +87,11 @@
   void Settle(Engine& engine, const ResidencyChange& change,
               OrderAnswer answer);
   boost::asio::awaitable<void> Inspect(std::shared_ptr<Engine> engine);
-  boost::asio::awaitable<void> AskForReport(Engine& engine);
+  boost::asio::awaitable<void> FetchEngineReport(Engine& engine);
   bool TakeReport(Engine& engine, std::string_view body);
   std::vector<wire::TargetHoldings> Holdings() const;
-  void TellHoldings();
-  void WantPlan();
+  void PublishHoldings();
+  void RequestPlan();
 
   boost::asio::io_context& context;
   const GatewaySettings& settings;
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -17,20 +17,20 @@
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(400);
 // An order without an answer may be carried out late; the same one again with
 // the same expected count makes the late one void.
-constexpr int kOrderTries = 3;
-constexpr absl::Duration kOrderPause = absl::Milliseconds(50);
+constexpr int kOrderAttempts = 3;
+constexpr absl::Duration kOrderRetryDelay = absl::Milliseconds(50);
 // An adapter is there some ten milliseconds after the order was taken.
-constexpr absl::Duration kAdapterLoads = absl::Milliseconds(15);
+constexpr absl::Duration kAdapterLoadTime = absl::Milliseconds(15);
 // Before a model is unloaded, instances are told to send nothing more for it;
 // the news is there within a message's time.
-constexpr absl::Duration kClosingNews = absl::Milliseconds(60);
+constexpr absl::Duration kUnloadNoticeDelay = absl::Milliseconds(60);
 // Reports tell of some hundred milliseconds ago.
 constexpr absl::Duration kReportLag = absl::Milliseconds(600);
 // A load that is not seen to end by this many times its usual time is looked
 // into: loads slow down in proportion to how many run.
-constexpr int kLoadPatience = 4;
+constexpr int kLoadTimeoutFactor = 4;
 
-std::string PlaceOf(const ResidencyChange& change) {
+std::string ResidentKeyOf(const ResidencyChange& change) {
   return ResidentKey(change.model, change.adapter);
 }
 
@@ -50,17 +50,19 @@
     const auto model = std::find_if(
         served.begin(), served.end(),
         [&](const ServedModel& item) { return item.name == change.model; });
-    engine.loading_until = this->clock.Now() + kLoadPatience * model->load_time;
+    engine.loading_until =
+        this->clock.Now() + kLoadTimeoutFactor * model->load_time;
     if (change.from_store) this->CeilingOf(service).Began();
   } else if (loads) {
     engine.models[change.model].insert(change.adapter);
-    engine.unready.insert(PlaceOf(change));
+    engine.unready.insert(ResidentKeyOf(change));
   } else if (change.adapter.empty()) {
     engine.closing.insert(change.model);
   } else {
-    engine.unready.insert(PlaceOf(change));
+    engine.unready.insert(ResidentKeyOf(change));
   }
-  this->tasks.Spawn("carry out order", this->CarryOut(found->second, change));
+  this->tasks.Spawn("carry out order",
+                    this->ExecuteOrder(found->second, change));
   return true;
 }
 
@@ -99,38 +101,38 @@
 }
 
 // However the order ends, the engine takes others after it.
-asio::awaitable<void> PlacementDuty::CarryOut(std::shared_ptr<Engine> engine,
-                                              ResidencyChange change) {
+asio::awaitable<void> PlacementDuty::ExecuteOrder(
+    std::shared_ptr<Engine> engine, ResidencyChange change) {
   const std::exception_ptr fault =
-      co_await Caught(this->GiveOrder(*engine, change));
+      co_await Caught(this->DeliverOrder(*engine, change));
   if (fault) engine->inspect = true;
-  engine->unready.erase(PlaceOf(change));
+  engine->unready.erase(ResidentKeyOf(change));
   engine->settled_at = this->clock.Now();
   engine->ordering = false;
-  this->TellHoldings();
-  this->WantPlan();
+  this->PublishHoldings();
+  this->RequestPlan();
   if (fault) std::rethrow_exception(fault);
 }
 
-asio::awaitable<void> PlacementDuty::GiveOrder(Engine& engine,
-                                               const ResidencyChange& change) {
+asio::awaitable<void> PlacementDuty::DeliverOrder(
+    Engine& engine, const ResidencyChange& change) {
   if (change.kind == ResidencyChange::Kind::kUnload) {
-    this->TellHoldings();
-    co_await Sleep(this->context, kClosingNews);
+    this->PublishHoldings();
+    co_await Sleep(this->context, kUnloadNoticeDelay);
   }
   std::optional<OrderAnswer> answer;
-  for (int attempt = 0; attempt < kOrderTries && !answer.has_value();
+  for (int attempt = 0; attempt < kOrderAttempts && !answer.has_value();
        ++attempt) {
     // Checked as late as possible: whoever lost the duty must not send.
     if (!this->duty.MayAct()) break;
     answer = co_await this->SendOrder(engine, change);
-    if (!answer.has_value()) co_await Sleep(this->context, kOrderPause);
+    if (!answer.has_value()) co_await Sleep(this->context, kOrderRetryDelay);
   }
   this->log.Write(
       "placement", "order",
       {{"target", engine.id},
        {"load", change.kind == ResidencyChange::Kind::kLoad},
-       {"model", PlaceOf(change)},
+       {"model", ResidentKeyOf(change)},
        {"from_store", change.from_store},
        {"expected", engine.orders_taken},
        {"fence", this->duty.Fence()},
@@ -143,7 +145,7 @@
   const bool adapter_loads = answer == OrderAnswer::kAccepted &&
                              !change.adapter.empty() &&
                              change.kind == ResidencyChange::Kind::kLoad;
-  if (adapter_loads) co_await Sleep(this->context, kAdapterLoads);
+  if (adapter_loads) co_await Sleep(this->context, kAdapterLoadTime);
 }
 
 void PlacementDuty::Settle(Engine& engine, const ResidencyChange& change,
@@ -177,14 +179,15 @@
 }
 
 asio::awaitable<void> PlacementDuty::Inspect(std::shared_ptr<Engine> engine) {
-  const std::exception_ptr fault = co_await Caught(this->AskForReport(*engine));
+  const std::exception_ptr fault =
+      co_await Caught(this->FetchEngineReport(*engine));
   engine->settled_at = this->clock.Now();
   engine->ordering = false;
-  this->TellHoldings();
+  this->PublishHoldings();
   if (fault) std::rethrow_exception(fault);
 }
 
-asio::awaitable<void> PlacementDuty::AskForReport(Engine& engine) {
+asio::awaitable<void> PlacementDuty::FetchEngineReport(Engine& engine) {
   // A report tells of a moment ago: asked too early, it would not yet show
   // the last order.
   const absl::Duration since = this->clock.Now() - engine.settled_at;
--- a/dragonflyglade/gateway/quota_desk.cc
+++ b/dragonflyglade/gateway/quota_desk.cc
@@ -12,19 +12,19 @@
 // An answer takes a message each way, 1 to 3 ms in a region, and the holder's
 // turn. The second try covers a lost datagram.
 constexpr absl::Duration kAskTimeout = absl::Milliseconds(45);
-constexpr int kAskTries = 2;
+constexpr int kAskAttempts = 2;
 // A holder that did not answer is not asked for this long, so that requests
 // are not held for the timeout one by one while it is replaced.
-constexpr absl::Duration kSilence = absl::Milliseconds(400);
+constexpr absl::Duration kLeaderRetryDelay = absl::Milliseconds(400);
 // A refusal answers for requests of the same size for this long: a workspace
 // that floods would otherwise cost the holder a message each.
-constexpr absl::Duration kDenialHolds = absl::Milliseconds(150);
+constexpr absl::Duration kDenialCacheTime = absl::Milliseconds(150);
 // A new holder has the report of whoever is alive within this time: news of it
 // takes some hundred milliseconds, and the next report half a second more.
-constexpr absl::Duration kReportsComeIn = absl::Seconds(1);
+constexpr absl::Duration kReportsCollectionTime = absl::Seconds(1);
 // While nobody sums up, callers that come back sooner meet the same shortage,
 // and most come back once. A holder is replaced within about a second.
-constexpr absl::Duration kHolderReturns = absl::Milliseconds(800);
+constexpr absl::Duration kLeaderReplacementTime = absl::Milliseconds(800);
 
 }  // namespace
 
@@ -48,10 +48,10 @@
 
 // All processes may have been killed a moment ago. By the record, this one need
 // not wait for a holder to spend what is known to be left.
-void QuotaDesk::TakeOverSpending() {
+void QuotaDesk::ApplySpendRecord() {
   const std::optional<SpendRecord>& before = this->fleet.SpentBefore();
-  if (this->looked_before || !before.has_value()) return;
-  this->looked_before = true;
+  if (this->spend_record_checked || !before.has_value()) return;
+  this->spend_record_checked = true;
   const absl::Time now = this->time_of_day();
   const bool recent = IsRecent(*before, now);
   if (recent) {
@@ -63,7 +63,7 @@
 }
 
 void QuotaDesk::FollowInstances() {
-  this->TakeOverSpending();
+  this->ApplySpendRecord();
   std::vector<std::string_view> names;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
     names.push_back(record->name);
@@ -84,21 +84,22 @@
   if (verdict.admitted) co_return verdict;
   std::string_view by = "part";
   const std::optional<QuotaVerdict> before =
-      this->DeniedBefore(workspace, tokens);
+      this->RecentDenial(workspace, tokens);
   if (before.has_value()) {
     verdict = *before;
     by = "holder before";
-  } else if (this->MayAsk()) {
+  } else if (this->MayAskLeader()) {
     const std::optional<QuotaVerdict> answer =
         co_await this->Ask(workspace, tokens);
     this->metrics.Count("quota_asks", !answer.has_value() ? "answer=\"none\""
                                       : answer->admitted  ? "answer=\"granted\""
                                                          : "answer=\"denied\"");
     by = answer.has_value() ? "holder" : "part, holder silent";
-    verdict = answer.has_value() ? *answer
-                                 : this->TakeUnheard(workspace, limit, tokens);
+    verdict = answer.has_value()
+                  ? *answer
+                  : this->AdmitWithoutLeader(workspace, limit, tokens);
   } else {
-    verdict = this->TakeUnheard(workspace, limit, tokens);
+    verdict = this->AdmitWithoutLeader(workspace, limit, tokens);
   }
   this->log.Write("quota", verdict.admitted ? "granted" : "short",
                   {{"id", std::string(request_id)},
@@ -110,22 +111,23 @@
   co_return verdict;
 }
 
-QuotaVerdict QuotaDesk::TakeUnheard(const std::string& workspace,
-                                    const QuotaLimit& limit, double tokens) {
+QuotaVerdict QuotaDesk::AdmitWithoutLeader(const std::string& workspace,
+                                           const QuotaLimit& limit,
+                                           double tokens) {
   QuotaVerdict verdict = this->quotas.Take(workspace, limit, tokens);
   if (!verdict.admitted) {
-    verdict.retry_after = std::max(verdict.retry_after, kHolderReturns);
+    verdict.retry_after = std::max(verdict.retry_after, kLeaderReplacementTime);
   }
   return verdict;
 }
 
-bool QuotaDesk::MayAsk() const {
+bool QuotaDesk::MayAskLeader() const {
   if (!this->fleet.Duty().has_value()) return false;
-  return !this->silent_since.has_value() ||
-         this->clock.Now() - *this->silent_since > kSilence;
+  return !this->unresponsive_since.has_value() ||
+         this->clock.Now() - *this->unresponsive_since > kLeaderRetryDelay;
 }
 
-std::optional<QuotaVerdict> QuotaDesk::DeniedBefore(std::string_view workspace,
+std::optional<QuotaVerdict> QuotaDesk::RecentDenial(std::string_view workspace,
                                                     double tokens) const {
   const auto found = this->denials.find(workspace);
   if (found == this->denials.end()) return std::nullopt;
@@ -160,7 +162,7 @@
   ask.tokens = static_cast<std::int64_t>(tokens);
   message.__set_ask(std::move(ask));
   Open& open = this->open.try_emplace(number, this->context).first->second;
-  for (int i = 0; i < kAskTries && !open.verdict.has_value(); ++i) {
+  for (int i = 0; i < kAskAttempts && !open.verdict.has_value(); ++i) {
     this->send(message, address);
     co_await open.answered.Wait(kAskTimeout);
   }
@@ -171,13 +173,13 @@
   // An answer that comes later finds nobody and is not spent.
   this->open.erase(number);
   if (!verdict.has_value()) {
-    this->silent_since = this->clock.Now();
+    this->unresponsive_since = this->clock.Now();
     co_return std::nullopt;
   }
-  this->silent_since.reset();
+  this->unresponsive_since.reset();
   if (!verdict->admitted) {
     const Instant until =
-        this->clock.Now() + std::min(kDenialHolds, verdict->retry_after);
+        this->clock.Now() + std::min(kDenialCacheTime, verdict->retry_after);
     this->denials[workspace] = {until, tokens};
   }
   co_return verdict;
@@ -202,14 +204,15 @@
 
 // A new holder that has heard one of eight instances would deny what is owed,
 // and callers that come back at once would be refused again.
-bool QuotaDesk::HearsReports(const FleetSpend& spend) {
+bool QuotaDesk::HasEnoughReports(const FleetSpend& spend) {
   const Instant now = this->clock.Now();
-  if (this->duty_fence != this->duty.Fence()) {
-    this->duty_fence = this->duty.Fence();
-    this->duty_since = now;
+  if (this->leader_fencing_token != this->duty.Fence()) {
+    this->leader_fencing_token = this->duty.Fence();
+    this->leader_since = now;
   }
   const auto listed = static_cast<int>(this->fleet.ListedInstances().size());
-  return spend.instances >= listed || now - this->duty_since > kReportsComeIn;
+  return spend.instances >= listed ||
+         now - this->leader_since > kReportsCollectionTime;
 }
 
 std::optional<QuotaVerdict> QuotaDesk::Decide(const std::string& process,
@@ -218,7 +221,7 @@
                                               double tokens) {
   QuotaVerdict verdict;
   verdict.admitted = false;
-  verdict.retry_after = kSilence;
+  verdict.retry_after = kLeaderRetryDelay;
   const auto config = this->fleet.Config();
   if (config == nullptr) return verdict;
   const auto known = config->workspaces.find(workspace);
@@ -226,7 +229,7 @@
   if (known == config->workspaces.end()) return verdict;
   this->FollowInstances();
   FleetSpend spend = this->hub.SpendOf(workspace);
-  if (!this->HearsReports(spend)) return std::nullopt;
+  if (!this->HasEnoughReports(spend)) return std::nullopt;
   spend.total += this->ledger.Open(workspace);
   verdict = this->quotas.Grant(known->second.quota, tokens, spend);
   if (verdict.admitted) {
--- a/dragonflyglade/gateway/quota_desk.h
+++ b/dragonflyglade/gateway/quota_desk.h
@@ -86,21 +86,21 @@
   };
 
   /// Decides while nobody sums up.
-  QuotaVerdict TakeUnheard(const std::string& workspace,
-                           const QuotaLimit& limit, double tokens);
+  QuotaVerdict AdmitWithoutLeader(const std::string& workspace,
+                                  const QuotaLimit& limit, double tokens);
   /// Asks the holder, and counts what it grants.
   boost::asio::awaitable<std::optional<QuotaVerdict>> Ask(std::string workspace,
                                                           double tokens);
-  std::optional<QuotaVerdict> DeniedBefore(std::string_view workspace,
+  std::optional<QuotaVerdict> RecentDenial(std::string_view workspace,
                                            double tokens) const;
-  void TakeOverSpending();
+  void ApplySpendRecord();
   /// @return nothing if too little is known yet
   std::optional<QuotaVerdict> Decide(const std::string& process,
                                      std::int64_t number,
                                      const std::string& workspace,
                                      double tokens);
-  bool HearsReports(const FleetSpend& spend);
-  bool MayAsk() const;
+  bool HasEnoughReports(const FleetSpend& spend);
+  bool MayAskLeader() const;
 
   boost::asio::io_context& context;
   FleetState& fleet;
@@ -118,10 +118,10 @@
   std::int64_t last_number = 0;
   std::map<std::int64_t, Open> open;
   std::map<std::string, Denial, std::less<>> denials;
-  std::optional<Instant> silent_since;
-  bool looked_before = false;    ///< at what was spent before its start
-  std::uint64_t duty_fence = 0;  ///< of the duty held last
-  Instant duty_since;
+  std::optional<Instant> unresponsive_since;
+  bool spend_record_checked = false;  ///< at what was spent before its start
+  std::uint64_t leader_fencing_token = 0;  ///< of the duty held last
+  Instant leader_since;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -16,16 +16,16 @@
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(400);
 constexpr absl::Duration kRetryPause = absl::Milliseconds(200);
 // Renewals in one lease: three may fail before it ends.
-constexpr int kRenewalsInLease = 4;
+constexpr int kRenewalsPerLease = 4;
 // Of the whole store, by a fleet whose processes all start at once.
-constexpr absl::Duration kListingTakes = absl::Seconds(3);
-constexpr absl::Duration kListingLook = absl::Milliseconds(20);
+constexpr absl::Duration kListingTimeout = absl::Seconds(3);
+constexpr absl::Duration kListingPollInterval = absl::Milliseconds(20);
 // Between looks at whether the duty is vacant.
 constexpr absl::Duration kDutyLook = absl::Milliseconds(250);
 // How much later each further candidate tries: one store call more than the
 // first one needs, so that normally only one writes.
-constexpr absl::Duration kTurn = absl::Milliseconds(100);
-constexpr int kMostTurns = 10;
+constexpr absl::Duration kCandidacyStep = absl::Milliseconds(100);
+constexpr int kMaxCandidacySteps = 10;
 
 }  // namespace
 
@@ -53,8 +53,8 @@
 asio::awaitable<void> Registration::WaitForListing() {
   const Instant begun = this->clock.Now();
   while (!this->fleet.WasListed() && !this->leaving &&
-         this->clock.Now() - begun < kListingTakes) {
-    co_await Sleep(this->context, kListingLook);
+         this->clock.Now() - begun < kListingTimeout) {
+    co_await Sleep(this->context, kListingPollInterval);
   }
 }
 
@@ -63,23 +63,23 @@
   Instant next_renewal = this->clock.Now();
   while (!this->leaving) {
     const Instant now = this->clock.Now();
-    if (this->lease == 0 || this->WantsAnotherLease()) {
+    if (this->lease == 0 || this->NeedsDifferentTtl()) {
       co_await this->Grant();
-      next_renewal = now + this->granted / kRenewalsInLease;
+      next_renewal = now + this->granted / kRenewalsPerLease;
     } else if (!this->entered) {
       co_await this->Enter();
     } else if (now >= next_renewal) {
-      next_renewal = now + this->granted / kRenewalsInLease;
+      next_renewal = now + this->granted / kRenewalsPerLease;
       co_await this->Renew();
     }
-    if (this->entered && !this->leaving) co_await this->TakeDuty();
+    if (this->entered && !this->leaving) co_await this->TryBecomeLeader();
     co_await Sleep(this->context, this->entered ? kDutyLook : kRetryPause);
   }
 }
 
 asio::awaitable<void> Registration::Grant() {
   const LocalTime sent = ReadLocalTime();
-  const absl::Duration wanted = this->WantedLease();
+  const absl::Duration wanted = this->WantedTtl();
   StoreCall call = StoreGrant{wanted};
   const StoreReply reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
@@ -101,7 +101,7 @@
   StoreCall call = std::move(transaction);
   const StoreReply reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->LeaseEnded();
+  if (std::holds_alternative<StoreNoLease>(reply)) this->HandleLeaseLoss();
   this->entered = std::holds_alternative<StoreCommitted>(reply);
   if (this->entered) {
     this->log.Write("registration", "entered", {{"lease", this->lease}});
@@ -114,7 +114,7 @@
   const StoreReply reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   if (std::holds_alternative<StoreNoLease>(reply)) {
-    this->LeaseEnded();
+    this->HandleLeaseLoss();
     co_return;
   }
   const auto* lease = std::get_if<StoreLease>(&reply);
@@ -124,7 +124,7 @@
   if (this->duty.Held()) this->duty.Renewed(sent, lease->ttl);
 }
 
-void Registration::LeaseEnded() {
+void Registration::HandleLeaseLoss() {
   this->log.Write("registration", "lease ended",
                   {{"lease", this->lease}, {"held_duty", this->duty.Held()}});
   this->lease = 0;
@@ -132,7 +132,7 @@
   this->duty.Lost();
 }
 
-bool Registration::DutyIsMine() const {
+bool Registration::HoldsLeaderEntry() const {
   const auto& holder = this->fleet.Duty();
   return holder.has_value() && holder->lease == this->lease &&
          holder->instance.incarnation == this->self.incarnation;
@@ -140,8 +140,8 @@
 
 // What the store shows goes before what this instance knows of its lease: a
 // later change of the duty means that somebody else may hold it.
-void Registration::CheckDuty() {
-  if (!this->duty.Held() || this->DutyIsMine()) return;
+void Registration::CheckLeadership() {
+  if (!this->duty.Held() || this->HoldsLeaderEntry()) return;
   if (this->fleet.DutyRevision() <= this->duty.Fence()) return;
   this->log.Write("duty", "lost to another",
                   {{"fence", this->duty.Fence()},
@@ -149,37 +149,37 @@
   this->duty.Lost();
 }
 
-absl::Duration Registration::WantedLease() const {
+absl::Duration Registration::WantedTtl() const {
   return this->fleet.IsListed(this->self.name) ? this->lease_times.listed
                                                : this->lease_times.unlisted;
 }
 
 // The lease that the duty stands under must not change: orders carry it.
-bool Registration::WantsAnotherLease() const {
-  if (!this->entered || this->DutyIsMine()) return false;
+bool Registration::NeedsDifferentTtl() const {
+  if (!this->entered || this->HoldsLeaderEntry()) return false;
   if (this->fleet.Instances().count(this->self.name) == 0) return false;
-  return this->WantedLease() != this->asked_for;
+  return this->WantedTtl() != this->asked_for;
 }
 
-absl::Duration Registration::TurnToTake() const {
+absl::Duration Registration::CandidacyDelay() const {
   // The holder sends summaries to all instances, so strong ones go first.
   const auto order = this->fleet.InstancesByStrength(FleetState::kDutyKey);
   const auto place = std::find_if(
       order.begin(), order.end(),
       [&](const auto* record) { return record->name == this->self.name; });
   const int turn = static_cast<int>(place - order.begin());
-  return std::min(turn, kMostTurns) * kTurn;
+  return std::min(turn, kMaxCandidacySteps) * kCandidacyStep;
 }
 
-asio::awaitable<void> Registration::TakeDuty() {
-  this->CheckDuty();
+asio::awaitable<void> Registration::TryBecomeLeader() {
+  this->CheckLeadership();
   const Instant now = this->clock.Now();
   if (this->fleet.Duty().has_value()) {
-    this->vacant_since.reset();
+    this->leaderless_since.reset();
     // The answer to the taking write was lost, and the store shows it. An
     // entry under an earlier lease is about to vanish: going on from it, this
     // instance would give orders with an old fence beside the next holder.
-    if (this->DutyIsMine() && !this->duty.Held()) {
+    if (this->HoldsLeaderEntry() && !this->duty.Held()) {
       this->duty.Acquired(this->fleet.Duty()->revision, this->renewed,
                           this->granted);
     }
@@ -190,8 +190,8 @@
   // The duty stands under this instance's lease, and a long one would keep it
   // from others for as long after this one's end.
   if (this->asked_for != this->lease_times.listed) co_return;
-  if (!this->vacant_since.has_value()) this->vacant_since = now;
-  if (now - *this->vacant_since < this->TurnToTake()) co_return;
+  if (!this->leaderless_since.has_value()) this->leaderless_since = now;
+  if (now - *this->leaderless_since < this->CandidacyDelay()) co_return;
   StoreTransaction transaction;
   const std::string key(FleetState::kDutyKey);
   transaction.expected.push_back({key, 0});
@@ -200,7 +200,7 @@
   StoreCall call = std::move(transaction);
   const StoreReply reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->LeaseEnded();
+  if (std::holds_alternative<StoreNoLease>(reply)) this->HandleLeaseLoss();
   const auto* committed = std::get_if<StoreCommitted>(&reply);
   if (committed == nullptr) co_return;
   this->duty.Acquired(committed->revision, this->renewed, this->granted);
--- a/dragonflyglade/gateway/registration.h
+++ b/dragonflyglade/gateway/registration.h
@@ -43,13 +43,13 @@
   boost::asio::awaitable<void> Grant();
   boost::asio::awaitable<void> Enter();
   boost::asio::awaitable<void> Renew();
-  boost::asio::awaitable<void> TakeDuty();
-  bool DutyIsMine() const;
-  void CheckDuty();
-  absl::Duration TurnToTake() const;
-  absl::Duration WantedLease() const;
-  bool WantsAnotherLease() const;
-  void LeaseEnded();
+  boost::asio::awaitable<void> TryBecomeLeader();
+  bool HoldsLeaderEntry() const;
+  void CheckLeadership();
+  absl::Duration CandidacyDelay() const;
+  absl::Duration WantedTtl() const;
+  bool NeedsDifferentTtl() const;
+  void HandleLeaseLoss();
 
   boost::asio::io_context& context;
   StoreLink& store;
@@ -65,7 +65,7 @@
   absl::Duration asked_for;  ///< of the store
   bool entered = false;
   bool leaving = false;
-  std::optional<Instant> vacant_since;
+  std::optional<Instant> leaderless_since;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/report_hub.cc
+++ b/dragonflyglade/gateway/report_hub.cc
@@ -12,14 +12,14 @@
 // A report is missed when the next one is this late: with reports each 200 ms,
 // three in a row are not lost by chance. Until an instance is missed, others
 // spend quota that it may be spending, too.
-constexpr absl::Duration kReportLate = absl::Milliseconds(500);
+constexpr absl::Duration kReportGrace = absl::Milliseconds(500);
 // Demand is averaged over this time: long enough that single large requests
 // do not move models, short against the seconds that a load takes.
-constexpr absl::Duration kDemandMemory = absl::Seconds(3);
+constexpr absl::Duration kDemandTimeConstant = absl::Seconds(3);
 // Reports of one moment are answered from the same sums.
-constexpr absl::Duration kSumsHold = absl::Milliseconds(10);
+constexpr absl::Duration kSumsMaxAge = absl::Milliseconds(10);
 // Below a second of reports, single requests would look like demand.
-constexpr double kLeastSeen = 0.3;
+constexpr double kMinObservedFraction = 0.3;
 constexpr double kNothing = 1e-3;  // milliseconds of work
 
 }  // namespace
@@ -30,7 +30,7 @@
 
 void ReportHub::Decay(Average& average) const {
   const Instant now = this->clock.Now();
-  const double age = absl::FDivDuration(now - average.at, kDemandMemory);
+  const double age = absl::FDivDuration(now - average.at, kDemandTimeConstant);
   average.sum_ms *= std::exp(-age);
   average.at = now;
 }
@@ -52,13 +52,13 @@
   }
 }
 
-bool ReportHub::IsHeard(const Entry& entry) const {
+bool ReportHub::IsCurrent(const Entry& entry) const {
   if (entry.taken_over) return false;
   const absl::Duration interval = absl::Milliseconds(entry.report.interval_ms);
-  return this->clock.Now() - entry.at <= interval + kReportLate;
+  return this->clock.Now() - entry.at <= interval + kReportGrace;
 }
 
-void ReportHub::DropOld() {
+void ReportHub::RemoveExpired() {
   const Instant now = this->clock.Now();
   for (auto entry = this->entries.begin(); entry != this->entries.end();) {
     if (now - entry->second.at > this->spend_window) {
@@ -72,7 +72,7 @@
 double ReportHub::UnknownShares() const {
   double shares = 0;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!entry.report.listed || !this->IsHeard(entry)) continue;
+    if (!entry.report.listed || !this->IsCurrent(entry)) continue;
     if (this->IsSuccessor(incarnation, entry)) continue;
     shares += 1 - EarnedPart(absl::Milliseconds(entry.report.age_ms),
                              this->spend_window);
@@ -83,7 +83,7 @@
 double ReportHub::MissingPart() const {
   std::set<std::string_view> heard;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (this->IsHeard(entry)) heard.insert(entry.report.instance);
+    if (this->IsCurrent(entry)) heard.insert(entry.report.instance);
   }
   return this->owners.MissingPart(heard);
 }
@@ -100,11 +100,11 @@
 
 // Summed up once for many summaries: each instance's summary is the whole less
 // its own part, so the work grows with the instances and not with their square.
-void ReportHub::SumUp() {
+void ReportHub::UpdateSums() {
   const Instant now = this->clock.Now();
-  if (this->sums_at.has_value() && now - *this->sums_at < kSumsHold) return;
+  if (this->sums_at.has_value() && now - *this->sums_at < kSumsMaxAge) return;
   this->sums_at = now;
-  this->DropOld();
+  this->RemoveExpired();
   this->sums = Sums();
   this->sums.unknown_shares = this->UnknownShares();
   this->sums.missing_part = this->MissingPart();
@@ -112,7 +112,7 @@
     for (const wire::WorkspaceSpend& spend : entry.report.spends) {
       this->sums.spends[spend.workspace] += this->Counted(entry, spend.tokens);
     }
-    if (!this->IsHeard(entry)) continue;
+    if (!this->IsCurrent(entry)) continue;
     if (entry.report.listed) this->sums.instances += 1;
     this->sums.answers[incarnation] = entry.report.sequence;
     for (const wire::TargetUse& use : entry.report.targets) {
@@ -132,7 +132,7 @@
 }
 
 std::vector<ProcessSpend> ReportHub::SpendsByProcess() {
-  this->DropOld();
+  this->RemoveExpired();
   std::vector<ProcessSpend> all;
   for (const auto& [incarnation, entry] : this->entries) {
     // Most instances of a large fleet stand by.
@@ -170,7 +170,7 @@
 }
 
 FleetSpend ReportHub::SpendOf(const std::string& workspace) {
-  this->SumUp();
+  this->UpdateSums();
   FleetSpend spend;
   const auto tokens = this->sums.spends.find(workspace);
   if (tokens != this->sums.spends.end()) {
@@ -183,7 +183,7 @@
 }
 
 wire::FleetSummary ReportHub::SummaryFor(const wire::InstanceReport& report) {
-  this->SumUp();
+  this->UpdateSums();
   wire::FleetSummary summary;
   summary.instances = this->sums.instances;
   summary.unknown_shares = this->sums.unknown_shares;
@@ -216,15 +216,16 @@
 }
 
 std::map<ModelName, FleetDemand> ReportHub::Demand() {
-  this->DropOld();
+  this->RemoveExpired();
   std::map<ModelName, FleetDemand> result;
   // The average of a new holder begins at nothing; without this, models in
   // demand look idle in its first seconds and lose their copies.
   const Instant since = this->demand_since.value_or(this->clock.Now());
   const double age =
-      absl::FDivDuration(this->clock.Now() - since, kDemandMemory);
-  const double seen = std::max(kLeastSeen, 1 - std::exp(-age));
-  const double memory_ms = seen * absl::ToDoubleMilliseconds(kDemandMemory);
+      absl::FDivDuration(this->clock.Now() - since, kDemandTimeConstant);
+  const double seen = std::max(kMinObservedFraction, 1 - std::exp(-age));
+  const double memory_ms =
+      seen * absl::ToDoubleMilliseconds(kDemandTimeConstant);
   for (auto item = this->demand.begin(); item != this->demand.end();) {
     this->Decay(item->second);
     if (item->second.sum_ms < kNothing) {
@@ -235,7 +236,7 @@
     ++item;
   }
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!this->IsHeard(entry)) continue;
+    if (!this->IsCurrent(entry)) continue;
     for (const wire::ModelWish& wish : entry.report.wishes) {
       result[{wish.service_name, wish.model, wish.adapter}].waiting +=
           wish.waiting;
@@ -247,7 +248,7 @@
 std::map<std::string, std::set<std::string>> ReportHub::ResidentsInUse() const {
   std::map<std::string, std::set<std::string>> in_use;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!this->IsHeard(entry)) continue;
+    if (!this->IsCurrent(entry)) continue;
     for (const wire::TargetUse& use : entry.report.targets) {
       in_use[use.target].insert(use.residents.begin(), use.residents.end());
     }
@@ -256,10 +257,10 @@
 }
 
 std::vector<wire::InstanceReport> ReportHub::Reporters() {
-  this->DropOld();
+  this->RemoveExpired();
   std::vector<wire::InstanceReport> reporters;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (this->IsHeard(entry)) reporters.push_back(entry.report);
+    if (this->IsCurrent(entry)) reporters.push_back(entry.report);
   }
   return reporters;
 }
--- a/dragonflyglade/gateway/report_hub.h
+++ b/dragonflyglade/gateway/report_hub.h
@@ -88,10 +88,10 @@
     double missing_part = 0;
   };
 
-  void SumUp();
+  void UpdateSums();
   std::int64_t Counted(const Entry& entry, std::int64_t tokens) const;
-  bool IsHeard(const Entry& entry) const;
-  void DropOld();
+  bool IsCurrent(const Entry& entry) const;
+  void RemoveExpired();
   double UnknownShares() const;
   double MissingPart() const;
   bool IsSuccessor(std::string_view incarnation, const Entry& entry) const;
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -12,11 +12,11 @@
 namespace {
 
 // A flood shows in the record within this time; see kSpentAfterRecord.
-constexpr absl::Duration kLookEvery = absl::Milliseconds(500);
+constexpr absl::Duration kCheckInterval = absl::Milliseconds(500);
 // Each write is a call, so that a record stands for this long while no
 // workspace spends much more than it says.
-constexpr absl::Duration kRecordStands = absl::Milliseconds(1500);
-constexpr double kMuchMore = 1.05;
+constexpr absl::Duration kRecordMaxAge = absl::Milliseconds(1500);
+constexpr double kRewriteFactor = 1.05;
 // A new holder reads the record as soon as it has the duty.
 constexpr absl::Duration kDutyLook = absl::Milliseconds(50);
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(400);
@@ -36,7 +36,7 @@
 asio::awaitable<void> SpendRecorder::Run() {
   bool taken_over = false;
   while (true) {
-    co_await Sleep(this->context, taken_over ? kLookEvery : kDutyLook);
+    co_await Sleep(this->context, taken_over ? kCheckInterval : kDutyLook);
     if (!this->duty.Held()) {
       taken_over = false;
     } else if (!taken_over) {
@@ -74,14 +74,15 @@
   co_return true;
 }
 
-bool SpendRecorder::Stands(const SpendRecord& newer) const {
+bool SpendRecorder::IsStillAccurate(const SpendRecord& newer) const {
   const absl::Duration age = newer.written - this->last.written;
-  if (age < absl::ZeroDuration() || age >= kRecordStands) return false;
+  if (age < absl::ZeroDuration() || age >= kRecordMaxAge) return false;
   const auto known = FleetSpent(this->last);
   const auto spent = FleetSpent(newer);
   return std::all_of(spent.begin(), spent.end(), [&](const auto& item) {
     const auto found = known.find(item.first);
-    return found != known.end() && item.second <= kMuchMore * found->second;
+    return found != known.end() &&
+           item.second <= kRewriteFactor * found->second;
   });
 }
 
@@ -89,7 +90,7 @@
   SpendRecord record;
   record.written = this->time_of_day();
   record.processes = this->hub.SpendsByProcess();
-  if (FleetSpent(record).empty() || this->Stands(record)) co_return;
+  if (FleetSpent(record).empty() || this->IsStillAccurate(record)) co_return;
   StoreTransaction transaction;
   // A holder that was replaced and does not know it yet writes nothing.
   transaction.expected.push_back(
--- a/dragonflyglade/gateway/spend_recorder.h
+++ b/dragonflyglade/gateway/spend_recorder.h
@@ -29,7 +29,7 @@
 
  private:
   boost::asio::awaitable<bool> TakeOver();
-  bool Stands(const SpendRecord& newer) const;
+  bool IsStillAccurate(const SpendRecord& newer) const;
   boost::asio::awaitable<void> Record();
 
   boost::asio::io_context& context;
--- a/dragonflyglade/gateway/store_follower.h
+++ b/dragonflyglade/gateway/store_follower.h
@@ -35,20 +35,20 @@
   boost::asio::awaitable<void> Run();
 
   /// Whether the last call was answered.
-  bool InContact() const { return !this->away_since.has_value(); }
+  bool InContact() const { return !this->unreachable_since.has_value(); }
   /// The revision that the state stands at, but for details of targets.
   std::uint64_t Revision() const { return this->revision; }
 
  private:
   boost::asio::awaitable<bool> List();
   boost::asio::awaitable<bool> Watch();
-  boost::asio::awaitable<void> WaitWhileLed();
+  boost::asio::awaitable<void> WaitWhileRelayLive();
   bool IsLed() const;
-  void SkipWhatIsKnown();
+  void SkipRelayedChanges();
   absl::Duration PauseBetweenReads() const;
-  bool StoreStayed() const;
-  void Heard();
-  boost::asio::awaitable<void> NotHeard(std::string_view why);
+  bool StoreStayedAvailable() const;
+  void HandleStoreResponse();
+  boost::asio::awaitable<void> HandleStoreFailure(std::string_view why);
 
   boost::asio::io_context& context;
   StoreLink& store;
@@ -59,8 +59,8 @@
   const Clock clock;
   std::uint64_t revision = 0;
   /// Changes that are not urgent were left out up to the revision.
-  bool lacks_details = false;
-  std::optional<Instant> away_since;
+  bool details_incomplete = false;
+  std::optional<Instant> unreachable_since;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_link.cc
+++ b/dragonflyglade/gateway/store_link.cc
@@ -18,10 +18,10 @@
 // An answer that has begun may be long, and many instances may ask at the same
 // moment: it is waited for while bytes come. With one limit for the whole, an
 // instance on a slow link asked again for ever more, and got nothing.
-constexpr absl::Duration kStalled = absl::Milliseconds(400);
+constexpr absl::Duration kStallTimeout = absl::Milliseconds(400);
 
 /// The calls by kind, as the metrics name them.
-struct KindOfCall {
+struct CallKind {
   std::string_view operator()(const StoreList&) const { return "list"; }
   std::string_view operator()(const StoreWatch&) const { return "watch"; }
   std::string_view operator()(const StoreTransaction&) const {
@@ -51,7 +51,7 @@
                           this->clock);
   const Instant begun = this->clock.Now();
   std::string head = RequestText(text, this->address);
-  exchange.WaitWhileBytesCome(kStalled);
+  exchange.WaitWhileBytesCome(kStallTimeout);
   const ExchangeOutcome outcome = co_await exchange.Run(
       this->address, "", std::move(head), text.body, begun + timeout);
   StoreReply reply = StoreUnknown{};
@@ -68,7 +68,7 @@
     reply = StoreRefused{};
     result = "not sent";
   }
-  const std::string_view kind = std::visit(KindOfCall(), call);
+  const std::string_view kind = std::visit(CallKind(), call);
   this->metrics.Count("store_calls",
                       fmt::format("kind=\"{}\",result=\"{}\"", kind, result));
   this->metrics.Count("store_bytes", fmt::format("kind=\"{}\"", kind),
--- a/dragonflyglade/gateway/store_news.cc
+++ b/dragonflyglade/gateway/store_news.cc
@@ -9,12 +9,12 @@
 // A word counts if its sender heard the store this lately. The sender's own
 // read may be silent for 1.2 s before it notices; with the datagram's way and
 // a read of our own a change is still in force within two seconds.
-constexpr absl::Duration kWordHolds = absl::Milliseconds(1500);
+constexpr absl::Duration kDigestMaxAge = absl::Milliseconds(1500);
 // Whoever follows the store hears it at least once a second.
-constexpr absl::Duration kSteady = absl::Milliseconds(1500);
+constexpr absl::Duration kMaxConfirmationGap = absl::Milliseconds(1500);
 // The next word, each half a second at the latest, brings what is lacking or
 // some of it. If a second one fails to, it may not fit or be lost each time.
-constexpr absl::Duration kBehindAtMost = absl::Milliseconds(800);
+constexpr absl::Duration kMaxLag = absl::Milliseconds(800);
 
 }  // namespace
 
@@ -27,26 +27,27 @@
   this->urgent_revision = std::max(this->urgent_revision, urgent);
   this->confirmed_at = this->clock.Now();
   this->known_through = std::max(this->known_through, revision);
-  this->LookBehind(true);
+  this->UpdateLag(true);
   if (is_new && this->on_urgent) this->on_urgent();
 }
 
 void StoreNews::Told(const StoreWord& word) {
   const bool progress = word.changes_through > this->known_through;
   this->known_through = std::max(this->known_through, word.changes_through);
-  this->told_revision = std::max(this->told_revision, word.urgent_revision);
-  if (word.confirmed_at - this->told_confirmed_at > kSteady) {
-    this->told_steady_since = word.confirmed_at;
+  this->relay_urgent_revision =
+      std::max(this->relay_urgent_revision, word.urgent_revision);
+  if (word.confirmed_at - this->relay_confirmed_at > kMaxConfirmationGap) {
+    this->store_up_since = word.confirmed_at;
   }
   // Several speak, and some heard the store earlier than others.
-  this->told_confirmed_at =
-      std::max(this->told_confirmed_at, word.confirmed_at);
-  this->LookBehind(progress);
+  this->relay_confirmed_at =
+      std::max(this->relay_confirmed_at, word.confirmed_at);
+  this->UpdateLag(progress);
   this->changed.Notify();
 }
 
-void StoreNews::LookBehind(bool progress) {
-  if (this->told_revision <= this->known_through) {
+void StoreNews::UpdateLag(bool progress) {
+  if (this->relay_urgent_revision <= this->known_through) {
     this->behind_since.reset();
   } else if (progress || !this->behind_since.has_value()) {
     this->behind_since = this->clock.Now();
@@ -54,19 +55,19 @@
 }
 
 absl::Duration StoreNews::WordAge() const {
-  return this->clock.Now() - this->told_confirmed_at;
+  return this->clock.Now() - this->relay_confirmed_at;
 }
 
-bool StoreNews::IsLed() const { return this->WordAge() < kWordHolds; }
+bool StoreNews::IsLed() const { return this->WordAge() < kDigestMaxAge; }
 
 bool StoreNews::MustRead() const {
   return this->behind_since.has_value() &&
-         this->clock.Now() - *this->behind_since > kBehindAtMost;
+         this->clock.Now() - *this->behind_since > kMaxLag;
 }
 
 absl::Duration StoreNews::SteadyFor() const {
   if (!this->IsLed()) return absl::ZeroDuration();
-  return this->clock.Now() - this->told_steady_since;
+  return this->clock.Now() - this->store_up_since;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_news.h
+++ b/dragonflyglade/gateway/store_news.h
@@ -71,7 +71,7 @@
   Signal& Changed() { return this->changed; }
 
  private:
-  void LookBehind(bool progress);
+  void UpdateLag(bool progress);
 
   const Clock clock;
   std::uint64_t urgent_revision = 0;
@@ -79,9 +79,9 @@
   Instant confirmed_at;
   std::uint64_t known_through = 0;
 
-  std::uint64_t told_revision = 0;  ///< urgent, by others' word
-  Instant told_confirmed_at = -absl::InfiniteDuration();
-  Instant told_steady_since;
+  std::uint64_t relay_urgent_revision = 0;  ///< urgent, by others' word
+  Instant relay_confirmed_at = -absl::InfiniteDuration();
+  Instant store_up_since;
   std::optional<Instant> behind_since;
 
   Signal changed;
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -15,14 +15,14 @@
 namespace {
 
 // A summary of 160 engines has some 24 KB beside it, and a datagram 64.
-constexpr std::size_t kMostPackedBytes = std::size_t{32} * 1024;
+constexpr std::size_t kMaxPackedBytes = std::size_t{32} * 1024;
 // The holder reads the store each 0.6 s and speaks each half a second. When its
 // word is older than that, it is lost, or the store is lost to it, and another
 // follower's word is here before this one is too old.
-constexpr absl::Duration kOldWord = absl::Milliseconds(1150);
-constexpr absl::Duration kAskEvery = absl::Milliseconds(250);
+constexpr absl::Duration kDigestStaleAfter = absl::Milliseconds(1150);
+constexpr absl::Duration kQueryInterval = absl::Milliseconds(250);
 // Who asked this lately is told of changes as they come.
-constexpr absl::Duration kAskerStays = absl::Milliseconds(1000);
+constexpr absl::Duration kSubscriptionDuration = absl::Milliseconds(1000);
 
 }  // namespace
 
@@ -39,7 +39,7 @@
 
 // Most instances know the same revision, and packing costs some milliseconds
 // of a small machine for a large configuration.
-const StoreRelay::Packed* StoreRelay::ChangesSince(std::uint64_t known) {
+const StoreRelay::Packed* StoreRelay::PackedChangesSince(std::uint64_t known) {
   const RecentChanges& recent = this->fleet.Recent();
   if (recent.Version() != this->packed_version) this->packed.clear();
   this->packed_version = recent.Version();
@@ -48,7 +48,7 @@
   const std::optional<std::vector<StoreEvent>> changes = recent.Since(known);
   if (!changes.has_value()) return nullptr;
   Packed packed;
-  PackedChanges bytes = PackChanges(*changes, kMostPackedBytes);
+  PackedChanges bytes = PackChanges(*changes, kMaxPackedBytes);
   packed.whole = bytes.count == changes->size();
   if (bytes.count > 0) packed.last = (*changes)[bytes.count - 1].item.revision;
   packed.bytes = std::move(bytes.bytes);
@@ -56,7 +56,7 @@
 }
 
 wire::StoreDigest StoreRelay::DigestFor(std::uint64_t known) {
-  const Packed* changes = this->ChangesSince(known);
+  const Packed* changes = this->PackedChangesSince(known);
   if (changes == nullptr) return this->DigestOf("");
   wire::StoreDigest digest = this->DigestOf(changes->bytes);
   digest.changes_through = static_cast<std::int64_t>(
@@ -97,7 +97,7 @@
   std::erase_if(*changes, [](const StoreEvent& event) {
     return event.item.key != FleetState::kDutyKey;
   });
-  return PackChanges(*changes, kMostPackedBytes).bytes;
+  return PackChanges(*changes, kMaxPackedBytes).bytes;
 }
 
 // That its changes are all there is not said: the receiver may lack others.
@@ -126,7 +126,7 @@
 void StoreRelay::TellAskers() {
   const Instant now = this->clock.Now();
   for (auto asker = this->askers.begin(); asker != this->askers.end();) {
-    if (now - asker->second.at > kAskerStays) {
+    if (now - asker->second.at > kSubscriptionDuration) {
       asker = this->askers.erase(asker);
       continue;
     }
@@ -141,8 +141,9 @@
 
 asio::awaitable<void> StoreRelay::AskWhileSilent() {
   while (true) {
-    co_await Sleep(this->context, kAskEvery);
-    if (!this->IsFollower() && this->news.WordAge() > kOldWord) this->Ask();
+    co_await Sleep(this->context, kQueryInterval);
+    if (!this->IsFollower() && this->news.WordAge() > kDigestStaleAfter)
+      this->Ask();
     if (this->news.IsLed() == this->led) continue;
     this->led = this->news.IsLed();
     this->log.Write("store", this->led ? "led" : "not led",
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -75,7 +75,7 @@
     Instant at;
   };
 
-  const Packed* ChangesSince(std::uint64_t known);
+  const Packed* PackedChangesSince(std::uint64_t known);
   void Ask();
   bool IsFollower() const;
 
