--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -20,39 +20,44 @@
 
 namespace {
 
-// Requests move in and out of targets within some hundred milliseconds, so
-// older news says little; faster reports cost processor time for each pair of
-// messages.
+// Requests start and end at targets within some hundred milliseconds, so that
+// older reports are of little use. A shorter interval costs CPU time for each
+// report and its summary.
 constexpr absl::Duration kReportInterval = absl::Milliseconds(200);
-// An instance without requests has nothing to tell, but must hear of changes.
-// In a fleet of 82 instances most are idle, and the holder's work is reports.
+// An instance without requests has nothing to report but must receive changes.
+// In a fleet of 82 instances most are idle, and the leader spends its time on
+// their reports.
 constexpr absl::Duration kIdleReportInterval = absl::Milliseconds(500);
-// Several orders are mostly answered within some milliseconds of one another;
-// a request that waits for an adapter loses no more than this.
+// Engines mostly respond to several orders within a few milliseconds of one
+// another, and one push covers them all. A request that waits for an adapter is
+// delayed by at most this long.
 constexpr absl::Duration kPushDelay = absl::Milliseconds(8);
-// Sends of this time are told in one message. Engines read a prompt in some ten
-// milliseconds, so older news would send several instances to the same engine.
+// Prompts sent within this time go into one message. Engines prefill a prompt
+// in some ten milliseconds, so with a longer delay several instances would
+// choose the same engine.
 constexpr absl::Duration kSentPromptsDelay = absl::Milliseconds(3);
-// Each instance tells all others, so the messages grow with the square of the
-// instances that callers are sent to. Larger fleets go by the summaries.
+// Each instance notifies all others, so the messages grow with the square of
+// the number of instances that callers are sent to. Larger fleets rely on the
+// summaries.
 constexpr std::size_t kMaxSentPromptRecipients = 24;
-constexpr std::size_t kLargestDatagram = 65000;
-// How many instances are told of a change in one go, and the pause after that:
-// with a configuration of 8 KB, a link of 200 Mbit/s is then half full.
+constexpr std::size_t kMaxDatagramBytes = 65000;
+// A change is sent to this many instances, with a pause after each batch: with
+// a configuration of 8 KB, this uses half of a link of 200 Mbit/s.
 constexpr std::size_t kRecipientsPerBatch = 16;
 constexpr absl::Duration kBatchPause = absl::Milliseconds(10);
-// Reports whose summary is still awaited.
+// Bound on the reports that are remembered until a summary answers them.
 constexpr std::size_t kMaxPendingReports = 32;
-// News of targets that lack something; more are told in later reports.
-constexpr std::size_t kMaxReportedLacks = 32;
+// Further ones are left to later reports.
+constexpr std::size_t kMaxMissingModelsPerReport = 32;
+// Stands for an unlimited age in reports.
 constexpr absl::Duration kUnlimitedAge = absl::Hours(24);
 
 bool IsIdle(const wire::InstanceReport& report) {
   return report.targets.empty() && report.wishes.empty();
 }
 
-// Callers are not sent there and it has none: it needs the store's changes and
-// nothing else, and so do most instances of a large fleet.
+// A standby instance has no requests and gets no callers. It needs the store's
+// changes and nothing else, as do most instances of a large fleet.
 bool IsStandby(const wire::InstanceReport& report) {
   return IsIdle(report) && !report.listed;
 }
@@ -61,22 +66,22 @@
 
 FleetChannel::FleetChannel(asio::io_context& context, udp::socket& socket,
                            FleetState& fleet, ModelDemand& demand,
-                           QuotaWindows& quotas, QuotaDesk& desk,
-                           ReportHub& hub, const DutyLease& duty,
+                           QuotaWindows& quotas, QuotaDesk& quota_admission,
+                           ReportHub& aggregator, const DutyLease& leader_lease,
                            InstanceRecord self, bool first_start,
-                           StoreNews& news, StoreRelay& relay, Metrics& metrics,
-                           Tasks& tasks, Clock clock)
+                           StoreNews& sync_state, StoreRelay& relay,
+                           Metrics& metrics, Tasks& tasks, Clock clock)
     : context(context),
       socket(socket),
       fleet(fleet),
       demand(demand),
       quotas(quotas),
-      desk(desk),
-      hub(hub),
-      duty(duty),
+      quota_admission(quota_admission),
+      aggregator(aggregator),
+      leader_lease(leader_lease),
       self(std::move(self)),
       first_start(first_start),
-      news(news),
+      sync_state(sync_state),
       relay(relay),
       metrics(metrics),
       tasks(tasks),
@@ -88,25 +93,25 @@
                            const std::string& address) {
     this->Send(message, address);
   };
-  this->desk.OnSend(send);
+  this->quota_admission.OnSend(send);
   this->relay.OnSend(send);
   this->relay.OnTaken([this] { this->CheckLeaderChange(); });
-  this->news.OnUrgent([this] { this->SendUrgentChanges(); });
+  this->sync_state.OnUrgent([this] { this->SendUrgentChanges(); });
 }
 
 asio::awaitable<void> FleetChannel::Receive() {
-  std::string space(kLargestDatagram, '\0');
+  std::string buffer(kMaxDatagramBytes, '\0');
   while (true) {
     udp::endpoint sender;
     error_code error;
-    const std::size_t got = co_await this->socket.async_receive_from(
-        asio::buffer(space), sender,
+    const std::size_t received_bytes = co_await this->socket.async_receive_from(
+        asio::buffer(buffer), sender,
         asio::redirect_error(asio::use_awaitable, error));
     if (error) {
       co_await Sleep(this->context, kReportInterval);
       continue;
     }
-    this->Take(std::string_view(space.data(), got));
+    this->Take(std::string_view(buffer.data(), received_bytes));
   }
 }
 
@@ -116,10 +121,10 @@
     this->metrics.Count("unreadable_datagrams");
     return;
   }
-  if (message->__isset.report) this->TakeReport(message->report);
+  if (message->__isset.report) this->ReceiveReport(message->report);
   if (message->__isset.summary) this->ReceiveSummary(message->summary);
-  if (message->__isset.ask) this->desk.TakeAsk(message->ask);
-  if (message->__isset.grant) this->desk.TakeGrant(message->grant);
+  if (message->__isset.ask) this->quota_admission.TakeAsk(message->ask);
+  if (message->__isset.grant) this->quota_admission.TakeGrant(message->grant);
   if (message->__isset.note) this->ReceiveSendNote(message->note);
   if (message->__isset.store) this->relay.TakeDigest(message->store);
   if (message->__isset.store_question) {
@@ -133,12 +138,12 @@
     message.__set_report(this->MakeReport());
     const absl::Duration interval =
         absl::Milliseconds(message.report.interval_ms);
-    const std::optional<DutyHolder> holder = this->fleet.Duty();
-    if (holder.has_value()) {
-      if (holder->instance.incarnation == this->self.incarnation) {
-        this->TakeReport(message.report);
+    const std::optional<DutyHolder> leader = this->fleet.Duty();
+    if (leader.has_value()) {
+      if (leader->instance.incarnation == this->self.incarnation) {
+        this->ReceiveReport(message.report);
       } else {
-        this->Send(message, holder->instance.peers);
+        this->Send(message, leader->instance.peers);
       }
     }
     co_await this->wake.Wait(interval);
@@ -151,13 +156,15 @@
   report.incarnation = this->self.incarnation;
   report.address = this->self.peers;
   report.sequence = ++this->sequence;
-  // Before the first start of all nothing was spent, so no age matters.
+  // Nothing can have been spent before the fleet's first start, so that the
+  // process's age imposes no limit then.
   const absl::Duration age = this->clock.Now() - this->started;
   report.age_ms =
       absl::ToInt64Milliseconds(this->first_start ? kUnlimitedAge : age);
-  report.lacks.swap(this->lacks);
-  report.refusing.assign(this->refusing.begin(), this->refusing.end());
-  this->refusing.clear();
+  report.lacks.swap(this->missing_models);
+  report.refusing.assign(this->refusing_targets.begin(),
+                         this->refusing_targets.end());
+  this->refusing_targets.clear();
   this->fleet.ForEachTarget([&](const TargetState& target) {
     if (target.InFlight() == 0) return;
     wire::TargetUse use;
@@ -186,14 +193,15 @@
     spend.tokens = static_cast<std::int64_t>(tokens);
     report.spends.push_back(std::move(spend));
   }
-  report.store_revision = static_cast<std::int64_t>(this->news.KnownThrough());
-  // An instance without requests must know since when it is listed, too: its
-  // part counts by that at the holder.
-  this->desk.FollowInstances();
+  report.store_revision =
+      static_cast<std::int64_t>(this->sync_state.KnownThrough());
+  // An instance without requests must know for how long it has been listed,
+  // too: the leader computes its share from that.
+  this->quota_admission.FollowInstances();
   report.listed = this->fleet.IsListed(this->self.name);
   report.listed_ms = absl::ToInt64Milliseconds(
       std::min(kUnlimitedAge, this->quotas.ListedFor()));
-  report.grants_through = this->desk.SettledThrough();
+  report.grants_through = this->quota_admission.SettledThrough();
   report.holdings_of = this->holdings_leader;
   report.holdings_version = this->known_holdings_version;
   report.interval_ms = absl::ToInt64Milliseconds(
@@ -205,15 +213,16 @@
   return report;
 }
 
-void FleetChannel::TakeReport(const wire::InstanceReport& report) {
-  if (!this->duty.Held()) return;
-  this->hub.Take(report);
-  this->desk.Reported(report);
-  bool anyone_waits = false;
+void FleetChannel::ReceiveReport(const wire::InstanceReport& report) {
+  if (!this->leader_lease.Held()) return;
+  this->aggregator.Take(report);
+  this->quota_admission.Reported(report);
+  bool has_waiting_requests = false;
   for (const wire::ModelWish& wish : report.wishes) {
-    anyone_waits = anyone_waits || wish.waiting > 0;
+    has_waiting_requests = has_waiting_requests || wish.waiting > 0;
   }
-  if (anyone_waits && this->waiting) this->waiting();
+  if (has_waiting_requests && this->on_waiting_requests)
+    this->on_waiting_requests();
   if (this->on_missing_model) {
     for (const wire::TargetLack& lack : report.lacks)
       this->on_missing_model(lack);
@@ -237,13 +246,13 @@
 
 void FleetChannel::SendSummary(const wire::InstanceReport& report) {
   wire::FleetMessage message;
-  wire::FleetSummary summary = this->hub.SummaryFor(report);
+  wire::FleetSummary summary = this->aggregator.SummaryFor(report);
   for (wire::WorkspaceSpend& spend : summary.spends) {
-    spend.tokens +=
-        static_cast<std::int64_t>(this->desk.OpenGrants(spend.workspace));
+    spend.tokens += static_cast<std::int64_t>(
+        this->quota_admission.OpenGrants(spend.workspace));
   }
   summary.holder = this->self.incarnation;
-  summary.fence = static_cast<std::int64_t>(this->duty.Fence());
+  summary.fence = static_cast<std::int64_t>(this->leader_lease.Fence());
   summary.store =
       this->relay.DigestFor(static_cast<std::uint64_t>(report.store_revision));
   summary.holdings_version = this->holdings.Version();
@@ -259,12 +268,13 @@
 }
 
 bool FleetChannel::IsLeader() const {
-  const std::optional<DutyHolder>& holder = this->fleet.Duty();
-  return this->duty.Held() && holder.has_value() &&
-         holder->instance.incarnation == this->self.incarnation;
+  const std::optional<DutyHolder>& leader = this->fleet.Duty();
+  return this->leader_lease.Held() && leader.has_value() &&
+         leader->instance.incarnation == this->self.incarnation;
 }
 
-// A new holder knows nothing until it has everybody's report.
+// Sends a report as soon as the leader changes: a new leader has no data until
+// all instances have reported.
 void FleetChannel::CheckLeaderChange() {
   if (this->fleet.DutyRevision() == this->leader_revision) return;
   this->leader_revision = this->fleet.DutyRevision();
@@ -273,30 +283,30 @@
   this->tasks.Spawn("announce duty", this->AnnounceLeadership());
 }
 
-// Instances that were led by the holder before would hear of this one only
-// when its word has grown old.
+// Without the announcement, instances that get their updates from the previous
+// leader learn of this one only when the previous leader's digests are stale.
 asio::awaitable<void> FleetChannel::AnnounceLeadership() {
   std::vector<std::string> addresses;
   for (const auto& [name, record] : this->fleet.Instances()) {
     if (name != this->self.name) addresses.push_back(record.peers);
   }
-  const std::string duty = this->relay.PackDuty();
-  const std::function<void(std::size_t)> tell = [&](std::size_t index) {
+  const std::string leader_record = this->relay.PackDuty();
+  const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
     if (!this->IsLeader()) return;
     wire::FleetMessage message;
-    message.__set_store(this->relay.DigestOf(duty));
+    message.__set_store(this->relay.DigestOf(leader_record));
     this->Send(message, addresses[index]);
   };
-  co_await this->ForEachPaced(addresses.size(), tell);
+  co_await this->ForEachPaced(addresses.size(), send_to);
 }
 
-// So that a fleet of hundreds does not keep this instance's requests waiting,
-// and a large change does not fill its link, where datagrams are lost. What is
-// lost all the same comes with the answer to the next report.
+// The pauses keep sends to hundreds of instances from delaying this instance's
+// requests, and a large change from saturating its link, which loses datagrams.
+// What is lost nevertheless is sent again in response to the next report.
 asio::awaitable<void> FleetChannel::ForEachPaced(
-    std::size_t count, const std::function<void(std::size_t)>& tell) {
+    std::size_t count, const std::function<void(std::size_t)>& send_to) {
   for (std::size_t i = 0; i < count; ++i) {
-    tell(i);
+    send_to(i);
     if ((i + 1) % kRecipientsPerBatch == 0)
       co_await Sleep(this->context, kBatchPause);
   }
@@ -304,7 +314,7 @@
 
 void FleetChannel::SendUrgentChanges() {
   this->CheckLeaderChange();
-  if (!this->duty.Held()) {
+  if (!this->leader_lease.Held()) {
     this->relay.TellAskers();
     return;
   }
@@ -315,22 +325,22 @@
 }
 
 asio::awaitable<void> FleetChannel::NotifyReporters() {
-  const std::exception_ptr fault = co_await Caught(this->SendToReporters());
+  const std::exception_ptr exception = co_await Caught(this->SendToReporters());
   this->notifying_reporters = false;
-  if (fault) std::rethrow_exception(fault);
+  if (exception) std::rethrow_exception(exception);
 }
 
 asio::awaitable<void> FleetChannel::SendToReporters() {
-  while (this->notify_again && this->duty.Held()) {
+  while (this->notify_again && this->leader_lease.Held()) {
     this->notify_again = false;
-    std::vector<wire::InstanceReport> reporters = this->hub.Reporters();
+    std::vector<wire::InstanceReport> reporters = this->aggregator.Reporters();
     std::stable_partition(
         reporters.begin(), reporters.end(),
         [](const wire::InstanceReport& one) { return !IsStandby(one); });
-    const std::function<void(std::size_t)> tell = [&](std::size_t index) {
+    const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
       this->Answer(reporters[index]);
     };
-    co_await this->ForEachPaced(reporters.size(), tell);
+    co_await this->ForEachPaced(reporters.size(), send_to);
   }
 }
 
@@ -343,19 +353,20 @@
 asio::awaitable<void> FleetChannel::PushSummaries() {
   co_await Sleep(this->context, kPushDelay);
   this->push_pending = false;
-  if (!this->duty.Held()) co_return;
-  for (const wire::InstanceReport& report : this->hub.Reporters()) {
+  if (!this->leader_lease.Held()) co_return;
+  for (const wire::InstanceReport& report : this->aggregator.Reporters()) {
     if (!IsIdle(report)) this->SendSummary(report);
   }
 }
 
 void FleetChannel::ReceiveSummary(const wire::FleetSummary& summary) {
-  const std::optional<DutyHolder>& holder = this->fleet.Duty();
-  // A holder that was replaced may not know it yet.
-  if (!holder.has_value() || holder->instance.incarnation != summary.holder) {
+  const std::optional<DutyHolder>& leader = this->fleet.Duty();
+  // A leader that has been replaced may not know it yet.
+  if (!leader.has_value() || leader->instance.incarnation != summary.holder) {
     return;
   }
-  // The changes may be of the duty itself, so the holder is not used below.
+  // The digest may change the leader's entry, which invalidates the reference
+  // leader; it is not used below.
   const bool own = summary.holder == this->self.incarnation;
   this->ApplyTargetUses(summary);
   this->ApplyHoldings(summary);
@@ -393,7 +404,7 @@
   const Instant now = this->clock.Now();
   for (const auto& [id, item] : this->known_holdings) {
     const std::shared_ptr<TargetState> target = this->fleet.Target(id);
-    // What was told of a process before this one is of no use.
+    // Holdings of an earlier process of the target are obsolete.
     if (target == nullptr || target->Record().born_ms != item.born_ms) continue;
     if (changed.count(id) == 0 && target->ConfirmPlaced(now)) continue;
     target->SetPlaced(
@@ -424,26 +435,26 @@
   return this->fleet.ListedInstances().size() <= kMaxSentPromptRecipients;
 }
 
-// The summaries of reports are some hundred milliseconds old. Instances that
-// choose by them send their prompts to the same engine until the next one
-// comes, and its running streams pause for as long as it reads.
+// Summaries are some hundred milliseconds old. Instances that chose targets by
+// them alone would send their prompts to the same engine until the next summary
+// arrives, and the engine's running streams stall while it prefills.
 void FleetChannel::NoteSent(const std::string& target, double prompt_tokens) {
   if (!this->BroadcastsSentPrompts()) return;
-  const bool first = this->sends.empty();
-  this->sends[target] += prompt_tokens;
-  if (first) this->tasks.Spawn("tell sends", this->SendPromptNote());
+  const bool is_first = this->pending_prompts.empty();
+  this->pending_prompts[target] += prompt_tokens;
+  if (is_first) this->tasks.Spawn("tell sends", this->SendPromptNote());
 }
 
 asio::awaitable<void> FleetChannel::SendPromptNote() {
   co_await Sleep(this->context, kSentPromptsDelay);
   wire::SendNote note;
-  for (const auto& [target, tokens] : this->sends) {
+  for (const auto& [target, tokens] : this->pending_prompts) {
     wire::SentPrompts prompts;
     prompts.target = target;
     prompts.tokens = static_cast<std::int64_t>(tokens);
     note.prompts.push_back(std::move(prompts));
   }
-  this->sends.clear();
+  this->pending_prompts.clear();
   wire::FleetMessage message;
   message.__set_note(std::move(note));
   for (const InstanceRecord* other : this->fleet.ListedInstances()) {
@@ -462,20 +473,21 @@
   }
 }
 
-// Told at once: until the target's entry lapses, seconds later, models that are
-// there only look served, and nobody loads them elsewhere.
+// Sends a report immediately: the target's entry expires only seconds later,
+// and until then models that only this target holds look available, so that the
+// leader loads them nowhere else.
 void FleetChannel::ReportRefusing(const std::string& target) {
-  const bool first = this->refusing.insert(target).second;
-  if (first) this->wake.Notify();
+  const bool is_first = this->refusing_targets.insert(target).second;
+  if (is_first) this->wake.Notify();
 }
 
 void FleetChannel::ReportLack(std::string_view target, const ModelName& name) {
-  if (this->lacks.size() >= kMaxReportedLacks) return;
+  if (this->missing_models.size() >= kMaxMissingModelsPerReport) return;
   wire::TargetLack lack;
   lack.target = std::string(target);
   lack.model = name.model;
   lack.adapter = name.adapter;
-  this->lacks.push_back(std::move(lack));
+  this->missing_models.push_back(std::move(lack));
 }
 
 void FleetChannel::Send(const wire::FleetMessage& message,
@@ -483,12 +495,12 @@
   const Result<Endpoint> endpoint = ParseEndpoint(address);
   if (!endpoint.Ok()) return;
   error_code error;
-  const udp::endpoint place(
+  const udp::endpoint destination(
       asio::ip::make_address(endpoint.Value().address, error),
       static_cast<unsigned short>(endpoint.Value().port));
   if (error) return;
   const std::string datagram = EncodeThrift(message);
-  this->socket.send_to(asio::buffer(datagram), place, 0, error);
+  this->socket.send_to(asio::buffer(datagram), destination, 0, error);
   this->metrics.Count("peer_datagrams",
                       error ? "result=\"failed\"" : "result=\"sent\"");
   this->metrics.Count("peer_bytes", {}, static_cast<double>(datagram.size()));
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -31,52 +31,59 @@
 
 namespace dragonflyglade::gateway {
 
-/// Tells the placing instance what this one has and wants, and takes its
-/// summary of the fleet, in datagrams. A lost one is made good by the next.
-/// One event loop.
+/// Exchanges datagrams with other instances: sends this instance's reports to
+/// the leader, receives the leader's summaries of the fleet, and sends them
+/// while this instance is the leader. The next datagram makes up for a lost
+/// one. Used by one event loop.
 class FleetChannel {
  public:
   FleetChannel(boost::asio::io_context& context,
                boost::asio::ip::udp::socket& socket, FleetState& fleet,
-               ModelDemand& demand, QuotaWindows& quotas, QuotaDesk& desk,
-               ReportHub& hub, const DutyLease& duty, InstanceRecord self,
-               bool first_start, StoreNews& news, StoreRelay& relay,
+               ModelDemand& demand, QuotaWindows& quotas,
+               QuotaDesk& quota_admission, ReportHub& aggregator,
+               const DutyLease& leader_lease, InstanceRecord self,
+               bool first_start, StoreNews& sync_state, StoreRelay& relay,
                Metrics& metrics, Tasks& tasks, Clock clock);
 
-  /// Run until the process ends.
+  /// Receives datagrams; runs until the process ends.
   boost::asio::awaitable<void> Receive();
+  /// Sends reports; runs until the process ends.
   boost::asio::awaitable<void> Report();
 
-  /// As holder: gives the summary to every reporter that has requests, a few
-  /// milliseconds from now, once for all that happens until then.
+  /// As leader: sends the summary to each reporting instance that has requests,
+  /// a few milliseconds from now. Calls until then are merged into one push.
   void PushSoon();
 
-  /// As holder: what is at the targets, for the summaries.
+  /// As leader: the residency of the targets, for the summaries.
   HoldingsBook& Holdings() { return this->holdings; }
-  /// As holder: called when a report came with waiting requests.
-  void OnWaiting(std::function<void()> wake) {
-    this->waiting = std::move(wake);
+  /// As leader: called when a report with waiting requests arrives.
+  void OnWaiting(std::function<void()> callback) {
+    this->on_waiting_requests = std::move(callback);
   }
-  /// As holder: a target was seen to lack what it should hold.
-  void OnLack(std::function<void(const wire::TargetLack&)> act) {
-    this->on_missing_model = std::move(act);
+  /// As leader: called when an instance reports that a target lacks a model or
+  /// adapter which should be resident there.
+  void OnLack(std::function<void(const wire::TargetLack&)> callback) {
+    this->on_missing_model = std::move(callback);
   }
 
-  /// The duty ended: what was granted as holder is not counted here any more.
-  void ForgetGrants() { this->desk.Clear(); }
+  /// Forgets the quota granted as leader, after the leader lease ended.
+  void ForgetGrants() { this->quota_admission.Clear(); }
 
-  /// Prompts were sent to a target: tells the other instances.
+  /// Notifies the other instances of a prompt that was sent to a target.
   void NoteSent(const std::string& target, double prompt_tokens);
 
-  /// As holder: called for a target that refused a connection somewhere.
-  void OnRefusing(std::function<void(const std::string& target)> act) {
-    this->on_connection_refused = std::move(act);
+  /// As leader: called when an instance reports a target that refused its
+  /// connection.
+  void OnRefusing(std::function<void(const std::string& target)> callback) {
+    this->on_connection_refused = std::move(callback);
   }
 
-  /// A target refused a connection: nobody listens there any more.
+  /// Reports to the leader that a target refused a connection, which means that
+  /// no process listens there any more.
   void ReportRefusing(const std::string& target);
 
-  /// A target said that it lacks this.
+  /// Reports to the leader that a target responded that it lacks the model or
+  /// adapter.
   void ReportLack(std::string_view target, const ModelName& name);
 
  private:
@@ -88,14 +95,14 @@
   boost::asio::awaitable<void> NotifyReporters();
   boost::asio::awaitable<void> SendToReporters();
   boost::asio::awaitable<void> ForEachPaced(
-      std::size_t count, const std::function<void(std::size_t)>& tell);
+      std::size_t count, const std::function<void(std::size_t)>& send_to);
   void Answer(const wire::InstanceReport& report);
   wire::InstanceReport MakeReport();
   bool BroadcastsSentPrompts() const;
   boost::asio::awaitable<void> SendPromptNote();
   void ReceiveSendNote(const wire::SendNote& note);
   void Take(std::string_view datagram);
-  void TakeReport(const wire::InstanceReport& report);
+  void ReceiveReport(const wire::InstanceReport& report);
   void ReceiveSummary(const wire::FleetSummary& summary);
   void SendSummary(const wire::InstanceReport& report);
   void ApplyTargetUses(const wire::FleetSummary& summary);
@@ -108,12 +115,12 @@
   FleetState& fleet;
   ModelDemand& demand;
   QuotaWindows& quotas;
-  QuotaDesk& desk;
-  ReportHub& hub;
-  const DutyLease& duty;
+  QuotaDesk& quota_admission;
+  ReportHub& aggregator;
+  const DutyLease& leader_lease;
   const InstanceRecord self;
   const bool first_start;
-  StoreNews& news;
+  StoreNews& sync_state;
   StoreRelay& relay;
   Metrics& metrics;
   Tasks& tasks;
@@ -121,23 +128,25 @@
   const Instant started;
   Signal wake;
   std::int64_t sequence = 0;
-  /// What this instance had spent when it made a report, by its sequence.
+  /// This instance's spending at the time of each report, by report sequence.
   std::map<std::int64_t, std::map<std::string, double>> spent_by_report;
   HoldingsBook holdings;
-  /// What the holder said is at the targets, and its version of it.
+  /// The residency of the targets as received from the leader, the leader's
+  /// incarnation, and its version of the data.
   std::map<std::string, wire::TargetHoldings> known_holdings;
   std::string holdings_leader;
   std::int64_t known_holdings_version = 0;
-  std::function<void()> waiting;
+  std::function<void()> on_waiting_requests;
   std::function<void(const wire::TargetLack&)> on_missing_model;
   std::function<void(const std::string&)> on_connection_refused;
-  std::vector<wire::TargetLack> lacks;
-  std::set<std::string> refusing;     ///< not reported yet
-  std::uint64_t leader_revision = 0;  ///< that was followed
+  std::vector<wire::TargetLack> missing_models;
+  std::set<std::string> refusing_targets;  ///< not reported yet
+  std::uint64_t leader_revision = 0;       ///< of the last handled change
   bool push_pending = false;
   bool notifying_reporters = false;
-  bool notify_again = false;  ///< something came while everyone was told
-  std::map<std::string, double> sends;  ///< not told yet, by target
+  bool notify_again = false;  ///< a change is not sent to all reporters yet
+  /// Tokens of prompts that other instances are not notified of yet, by target.
+  std::map<std::string, double> pending_prompts;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -8,13 +8,13 @@
 namespace {
 
 constexpr std::string_view kInstanceKeyPrefix = "dragonflyglade/instances/";
-// Living targets are back in the store within this time of its return.
+// Running targets register again within this time after the store recovers.
 constexpr absl::Duration kStoreRecoveryGrace = absl::Seconds(2);
-// A follower beside the holder costs some calls a second throughout. It saves
-// some calls of each other instance whenever the holder is lost, so that it
-// pays from some tens of instances on. A second one covers the first.
+// A relay beside the leader always costs the store some calls a second. It
+// saves some calls of each other instance whenever the leader fails, which
+// pays off from some tens of instances on. A second relay covers the first.
 constexpr std::size_t kInstancesPerRelay = 40;
-constexpr std::size_t kMaxExtraRelays = 2;  // beside the holder
+constexpr std::size_t kMaxExtraRelays = 2;  // beside the leader
 
 bool HasName(const std::vector<const InstanceRecord*>& records,
              std::string_view name) {
@@ -40,7 +40,8 @@
   return key.substr(0, prefix.size()) == prefix;
 }
 
-// A late answer of the store must not bring back what was overwritten.
+// Without this check, a delayed response of the store would restore values that
+// have been overwritten since.
 bool FleetState::IsNewer(std::string_view key, std::uint64_t revision) {
   const auto found = this->revisions.find(key);
   if (found == this->revisions.end()) {
@@ -103,7 +104,7 @@
   this->recent.Add(std::move(event));
 }
 
-// Returns whether the change must be followed at once.
+// Returns whether the change is urgent.
 bool FleetState::ApplyTarget(const StoreItem& item) {
   Result<TargetRecord> decoded = this->wire.decode_target(item.key, item.value);
   if (!decoded.Ok()) {
@@ -145,22 +146,23 @@
 void FleetState::ApplyLeader(const StoreItem& item) {
   Result<InstanceRecord> decoded = DecodeInstanceRecord(item.value);
   if (!decoded.Ok()) return;
-  this->duty =
+  this->leader =
       DutyHolder{std::move(decoded.Value()), item.lease, item.revision};
   this->leader_revision = item.revision;
   this->choice.reset();
   this->log.Write(
       "duty", "holder",
-      {{"peer", this->duty->instance.name}, {"revision", item.revision}});
+      {{"peer", this->leader->instance.name}, {"revision", item.revision}});
 }
 
-// Only what stood there at the start counts: later, summaries tell more.
+// Only the record found by the first listing is used; after that the leader's
+// summaries are newer.
 void FleetState::ApplySpends(const StoreItem& item) {
   if (this->listed_before) return;
   Result<SpendRecord> record = DecodeSpendRecord(item.value);
   if (!record.Ok()) {
     this->log.Write(
-        "quota", "record invalid",
+        "quota", "spend record invalid",
         {{"revision", item.revision}, {"why", record.Error().ToString()}});
     return;
   }
@@ -169,10 +171,10 @@
 
 void FleetState::ApplyDeleted(std::string_view key, std::uint64_t revision) {
   if (!this->IsNewer(key, revision)) return;
-  StoreItem gone;
-  gone.key = std::string(key);
-  gone.revision = revision;
-  this->AddUrgentChange({std::move(gone), true});
+  StoreItem removed;
+  removed.key = std::string(key);
+  removed.revision = revision;
+  this->AddUrgentChange({std::move(removed), true});
   if (this->HasPrefix(key, this->wire.targets_prefix)) {
     this->DropTarget(key.substr(this->wire.targets_prefix.size()),
                      "entry removed");
@@ -186,7 +188,7 @@
     this->choice.reset();
   }
   if (key == kDutyKey) {
-    this->duty.reset();
+    this->leader.reset();
     this->leader_revision = revision;
     this->choice.reset();
     this->log.Write("duty", "no holder", {{"revision", revision}});
@@ -241,16 +243,16 @@
   if (!this->recovered_at.has_value()) return;
   if (this->clock.Now() - *this->recovered_at < kStoreRecoveryGrace) return;
   this->recovered_at.reset();
-  std::vector<std::string> gone;
+  std::vector<std::string> expired;
   for (const auto& [id, target] : this->targets) {
-    if (target->missing_since.has_value()) gone.push_back(id);
+    if (target->missing_since.has_value()) expired.push_back(id);
   }
-  for (const std::string& id : gone) {
+  for (const std::string& id : expired) {
     this->log.Write("targets", "gone",
                     {{"target", id}, {"why", "not back in the store"}});
     this->RemoveTarget(id);
   }
-  if (!gone.empty()) this->changed.Notify();
+  if (!expired.empty()) this->changed.Notify();
 }
 
 absl::Span<const std::shared_ptr<TargetState>> FleetState::Targets(
@@ -297,19 +299,19 @@
 }
 
 std::vector<const InstanceRecord*> FleetState::ChooseRelays() const {
-  std::vector<const InstanceRecord*> followers;
-  const std::string holder =
-      this->duty.has_value() ? this->duty->instance.name : std::string();
-  const auto known = this->instances.find(holder);
-  if (known != this->instances.end()) followers.push_back(&known->second);
+  std::vector<const InstanceRecord*> relays;
+  const std::string leader_name =
+      this->leader.has_value() ? this->leader->instance.name : std::string();
+  const auto known = this->instances.find(leader_name);
+  if (known != this->instances.end()) relays.push_back(&known->second);
   const std::size_t others =
       std::min(kMaxExtraRelays, this->instances.size() / kInstancesPerRelay);
-  const std::size_t most = followers.size() + others;
+  const std::size_t most = relays.size() + others;
   for (const InstanceRecord* record : this->InstancesByStrength(kDutyKey)) {
-    if (followers.size() >= most) break;
-    if (record->name != holder) followers.push_back(record);
+    if (relays.size() >= most) break;
+    if (record->name != leader_name) relays.push_back(record);
   }
-  return followers;
+  return relays;
 }
 
 bool FleetState::FollowsStore(std::string_view instance) const {
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -26,45 +26,45 @@
 
 namespace dragonflyglade::gateway {
 
-/// Who holds the duty of placing models, according to the store.
+/// The leader's entry in the store.
 struct DutyHolder {
   InstanceRecord instance;
-  std::uint64_t lease = 0;  ///< that the entry is under
+  std::uint64_t lease = 0;  ///< store lease that the entry is attached to
   std::uint64_t revision = 0;
 };
 
-/// What this instance believes of configuration, targets and instances: a
-/// reading of the store, where each key moves forward by its revision only.
-/// One event loop.
+/// This instance's copy of the store: configuration, targets, instances and
+/// leader. Each key changes only to a newer revision. Used by one event loop.
 class FleetState {
  public:
   FleetState(boost::asio::io_context& context, const WireFormat& wire,
              Clock clock, EventLog& log);
 
-  /// A key was read or changed. Older revisions than the last one known of
-  /// the key change nothing.
+  /// Applies a key that was read or changed. A revision that is not newer than
+  /// the last one applied to the key has no effect.
   void Apply(const StoreItem& item);
   void ApplyDeleted(std::string_view key, std::uint64_t revision);
 
-  /// All keys of a complete listing: what is missing from it is gone.
+  /// Applies a complete listing; keys that are missing from it count as
+  /// deleted.
   void ApplyListing(absl::Span<const StoreItem> items,
                     std::uint64_t store_revision);
 
   /// Whether a listing was applied since the start of the process.
   bool WasListed() const { return this->listed_before; }
 
-  /// The store answers again after it did not. Targets that are then missing
-  /// are believed in for a moment: entries lapse while the store is away, and
-  /// living targets enter themselves again.
+  /// Begins a grace period after the store was unreachable and responds again.
+  /// Targets whose entries are removed in it are kept until it ends: leases
+  /// expire while the store is unavailable, and running targets register again.
   void StoreReturned();
 
-  /// Drops targets whose time of grace is over.
+  /// Removes the targets that are still missing after the grace period.
   void Sweep();
 
-  /// The configuration in force; null until one is known.
+  /// The configuration in effect; null until one is known.
   std::shared_ptr<const GatewayConfig> Config() const { return this->config; }
 
-  /// The targets of a service, leaving ones among them.
+  /// The targets of a service, including those that are leaving.
   absl::Span<const std::shared_ptr<TargetState>> Targets(
       std::string_view service) const;
   std::shared_ptr<TargetState> Target(std::string_view id) const;
@@ -73,44 +73,45 @@
   const std::map<std::string, InstanceRecord, std::less<>>& Instances() const {
     return this->instances;
   }
-  /// The instances that callers are sent to, the strongest first.
+  /// The instances that callers are sent to, highest capacity first.
   const std::vector<const InstanceRecord*>& ListedInstances() const {
     return this->ChosenInstances().listed;
   }
   bool IsListed(std::string_view instance) const;
-  /// The instances that follow the store for all others: the holder of the
-  /// placing duty, and in a large fleet the strongest ones beside it.
+  /// The instances that watch the store and pass its changes on to all others:
+  /// the leader, and in a large fleet the instances of highest capacity, too.
   const std::vector<const InstanceRecord*>& Followers() const {
-    return this->ChosenInstances().followers;
+    return this->ChosenInstances().relays;
   }
   bool FollowsStore(std::string_view instance) const;
-  /// All instances by strength; ties are broken by a hash with the key.
+  /// All instances, highest capacity first; ties are broken by a hash of the
+  /// name and the key.
   std::vector<const InstanceRecord*> InstancesByStrength(
       std::string_view key) const;
-  const std::optional<DutyHolder>& Duty() const { return this->duty; }
-  /// When the duty was last taken or let go.
+  const std::optional<DutyHolder>& Duty() const { return this->leader; }
+  /// The revision at which the leader's entry last changed or was removed.
   std::uint64_t DutyRevision() const { return this->leader_revision; }
 
-  /// What the store said that the fleet had spent of quotas, when this process
-  /// first read it.
+  /// The fleet's quota spending as the store had it when this process listed
+  /// the store for the first time.
   const std::optional<SpendRecord>& SpentBefore() const {
     return this->initial_spend_record;
   }
 
-  /// The newest revision of a change that must be followed at once: all but
-  /// changes of which models and adapters a target holds.
+  /// The revision of the newest urgent change. A change is urgent unless it
+  /// only concerns the adapters and the cached weights of a target.
   std::uint64_t UrgentRevision() const { return this->urgent_revision; }
 
-  /// The urgent changes seen lately.
+  /// The latest urgent changes.
   const RecentChanges& Recent() const { return this->recent; }
 
   /// Notified at each change.
   Signal& Changed() { return this->changed; }
 
-  /// The keys of our own.
+  /// The keys that this program writes.
   static std::string InstanceKey(std::string_view name);
   static constexpr std::string_view kDutyKey = "dragonflyglade/duty/placement";
-  /// See SpendRecord. Read by a new holder of the duty and at the start.
+  /// Key of the SpendRecord, read by a new leader and at the process's start.
   static constexpr std::string_view kSpendsKey = "dragonflyglade/spends";
 
  private:
@@ -124,10 +125,10 @@
   void ApplySpends(const StoreItem& item);
   void DropTarget(std::string_view id, std::string_view why);
   void RemoveTarget(std::string_view id);
-  /// Instances chosen from all that there are.
+  /// Roles derived from the list of instances and the leader.
   struct Choice {
     std::vector<const InstanceRecord*> listed;
-    std::vector<const InstanceRecord*> followers;
+    std::vector<const InstanceRecord*> relays;
   };
 
   const Choice& ChosenInstances() const;
@@ -147,12 +148,12 @@
   std::map<std::string, std::vector<std::shared_ptr<TargetState>>, std::less<>>
       by_service;
   std::map<std::string, InstanceRecord, std::less<>> instances;
-  /// Made when asked for, since a listing brings hundreds of instances one by
-  /// one; nothing after a change of the instances or of the duty.
+  /// Computed on demand, since a listing adds hundreds of instances one by one.
+  /// Reset when the instances or the leader change.
   mutable std::optional<Choice> choice;
   std::optional<SpendRecord> initial_spend_record;
-  bool listed_before = false;  ///< a listing was applied
-  std::optional<DutyHolder> duty;
+  bool listed_before = false;  ///< whether a listing was applied
+  std::optional<DutyHolder> leader;
   std::uint64_t leader_revision = 0;
   std::optional<Instant> recovered_at;
   std::uint64_t urgent_revision = 0;
--- a/dragonflyglade/gateway/quota_desk.cc
+++ b/dragonflyglade/gateway/quota_desk.cc
@@ -9,57 +9,60 @@
 
 namespace {
 
-// An answer takes a message each way, 1 to 3 ms in a region, and the holder's
-// turn. The second try covers a lost datagram.
+// A decision takes one message each way, 1 to 3 ms within a region, plus the
+// leader's processing time. The second attempt covers a lost datagram.
 constexpr absl::Duration kAskTimeout = absl::Milliseconds(45);
 constexpr int kAskAttempts = 2;
-// A holder that did not answer is not asked for this long, so that requests
-// are not held for the timeout one by one while it is replaced.
+// After a timeout the leader is not asked for this long. Otherwise each request
+// would wait for the timeout while the leader is replaced.
 constexpr absl::Duration kLeaderRetryDelay = absl::Milliseconds(400);
-// A refusal answers for requests of the same size for this long: a workspace
-// that floods would otherwise cost the holder a message each.
+// A denial is reused for requests of at least the same size for this long.
+// Otherwise each request of a workspace that floods would cost the leader a
+// message.
 constexpr absl::Duration kDenialCacheTime = absl::Milliseconds(150);
-// A new holder has the report of whoever is alive within this time: news of it
-// takes some hundred milliseconds, and the next report half a second more.
+// A new leader receives the reports of all running instances within this time:
+// they learn of it within some hundred milliseconds, and their next reports
+// follow within half a second.
 constexpr absl::Duration kReportsCollectionTime = absl::Seconds(1);
-// While nobody sums up, callers that come back sooner meet the same shortage,
-// and most come back once. A holder is replaced within about a second.
+// While the leader cannot be asked, callers that retry sooner are refused
+// again, and most retry only once. A leader is replaced within about a second.
 constexpr absl::Duration kLeaderReplacementTime = absl::Milliseconds(800);
 
 }  // namespace
 
 QuotaDesk::QuotaDesk(asio::io_context& context, FleetState& fleet,
-                     QuotaOwners& owners, QuotaWindows& quotas, ReportHub& hub,
-                     const DutyLease& duty, InstanceRecord self,
-                     absl::Duration window, Metrics& metrics, EventLog& log,
-                     Clock clock, TimeOfDay time_of_day)
+                     QuotaOwners& participants, QuotaWindows& quotas,
+                     ReportHub& aggregator, const DutyLease& leader_lease,
+                     InstanceRecord self, absl::Duration window,
+                     Metrics& metrics, EventLog& log, Clock clock,
+                     TimeOfDay time_of_day)
     : context(context),
       fleet(fleet),
-      owners(owners),
+      participants(participants),
       quotas(quotas),
-      hub(hub),
-      duty(duty),
+      aggregator(aggregator),
+      leader_lease(leader_lease),
       self(std::move(self)),
       metrics(metrics),
       log(log),
       clock(clock),
       time_of_day(std::move(time_of_day)),
-      ledger(window, clock) {}
+      unreported_grants(window, clock) {}
 
-// All processes may have been killed a moment ago. By the record, this one need
-// not wait for a holder to spend what is known to be left.
+// All processes may have been killed a moment ago. With the spend record, this
+// one can spend what is left of the quotas without waiting for a leader.
 void QuotaDesk::ApplySpendRecord() {
-  const std::optional<SpendRecord>& before = this->fleet.SpentBefore();
-  if (this->spend_record_checked || !before.has_value()) return;
+  const std::optional<SpendRecord>& record = this->fleet.SpentBefore();
+  if (this->spend_record_checked || !record.has_value()) return;
   this->spend_record_checked = true;
   const absl::Time now = this->time_of_day();
-  const bool recent = IsRecent(*before, now);
+  const bool recent = IsRecent(*record, now);
   if (recent) {
-    this->quotas.SetBefore(FleetSpent(*before),
-                           WasListed(*before, this->self.name));
+    this->quotas.SetBefore(FleetSpent(*record),
+                           WasListed(*record, this->self.name));
   }
   this->log.Write("quota", recent ? "spending read" : "record too old",
-                  {{"age_ms", now - before->written}});
+                  {{"age_ms", now - record->written}});
 }
 
 void QuotaDesk::FollowInstances() {
@@ -68,11 +71,11 @@
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
     names.push_back(record->name);
   }
-  this->owners.Follow(names);
+  this->participants.Follow(names);
   const int listed = static_cast<int>(names.size());
   this->quotas.SetInstances(listed);
-  // An instance that sees nobody in the store, itself included, is at its
-  // start; the age of its process limits it then.
+  // An instance that sees no instance in the store, not even itself, has just
+  // started; its process's age limits it then.
   this->quotas.SetListed(listed == 0 || this->fleet.IsListed(this->self.name));
 }
 
@@ -83,20 +86,21 @@
   QuotaVerdict verdict = this->quotas.TakePart(workspace, limit, tokens);
   if (verdict.admitted) co_return verdict;
   std::string_view by = "part";
-  const std::optional<QuotaVerdict> before =
+  const std::optional<QuotaVerdict> denial =
       this->RecentDenial(workspace, tokens);
-  if (before.has_value()) {
-    verdict = *before;
+  if (denial.has_value()) {
+    verdict = *denial;
     by = "holder before";
   } else if (this->MayAskLeader()) {
-    const std::optional<QuotaVerdict> answer =
+    const std::optional<QuotaVerdict> decision =
         co_await this->Ask(workspace, tokens);
-    this->metrics.Count("quota_asks", !answer.has_value() ? "answer=\"none\""
-                                      : answer->admitted  ? "answer=\"granted\""
-                                                         : "answer=\"denied\"");
-    by = answer.has_value() ? "holder" : "part, holder silent";
-    verdict = answer.has_value()
-                  ? *answer
+    this->metrics.Count("quota_asks", !decision.has_value() ? "answer=\"none\""
+                                      : decision->admitted
+                                          ? "answer=\"granted\""
+                                          : "answer=\"denied\"");
+    by = decision.has_value() ? "holder" : "part, holder silent";
+    verdict = decision.has_value()
+                  ? *decision
                   : this->AdmitWithoutLeader(workspace, limit, tokens);
   } else {
     verdict = this->AdmitWithoutLeader(workspace, limit, tokens);
@@ -123,21 +127,22 @@
 
 bool QuotaDesk::MayAskLeader() const {
   if (!this->fleet.Duty().has_value()) return false;
-  return !this->unresponsive_since.has_value() ||
-         this->clock.Now() - *this->unresponsive_since > kLeaderRetryDelay;
+  return !this->leader_unresponsive_since.has_value() ||
+         this->clock.Now() - *this->leader_unresponsive_since >
+             kLeaderRetryDelay;
 }
 
 std::optional<QuotaVerdict> QuotaDesk::RecentDenial(std::string_view workspace,
                                                     double tokens) const {
   const auto found = this->denials.find(workspace);
   if (found == this->denials.end()) return std::nullopt;
-  const absl::Duration rest = found->second.until - this->clock.Now();
-  if (rest <= absl::ZeroDuration() || tokens < found->second.tokens) {
+  const absl::Duration remaining = found->second.until - this->clock.Now();
+  if (remaining <= absl::ZeroDuration() || tokens < found->second.tokens) {
     return std::nullopt;
   }
   QuotaVerdict verdict;
   verdict.admitted = false;
-  verdict.retry_after = rest;
+  verdict.retry_after = remaining;
   return verdict;
 }
 
@@ -146,7 +151,7 @@
   const std::int64_t number = ++this->last_number;
   const std::string address = this->fleet.Duty()->instance.peers;
   if (this->fleet.Duty()->instance.incarnation == this->self.incarnation) {
-    if (!this->duty.Held()) co_return std::nullopt;
+    if (!this->leader_lease.Held()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
         this->Decide(this->self.incarnation, number, workspace, tokens);
     const bool granted = verdict.has_value() && verdict->admitted;
@@ -161,22 +166,23 @@
   ask.workspace = workspace;
   ask.tokens = static_cast<std::int64_t>(tokens);
   message.__set_ask(std::move(ask));
-  Open& open = this->open.try_emplace(number, this->context).first->second;
-  for (int i = 0; i < kAskAttempts && !open.verdict.has_value(); ++i) {
+  PendingAsk& ask_state =
+      this->pending_asks.try_emplace(number, this->context).first->second;
+  for (int i = 0; i < kAskAttempts && !ask_state.verdict.has_value(); ++i) {
     this->send(message, address);
-    co_await open.answered.Wait(kAskTimeout);
+    co_await ask_state.decided.Wait(kAskTimeout);
   }
-  const std::optional<QuotaVerdict> verdict = open.verdict;
+  const std::optional<QuotaVerdict> verdict = ask_state.verdict;
   if (verdict.has_value() && verdict->admitted) {
     this->quotas.Granted(workspace, tokens);
   }
-  // An answer that comes later finds nobody and is not spent.
-  this->open.erase(number);
+  // A grant that arrives later is ignored, and its tokens are not spent.
+  this->pending_asks.erase(number);
   if (!verdict.has_value()) {
-    this->unresponsive_since = this->clock.Now();
+    this->leader_unresponsive_since = this->clock.Now();
     co_return std::nullopt;
   }
-  this->unresponsive_since.reset();
+  this->leader_unresponsive_since.reset();
   if (!verdict->admitted) {
     const Instant until =
         this->clock.Now() + std::min(kDenialCacheTime, verdict->retry_after);
@@ -186,7 +192,7 @@
 }
 
 void QuotaDesk::TakeAsk(const wire::QuotaAsk& ask) {
-  if (!this->duty.Held()) return;
+  if (!this->leader_lease.Held()) return;
   const std::optional<QuotaVerdict> verdict =
       this->Decide(ask.incarnation, ask.number, ask.workspace,
                    static_cast<double>(ask.tokens));
@@ -202,12 +208,12 @@
   this->send(message, ask.address);
 }
 
-// A new holder that has heard one of eight instances would deny what is owed,
-// and callers that come back at once would be refused again.
+// A new leader that has the reports of one of eight instances would deny tokens
+// that are available, and callers that retry at once would be refused again.
 bool QuotaDesk::HasEnoughReports(const FleetSpend& spend) {
   const Instant now = this->clock.Now();
-  if (this->leader_fencing_token != this->duty.Fence()) {
-    this->leader_fencing_token = this->duty.Fence();
+  if (this->leader_fencing_token != this->leader_lease.Fence()) {
+    this->leader_fencing_token = this->leader_lease.Fence();
     this->leader_since = now;
   }
   const auto listed = static_cast<int>(this->fleet.ListedInstances().size());
@@ -225,15 +231,15 @@
   const auto config = this->fleet.Config();
   if (config == nullptr) return verdict;
   const auto known = config->workspaces.find(workspace);
-  // The asking instance follows a version that is not known here yet.
+  // The asking instance has a newer configuration than this one.
   if (known == config->workspaces.end()) return verdict;
   this->FollowInstances();
-  FleetSpend spend = this->hub.SpendOf(workspace);
+  FleetSpend spend = this->aggregator.SpendOf(workspace);
   if (!this->HasEnoughReports(spend)) return std::nullopt;
-  spend.total += this->ledger.Open(workspace);
+  spend.total += this->unreported_grants.Open(workspace);
   verdict = this->quotas.Grant(known->second.quota, tokens, spend);
   if (verdict.admitted) {
-    this->ledger.Add(process, number, workspace, tokens);
+    this->unreported_grants.Add(process, number, workspace, tokens);
     return verdict;
   }
   this->log.Write("quota", "denied",
@@ -249,27 +255,28 @@
 }
 
 void QuotaDesk::TakeGrant(const wire::QuotaGrant& grant) {
-  const auto& holder = this->fleet.Duty();
-  // What a holder grants that was replaced is in nobody's sums.
-  if (!holder.has_value() || holder->instance.incarnation != grant.holder) {
+  const auto& leader = this->fleet.Duty();
+  // The new leader does not count what a replaced leader grants.
+  if (!leader.has_value() || leader->instance.incarnation != grant.holder) {
     return;
   }
-  const auto found = this->open.find(grant.number);
-  if (found == this->open.end()) return;
+  const auto found = this->pending_asks.find(grant.number);
+  if (found == this->pending_asks.end()) return;
   QuotaVerdict verdict;
   verdict.admitted = grant.granted;
   verdict.retry_after = absl::Milliseconds(grant.retry_after_ms);
   verdict.left = static_cast<double>(grant.left);
   found->second.verdict = verdict;
-  found->second.answered.Notify();
+  found->second.decided.Notify();
 }
 
 void QuotaDesk::Reported(const wire::InstanceReport& report) {
-  this->ledger.Reported(report.incarnation, report.grants_through);
+  this->unreported_grants.Reported(report.incarnation, report.grants_through);
 }
 
 std::int64_t QuotaDesk::SettledThrough() const {
-  return this->open.empty() ? this->last_number : this->open.begin()->first - 1;
+  return this->pending_asks.empty() ? this->last_number
+                                    : this->pending_asks.begin()->first - 1;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/quota_desk.h
+++ b/dragonflyglade/gateway/quota_desk.h
@@ -24,9 +24,9 @@
 
 namespace dragonflyglade::gateway {
 
-/// Admits requests to workspaces' quotas: out of this instance's own part, or
-/// by asking the holder of the placing duty, who sums up what all spent. As
-/// holder, answers such questions. One event loop.
+/// Admits requests to workspaces' quotas: out of this instance's own share, or
+/// by asking the leader, which knows what all instances spent. As leader,
+/// decides on the other instances' asks. Used by one event loop.
 class QuotaDesk {
  public:
   using TimeOfDay = std::function<absl::Time()>;
@@ -34,67 +34,72 @@
                                          const std::string& address)>;
 
   QuotaDesk(boost::asio::io_context& context, FleetState& fleet,
-            QuotaOwners& owners, QuotaWindows& quotas, ReportHub& hub,
-            const DutyLease& duty, InstanceRecord self, absl::Duration window,
-            Metrics& metrics, EventLog& log, Clock clock,
-            TimeOfDay time_of_day);
+            QuotaOwners& participants, QuotaWindows& quotas,
+            ReportHub& aggregator, const DutyLease& leader_lease,
+            InstanceRecord self, absl::Duration window, Metrics& metrics,
+            EventLog& log, Clock clock, TimeOfDay time_of_day);
 
   void OnSend(SendMessage send) { this->send = std::move(send); }
 
-  /// Counts the tokens of a request, or says when they will fit.
+  /// Reserves the tokens of a request, or returns when to retry.
   boost::asio::awaitable<QuotaVerdict> Take(std::string_view request_id,
                                             std::string workspace,
                                             QuotaLimit limit, double tokens);
 
-  /// Takes over which instances callers are sent to, this one among them or
-  /// not, and since when.
+  /// Updates which instances share the quotas, namely those that callers are
+  /// sent to, and whether this one is among them.
   void FollowInstances();
 
-  /// A request that was counted did not run.
+  /// Returns the tokens of a request that was admitted but did not run.
   void GiveBack(std::string_view workspace, double tokens) {
     this->quotas.GiveBack(workspace, tokens);
   }
 
-  /// Messages of other instances.
+  /// As leader: decides on another instance's ask and sends the decision.
   void TakeAsk(const wire::QuotaAsk& ask);
+  /// Applies the leader's decision on an ask of this instance.
   void TakeGrant(const wire::QuotaGrant& grant);
 
-  /// As holder: a report came, which counts its process's grants.
+  /// As leader: removes the grants that a process's report counts as spent.
   void Reported(const wire::InstanceReport& report);
-  /// As holder: granted and not yet reported.
+  /// As leader: tokens granted and not yet reported as spent.
   double OpenGrants(std::string_view workspace) {
-    return this->ledger.Open(workspace);
+    return this->unreported_grants.Open(workspace);
   }
-  /// As holder: the duty ended.
-  void Clear() { this->ledger.Clear(); }
+  /// Forgets all unreported grants, after the leader lease ended.
+  void Clear() { this->unreported_grants.Clear(); }
 
-  /// All grants of this process up to this number are spent, or never will be.
+  /// The number through which all asks of this process have an outcome: their
+  /// grants are counted as spent or will never be used.
   std::int64_t SettledThrough() const;
 
  private:
-  /// A question without an answer yet.
-  struct Open {
+  /// An ask that waits for the leader's decision.
+  struct PendingAsk {
     std::optional<QuotaVerdict> verdict;
-    Signal answered;
+    Signal decided;
 
-    explicit Open(boost::asio::io_context& context) : answered(context) {}
+    explicit PendingAsk(boost::asio::io_context& context) : decided(context) {}
   };
-  /// The holder's last refusal, which holds for a moment.
+  /// The leader's last denial for a workspace, which is reused for a short time
+  /// for requests of at least the same size.
   struct Denial {
     Instant until;
     double tokens = 0;
   };
 
-  /// Decides while nobody sums up.
+  /// Decides by this instance's own knowledge, when the leader cannot be asked.
   QuotaVerdict AdmitWithoutLeader(const std::string& workspace,
                                   const QuotaLimit& limit, double tokens);
-  /// Asks the holder, and counts what it grants.
+  /// Asks the leader, and counts what it grants.
+  /// @return nothing if no decision arrived in time
   boost::asio::awaitable<std::optional<QuotaVerdict>> Ask(std::string workspace,
                                                           double tokens);
   std::optional<QuotaVerdict> RecentDenial(std::string_view workspace,
                                            double tokens) const;
   void ApplySpendRecord();
-  /// @return nothing if too little is known yet
+  /// Decides as leader.
+  /// @return nothing while too few instances have reported
   std::optional<QuotaVerdict> Decide(const std::string& process,
                                      std::int64_t number,
                                      const std::string& workspace,
@@ -104,23 +109,23 @@
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  QuotaOwners& owners;
+  QuotaOwners& participants;
   QuotaWindows& quotas;
-  ReportHub& hub;
-  const DutyLease& duty;
+  ReportHub& aggregator;
+  const DutyLease& leader_lease;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
   const Clock clock;
   const TimeOfDay time_of_day;
-  QuotaLedger ledger;
+  QuotaLedger unreported_grants;
   SendMessage send;
   std::int64_t last_number = 0;
-  std::map<std::int64_t, Open> open;
+  std::map<std::int64_t, PendingAsk> pending_asks;
   std::map<std::string, Denial, std::less<>> denials;
-  std::optional<Instant> unresponsive_since;
-  bool spend_record_checked = false;  ///< at what was spent before its start
-  std::uint64_t leader_fencing_token = 0;  ///< of the duty held last
+  std::optional<Instant> leader_unresponsive_since;
+  bool spend_record_checked = false;  ///< whether the initial one was applied
+  std::uint64_t leader_fencing_token = 0;  ///< of the last leader lease held
   Instant leader_since;
 };
 
--- a/dragonflyglade/gateway/report_hub.cc
+++ b/dragonflyglade/gateway/report_hub.cc
@@ -9,59 +9,65 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// A report is missed when the next one is this late: with reports each 200 ms,
-// three in a row are not lost by chance. Until an instance is missed, others
-// spend quota that it may be spending, too.
+// A report is overdue when it is this late: with a report every 200 ms, three
+// in a row are not lost by chance. Until an instance counts as missing, others
+// may spend quota that it is spending, too.
 constexpr absl::Duration kReportGrace = absl::Milliseconds(500);
-// Demand is averaged over this time: long enough that single large requests
-// do not move models, short against the seconds that a load takes.
+// Time constant of the demand's average: long enough that a single large
+// request does not move models, and short compared with the seconds that a load
+// takes.
 constexpr absl::Duration kDemandTimeConstant = absl::Seconds(3);
-// Reports of one moment are answered from the same sums.
+// Summaries within this time are computed from the same sums.
 constexpr absl::Duration kSumsMaxAge = absl::Milliseconds(10);
-// Below a second of reports, single requests would look like demand.
+// Lower bound on the observed part of the time constant, about a second of
+// reports: below it, single requests would look like steady demand.
 constexpr double kMinObservedFraction = 0.3;
-constexpr double kNothing = 1e-3;  // milliseconds of work
+constexpr double kNegligibleWorkMs = 1e-3;
 
 }  // namespace
 
-ReportHub::ReportHub(const QuotaOwners& owners, absl::Duration spend_window,
-                     Clock clock)
-    : owners(owners), spend_window(spend_window), clock(std::move(clock)) {}
+ReportHub::ReportHub(const QuotaOwners& participants,
+                     absl::Duration spend_window, Clock clock)
+    : participants(participants),
+      spend_window(spend_window),
+      clock(std::move(clock)) {}
 
-void ReportHub::Decay(Average& average) const {
+void ReportHub::Decay(DemandAverage& average) const {
   const Instant now = this->clock.Now();
-  const double age = absl::FDivDuration(now - average.at, kDemandTimeConstant);
-  average.sum_ms *= std::exp(-age);
-  average.at = now;
+  const double age =
+      absl::FDivDuration(now - average.updated_at, kDemandTimeConstant);
+  average.weighted_work_ms *= std::exp(-age);
+  average.updated_at = now;
 }
 
 void ReportHub::Take(const wire::InstanceReport& report) {
-  Entry& entry = this->entries[report.incarnation];
+  ProcessReport& entry = this->entries[report.incarnation];
   if (report.sequence <= entry.report.sequence) return;
   entry.report = report;
-  entry.at = this->clock.Now();
-  entry.taken_over = false;
+  entry.received_at = this->clock.Now();
+  entry.from_record = false;
   const bool first = !report.wishes.empty() && !this->demand_since.has_value();
-  if (first) this->demand_since = entry.at;
+  if (first) this->demand_since = entry.received_at;
   for (const wire::ModelWish& wish : report.wishes) {
     const ModelName name{wish.service_name, wish.model, wish.adapter};
     const auto found =
-        this->demand.try_emplace(name, Average{0, entry.at}).first;
+        this->demand.try_emplace(name, DemandAverage{0, entry.received_at})
+            .first;
     this->Decay(found->second);
-    found->second.sum_ms += wish.work_ms;
+    found->second.weighted_work_ms += wish.work_ms;
   }
 }
 
-bool ReportHub::IsCurrent(const Entry& entry) const {
-  if (entry.taken_over) return false;
+bool ReportHub::IsCurrent(const ProcessReport& entry) const {
+  if (entry.from_record) return false;
   const absl::Duration interval = absl::Milliseconds(entry.report.interval_ms);
-  return this->clock.Now() - entry.at <= interval + kReportGrace;
+  return this->clock.Now() - entry.received_at <= interval + kReportGrace;
 }
 
 void ReportHub::RemoveExpired() {
   const Instant now = this->clock.Now();
   for (auto entry = this->entries.begin(); entry != this->entries.end();) {
-    if (now - entry->second.at > this->spend_window) {
+    if (now - entry->second.received_at > this->spend_window) {
       entry = this->entries.erase(entry);
     } else {
       ++entry;
@@ -85,12 +91,12 @@
   for (const auto& [incarnation, entry] : this->entries) {
     if (this->IsCurrent(entry)) heard.insert(entry.report.instance);
   }
-  return this->owners.MissingPart(heard);
+  return this->participants.MissingPart(heard);
 }
 
-// Whether what the process before it spent is known from its reports.
+// Whether the spending of the instance's previous process is known.
 bool ReportHub::IsSuccessor(std::string_view incarnation,
-                            const Entry& entry) const {
+                            const ProcessReport& entry) const {
   return std::any_of(
       this->entries.begin(), this->entries.end(), [&](const auto& other) {
         return other.first != incarnation &&
@@ -98,8 +104,9 @@
       });
 }
 
-// Summed up once for many summaries: each instance's summary is the whole less
-// its own part, so the work grows with the instances and not with their square.
+// Sums are shared by many summaries: an instance's summary is the total less
+// its own part, so that the work grows with the number of instances and not
+// with its square.
 void ReportHub::UpdateSums() {
   const Instant now = this->clock.Now();
   if (this->sums_at.has_value() && now - *this->sums_at < kSumsMaxAge) return;
@@ -110,11 +117,12 @@
   this->sums.missing_part = this->MissingPart();
   for (const auto& [incarnation, entry] : this->entries) {
     for (const wire::WorkspaceSpend& spend : entry.report.spends) {
-      this->sums.spends[spend.workspace] += this->Counted(entry, spend.tokens);
+      this->sums.spends[spend.workspace] +=
+          this->CountedTokens(entry, spend.tokens);
     }
     if (!this->IsCurrent(entry)) continue;
     if (entry.report.listed) this->sums.instances += 1;
-    this->sums.answers[incarnation] = entry.report.sequence;
+    this->sums.counted_reports[incarnation] = entry.report.sequence;
     for (const wire::TargetUse& use : entry.report.targets) {
       wire::TargetUse& sum = this->sums.uses[use.target];
       sum.requests += use.requests;
@@ -123,11 +131,13 @@
   }
 }
 
-// What was taken over leaves the window at an unknown pace.
-std::int64_t ReportHub::Counted(const Entry& entry, std::int64_t tokens) const {
-  if (!entry.taken_over) return tokens;
+// It is not known when recorded tokens were spent, and so not when they leave
+// the window; they are discounted gradually.
+std::int64_t ReportHub::CountedTokens(const ProcessReport& entry,
+                                      std::int64_t tokens) const {
+  if (!entry.from_record) return tokens;
   const double part =
-      CountedPart(this->clock.Now() - entry.at, this->spend_window);
+      CountedPart(this->clock.Now() - entry.received_at, this->spend_window);
   return static_cast<std::int64_t>(part * static_cast<double>(tokens));
 }
 
@@ -135,14 +145,16 @@
   this->RemoveExpired();
   std::vector<ProcessSpend> all;
   for (const auto& [incarnation, entry] : this->entries) {
-    // Most instances of a large fleet stand by.
+    // Most instances of a large fleet are on standby and have nothing to
+    // record.
     if (entry.report.spends.empty() && !entry.report.listed) continue;
     ProcessSpend process;
     process.instance = entry.report.instance;
     process.incarnation = incarnation;
     process.listed = entry.report.listed;
     for (const wire::WorkspaceSpend& spend : entry.report.spends) {
-      process.tokens[spend.workspace] = this->Counted(entry, spend.tokens);
+      process.tokens[spend.workspace] =
+          this->CountedTokens(entry, spend.tokens);
     }
     all.push_back(std::move(process));
   }
@@ -151,11 +163,11 @@
 
 void ReportHub::TakeOver(const SpendRecord& record) {
   for (const ProcessSpend& process : record.processes) {
-    Entry entry;
+    ProcessReport entry;
     entry.report.instance = process.instance;
     entry.report.incarnation = process.incarnation;
-    entry.at = this->clock.Now();
-    entry.taken_over = true;
+    entry.received_at = this->clock.Now();
+    entry.from_record = true;
     for (const auto& [workspace, tokens] : process.tokens) {
       wire::WorkspaceSpend spend;
       spend.workspace = workspace;
@@ -163,7 +175,7 @@
                                                static_cast<double>(tokens));
       entry.report.spends.push_back(std::move(spend));
     }
-    // What the process itself reported is newer.
+    // A report of the process itself is newer than the record.
     this->entries.try_emplace(process.incarnation, std::move(entry));
   }
   this->sums_at.reset();
@@ -188,19 +200,20 @@
   summary.instances = this->sums.instances;
   summary.unknown_shares = this->sums.unknown_shares;
   summary.missing_part = this->sums.missing_part;
-  // The sums may be older than the last report: what counts is the part of
-  // this instance that is in them.
-  const auto counted = this->sums.answers.find(report.incarnation);
-  if (counted != this->sums.answers.end()) summary.answers = counted->second;
+  // The sums may be older than the instance's last report; the summary names
+  // the report that they contain.
+  const auto counted = this->sums.counted_reports.find(report.incarnation);
+  if (counted != this->sums.counted_reports.end())
+    summary.answers = counted->second;
   std::map<std::string_view, const wire::TargetUse*> own;
   for (const wire::TargetUse& use : report.targets) own[use.target] = &use;
-  for (const auto& [target, sum] : this->sums.uses) {
-    wire::TargetUse others = sum;
+  for (const auto& [target, total] : this->sums.uses) {
+    wire::TargetUse others = total;
     const auto mine = own.find(target);
     if (mine != own.end()) {
-      others.requests = std::max(0, sum.requests - mine->second->requests);
+      others.requests = std::max(0, total.requests - mine->second->requests);
       others.unread_tokens = std::max<std::int64_t>(
-          0, sum.unread_tokens - mine->second->unread_tokens);
+          0, total.unread_tokens - mine->second->unread_tokens);
     }
     if (others.requests == 0 && others.unread_tokens == 0) continue;
     others.target = target;
@@ -218,21 +231,23 @@
 std::map<ModelName, FleetDemand> ReportHub::Demand() {
   this->RemoveExpired();
   std::map<ModelName, FleetDemand> result;
-  // The average of a new holder begins at nothing; without this, models in
-  // demand look idle in its first seconds and lose their copies.
+  // A new leader's average starts at zero. Without dividing by the observed
+  // part of the time constant, models in demand look idle in the leader's first
+  // seconds and lose their copies.
   const Instant since = this->demand_since.value_or(this->clock.Now());
   const double age =
       absl::FDivDuration(this->clock.Now() - since, kDemandTimeConstant);
-  const double seen = std::max(kMinObservedFraction, 1 - std::exp(-age));
+  const double observed_fraction =
+      std::max(kMinObservedFraction, 1 - std::exp(-age));
   const double memory_ms =
-      seen * absl::ToDoubleMilliseconds(kDemandTimeConstant);
+      observed_fraction * absl::ToDoubleMilliseconds(kDemandTimeConstant);
   for (auto item = this->demand.begin(); item != this->demand.end();) {
     this->Decay(item->second);
-    if (item->second.sum_ms < kNothing) {
+    if (item->second.weighted_work_ms < kNegligibleWorkMs) {
       item = this->demand.erase(item);
       continue;
     }
-    result[item->first].load = item->second.sum_ms / memory_ms;
+    result[item->first].load = item->second.weighted_work_ms / memory_ms;
     ++item;
   }
   for (const auto& [incarnation, entry] : this->entries) {
--- a/dragonflyglade/gateway/report_hub.h
+++ b/dragonflyglade/gateway/report_hub.h
@@ -18,30 +18,31 @@
 
 namespace dragonflyglade::gateway {
 
-/// How much callers ask for a model or adapter now, over all instances.
+/// The present demand for a model or adapter, over all instances.
 struct FleetDemand {
   double load = 0;  ///< engine time: 1 keeps one engine busy
-  int waiting = 0;
+  int waiting = 0;  ///< requests that wait for it
 };
 
-/// Sums up what instances report, at the one that holds the placing duty, so
-/// that each instance sends one message and gets one instead of speaking to
-/// all others. What is kept is soft: a new holder knows all after a round of
-/// reports. One event loop.
+/// Aggregates the instances' reports at the leader, so that each instance
+/// exchanges one report and one summary instead of messages with all others.
+/// The state is not persistent: a new leader is complete after one round of
+/// reports. Used by one event loop.
 class ReportHub {
  public:
-  /// @param owners who spends quotas, which others keep up to date
-  /// @param spend_window how long what an instance spent still counts
-  ReportHub(const QuotaOwners& owners, absl::Duration spend_window,
+  /// @param owners the instances that share the quotas; updated by others
+  /// @param spend_window for how long spent tokens count
+  ReportHub(const QuotaOwners& participants, absl::Duration spend_window,
             Clock clock);
 
-  /// Takes a report in. Older ones than the last from the process are dropped.
+  /// Stores a report. One that is not newer than the process's last is ignored.
   void Take(const wire::InstanceReport& report);
 
-  /// What the others have at each target, and what all spent.
-  /// @param report the last one of the instance that asks
-  /// Complexity: O(targets); summing up, O(instances * targets), is done once
-  /// for all summaries of a moment.
+  /// A summary for one instance: the requests of all others at each target, and
+  /// the spending of all.
+  /// @param report the instance's last report
+  /// Complexity: O(targets). The sums, O(instances * targets), are computed
+  /// once for all summaries within a few milliseconds.
   wire::FleetSummary SummaryFor(const wire::InstanceReport& report);
 
   /// What all instances spent of a workspace's quota.
@@ -50,61 +51,65 @@
   /// What each process spent in the window.
   std::vector<ProcessSpend> SpendsByProcess();
 
-  /// Counts what processes spent that may have ended since, by the record of
-  /// the holder before.
+  /// Adds the spending from the previous leader's record, for processes that
+  /// have not reported to this leader and may have terminated.
   void TakeOver(const SpendRecord& record);
 
-  /// What is asked for, averaged over the last seconds.
+  /// The demand, averaged over the last seconds.
   std::map<ModelName, FleetDemand> Demand();
 
   /// Models and adapters that requests use now, as "model" or
   /// "model/adapter", by target.
   std::map<std::string, std::set<std::string>> ResidentsInUse() const;
 
-  /// The last reports of the instances heard lately.
+  /// The last report of each process whose reports are not overdue.
   std::vector<wire::InstanceReport> Reporters();
 
-  /// Forgets all; the duty went elsewhere.
+  /// Forgets all reports and demand, after the leader lease ended.
   void Clear();
 
  private:
-  struct Entry {
+  struct ProcessReport {
     wire::InstanceReport report;
-    Instant at;
-    bool taken_over = false;  ///< from a record, not from the process
+    Instant received_at;
+    bool from_record = false;  ///< from a spend record, not from the process
   };
-  struct Average {
-    double sum_ms = 0;
-    Instant at;
+  struct DemandAverage {
+    double weighted_work_ms = 0;  ///< decays with the time constant
+    Instant updated_at;
   };
 
-  /// What all instances that were heard have and spent together.
+  /// Totals over the processes: the spending in the window, and the requests
+  /// of those whose reports are not overdue.
   struct Sums {
     std::map<std::string, wire::TargetUse> uses;
     std::map<std::string, std::int64_t> spends;
-    std::map<std::string, std::int64_t> answers;  ///< by incarnation
+    /// Sequence of the last report in the totals, by incarnation.
+    std::map<std::string, std::int64_t> counted_reports;
     int instances = 0;
     double unknown_shares = 0;
     double missing_part = 0;
   };
 
   void UpdateSums();
-  std::int64_t Counted(const Entry& entry, std::int64_t tokens) const;
-  bool IsCurrent(const Entry& entry) const;
+  std::int64_t CountedTokens(const ProcessReport& entry,
+                             std::int64_t tokens) const;
+  bool IsCurrent(const ProcessReport& entry) const;
   void RemoveExpired();
   double UnknownShares() const;
   double MissingPart() const;
-  bool IsSuccessor(std::string_view incarnation, const Entry& entry) const;
-  void Decay(Average& average) const;
+  bool IsSuccessor(std::string_view incarnation,
+                   const ProcessReport& entry) const;
+  void Decay(DemandAverage& average) const;
 
-  const QuotaOwners& owners;
+  const QuotaOwners& participants;
   const absl::Duration spend_window;
   const Clock clock;
-  /// By incarnation: an instance that was started anew has forgotten what it
-  /// spent before, and the quota has not.
-  std::map<std::string, Entry, std::less<>> entries;
-  std::map<ModelName, Average> demand;
-  std::optional<Instant> demand_since;  ///< of the first request reported
+  /// By incarnation: a restarted instance no longer knows what it spent before,
+  /// which counts against the quota nevertheless.
+  std::map<std::string, ProcessReport, std::less<>> entries;
+  std::map<ModelName, DemandAverage> demand;
+  std::optional<Instant> demand_since;  ///< time of the first reported demand
   Sums sums;
   std::optional<Instant> sums_at;
 };
--- a/dragonflyglade/gateway/store_follower.cc
+++ b/dragonflyglade/gateway/store_follower.cc
@@ -10,32 +10,34 @@
 
 namespace {
 
-// A change must be in force two seconds after it was acknowledged. A silent
-// watch is given up after wait and answer time, and the next one, on a new
-// connection, answers at once: about 1.3 s in all. Shorter waits would cost
-// more calls, which the store counts.
+// A change must take effect within two seconds of its acknowledgement. A watch
+// without a response is abandoned after the watch duration plus the response
+// timeout, and the next one, on a new connection, returns immediately: about
+// 1.3 s in all. Shorter watches would need more calls, which the store limits.
 constexpr absl::Duration kWatchDuration = absl::Milliseconds(900);
 constexpr absl::Duration kResponseTimeout = absl::Milliseconds(300);
-// Others go by this instance's word, which is as old as its last answer.
+// For a relay: other instances rely on its digests, which are as old as the
+// store's last response to it.
 constexpr absl::Duration kRelayWatchDuration = absl::Milliseconds(600);
-// After changes the next watch waits a little, so that one call brings what
-// many targets write at about the same time. Without anybody to follow the
-// store for them, or while it does not answer, all instances together make
-// some hundred calls a second. Its return is noticed within the two seconds
-// that living targets have to enter themselves again.
+// Pauses after changes, so that one call returns what many targets write at
+// about the same time, and after failed calls. The pause per instance limits
+// all instances together to some hundred calls a second when no relay is live
+// or the store does not respond. The longest pause is well inside the two
+// seconds in which running targets register again after the store recovers.
 constexpr absl::Duration kMinReadPause = absl::Milliseconds(250);
 constexpr absl::Duration kPausePerInstance = absl::Milliseconds(3);
 constexpr absl::Duration kMaxReadPause = absl::Seconds(1);
-// How often a led instance looks at what is due by time.
+// Interval at which an instance that relies on a relay checks what depends on
+// time.
 constexpr absl::Duration kRelayCheckInterval = absl::Milliseconds(250);
-// A page of some hundred entries.
+// For one page of some hundred entries.
 constexpr absl::Duration kListTimeout = absl::Seconds(1);
-// Living targets are in the store again within two seconds of its return.
+// Running targets register again within two seconds after the store recovers.
 constexpr absl::Duration kReregistrationTime = absl::Milliseconds(2500);
 
-// Everything: targets, configuration and our own keys in one watch, since
-// each waiting call counts.
-constexpr const char* kAllKeys = "";
+// One watch covers targets, configuration and this program's own keys, since
+// the store counts each call that waits.
+constexpr const char* kAllKeysPrefix = "";
 
 std::string FailureText(const StoreReply& reply) {
   if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
@@ -50,12 +52,12 @@
 }  // namespace
 
 StoreFollower::StoreFollower(asio::io_context& context, StoreLink& store,
-                             FleetState& fleet, StoreNews& news,
+                             FleetState& fleet, StoreNews& sync_state,
                              std::string self, EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
-      news(news),
+      sync_state(sync_state),
       self(std::move(self)),
       log(log),
       clock(std::move(clock)) {}
@@ -79,43 +81,43 @@
   std::vector<StoreItem> items;
   std::optional<std::uint64_t> first_revision;
   std::string after;
-  bool more = true;
-  while (more) {
-    StoreCall call = StoreList{kAllKeys, after};
+  bool more_pages = true;
+  while (more_pages) {
+    StoreCall call = StoreList{kAllKeysPrefix, after};
     StoreReply reply = co_await this->store.Call(std::move(call), kListTimeout);
     auto* page = std::get_if<StorePage>(&reply);
     if (page == nullptr) {
       co_await this->HandleStoreFailure(FailureText(reply));
       co_return false;
     }
-    // Pages are not a snapshot. Watching from the first page's revision shows
-    // again what changed while later pages were read, and revisions make that
-    // harmless.
+    // The pages are no snapshot. The watch therefore starts at the first page's
+    // revision and returns changes again that later pages contain already;
+    // FleetState ignores them by their revisions.
     if (!first_revision.has_value()) first_revision = page->store_revision;
     for (StoreItem& item : page->items) items.push_back(std::move(item));
-    more = page->truncated && !items.empty();
-    if (more) after = items.back().key;
+    more_pages = page->truncated && !items.empty();
+    if (more_pages) after = items.back().key;
   }
   this->HandleStoreResponse();
   this->revision = *first_revision;
   this->details_incomplete = false;
   this->fleet.ApplyListing(items, this->revision);
-  this->news.Read(this->revision, this->fleet.UrgentRevision());
+  this->sync_state.Read(this->revision, this->fleet.UrgentRevision());
   this->log.Write("store", "listed",
                   {{"revision", this->revision},
                    {"items", static_cast<int>(items.size())}});
   co_return true;
 }
 
-// Those that follow the store for others read it themselves.
+// A relay reads the store itself.
 bool StoreFollower::IsLed() const {
-  return this->news.IsLed() && !this->fleet.FollowsStore(this->self);
+  return this->sync_state.IsLed() && !this->fleet.FollowsStore(this->self);
 }
 
 asio::awaitable<void> StoreFollower::WaitWhileRelayLive() {
-  while (this->IsLed() && !this->news.MustRead()) {
-    co_await this->news.Changed().Wait(kRelayCheckInterval);
-    // Targets whose time of grace ends while nothing is read.
+  while (this->IsLed() && !this->sync_state.MustRead()) {
+    co_await this->sync_state.Changed().Wait(kRelayCheckInterval);
+    // Targets whose grace period ends while nothing is read.
     this->fleet.Sweep();
   }
 }
@@ -127,13 +129,13 @@
                     kMaxReadPause);
 }
 
-// What others' word brought need not be read again. That leaves out what is not
-// urgent: adapters and kept weights of targets. Whoever follows the store may
-// come to give orders, and must know these.
+// Skips what digests contained. They omit changes that are not urgent: adapters
+// and cached weights of targets. A relay does not skip anything, since it may
+// become the leader, which needs these to give orders.
 void StoreFollower::SkipRelayedChanges() {
   if (this->fleet.FollowsStore(this->self)) return;
-  if (this->news.KnownThrough() <= this->revision) return;
-  this->revision = this->news.KnownThrough();
+  if (this->sync_state.KnownThrough() <= this->revision) return;
+  this->revision = this->sync_state.KnownThrough();
   this->details_incomplete = true;
 }
 
@@ -146,7 +148,7 @@
   const absl::Duration wait = this->fleet.FollowsStore(this->self)
                                   ? kRelayWatchDuration
                                   : kWatchDuration;
-  StoreCall call = StoreWatch{kAllKeys, this->revision, wait};
+  StoreCall call = StoreWatch{kAllKeysPrefix, this->revision, wait};
   const StoreReply reply =
       co_await this->store.Call(std::move(call), wait + kResponseTimeout);
   if (std::holds_alternative<StoreCompacted>(reply)) {
@@ -167,7 +169,7 @@
     }
   }
   this->revision = std::max(this->revision, events->store_revision);
-  this->news.Read(this->revision, this->fleet.UrgentRevision());
+  this->sync_state.Read(this->revision, this->fleet.UrgentRevision());
   if (!events->events.empty()) {
     co_await Sleep(this->context, this->PauseBetweenReads());
   }
@@ -183,12 +185,12 @@
   if (!this->StoreStayedAvailable()) this->fleet.StoreReturned();
 }
 
-// Entries lapse only while the store is away for all. If it turned away just
-// this instance and answered those that follow it throughout, what is missing
-// is gone, and believing in it for longer would send requests to a target that
-// left.
+// Entries of running targets expire only while the store is unavailable to all.
+// If it failed for this instance only and responded to the relays throughout,
+// targets whose entries are missing have left, and a grace period would send
+// requests to them.
 bool StoreFollower::StoreStayedAvailable() const {
-  return this->news.SteadyFor() > kReregistrationTime;
+  return this->sync_state.SteadyFor() > kReregistrationTime;
 }
 
 asio::awaitable<void> StoreFollower::HandleStoreFailure(std::string_view why) {
--- a/dragonflyglade/gateway/store_follower.h
+++ b/dragonflyglade/gateway/store_follower.h
@@ -16,27 +16,29 @@
 
 namespace dragonflyglade::gateway {
 
-/// Keeps the fleet state at the store's newest revision: lists once, then
-/// waits for changes; lists again when the history it needs is gone.
+/// Keeps the fleet state at the store's newest revision: lists the store once,
+/// then watches for changes, and lists it again when the history it needs has
+/// been compacted.
 ///
-/// Waits are short. A watch on a connection that went silent looks like a
-/// store where nothing happens, and only an answer that fails to come tells
-/// the two apart. While an instance that follows the store speaks, and brings
-/// the urgent changes, this one reads nothing: calls then do not grow with the
-/// instances. One event loop.
+/// Watch calls are short. A watch on a connection that stopped delivering data
+/// looks like a store without changes; only a missing response tells the two
+/// apart. While a relay is live and its digests contain all urgent changes,
+/// this instance reads nothing, so that the number of calls does not grow with
+/// the number of instances. Used by one event loop.
 class StoreFollower {
  public:
   /// @param self the name of this instance
   StoreFollower(boost::asio::io_context& context, StoreLink& store,
-                FleetState& fleet, StoreNews& news, std::string self,
+                FleetState& fleet, StoreNews& sync_state, std::string self,
                 EventLog& log, Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
 
-  /// Whether the last call was answered.
+  /// Whether the store responded to the last call.
   bool InContact() const { return !this->unreachable_since.has_value(); }
-  /// The revision that the state stands at, but for details of targets.
+  /// The revision of the fleet state. Changes that are not urgent may be
+  /// missing from it.
   std::uint64_t Revision() const { return this->revision; }
 
  private:
@@ -53,12 +55,12 @@
   boost::asio::io_context& context;
   StoreLink& store;
   FleetState& fleet;
-  StoreNews& news;
+  StoreNews& sync_state;
   const std::string self;
   EventLog& log;
   const Clock clock;
   std::uint64_t revision = 0;
-  /// Changes that are not urgent were left out up to the revision.
+  /// Whether changes up to the revision that are not urgent were skipped.
   bool details_incomplete = false;
   std::optional<Instant> unreachable_since;
 };
--- a/dragonflyglade/gateway/store_news.cc
+++ b/dragonflyglade/gateway/store_news.cc
@@ -6,14 +6,17 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// A word counts if its sender heard the store this lately. The sender's own
-// read may be silent for 1.2 s before it notices; with the datagram's way and
-// a read of our own a change is still in force within two seconds.
+// Age up to which a digest counts, since the store responded to its sender. The
+// sender may take 1.2 s to notice that its own read gets no response. With the
+// time of the datagram and of a read by this instance, a change still takes
+// effect within two seconds.
 constexpr absl::Duration kDigestMaxAge = absl::Milliseconds(1500);
-// Whoever follows the store hears it at least once a second.
+// The store responds to each relay at least once a second; a longer gap between
+// confirmations means that it was unavailable.
 constexpr absl::Duration kMaxConfirmationGap = absl::Milliseconds(1500);
-// The next word, each half a second at the latest, brings what is lacking or
-// some of it. If a second one fails to, it may not fit or be lost each time.
+// Digests arrive at least every half second, and the next one contains at least
+// some of the missing changes. If the second one does not, either the changes
+// do not fit into a datagram or each datagram is lost.
 constexpr absl::Duration kMaxLag = absl::Milliseconds(800);
 
 }  // namespace
@@ -28,20 +31,20 @@
   this->confirmed_at = this->clock.Now();
   this->known_through = std::max(this->known_through, revision);
   this->UpdateLag(true);
-  if (is_new && this->on_urgent) this->on_urgent();
+  if (is_new && this->on_urgent_change) this->on_urgent_change();
 }
 
-void StoreNews::Told(const StoreWord& word) {
-  const bool progress = word.changes_through > this->known_through;
-  this->known_through = std::max(this->known_through, word.changes_through);
+void StoreNews::Told(const StoreWord& digest) {
+  const bool progress = digest.changes_through > this->known_through;
+  this->known_through = std::max(this->known_through, digest.changes_through);
   this->relay_urgent_revision =
-      std::max(this->relay_urgent_revision, word.urgent_revision);
-  if (word.confirmed_at - this->relay_confirmed_at > kMaxConfirmationGap) {
-    this->store_up_since = word.confirmed_at;
+      std::max(this->relay_urgent_revision, digest.urgent_revision);
+  if (digest.confirmed_at - this->relay_confirmed_at > kMaxConfirmationGap) {
+    this->store_up_since = digest.confirmed_at;
   }
-  // Several speak, and some heard the store earlier than others.
+  // Digests of several relays arrive, and their confirmations differ in age.
   this->relay_confirmed_at =
-      std::max(this->relay_confirmed_at, word.confirmed_at);
+      std::max(this->relay_confirmed_at, digest.confirmed_at);
   this->UpdateLag(progress);
   this->changed.Notify();
 }
--- a/dragonflyglade/gateway/store_news.h
+++ b/dragonflyglade/gateway/store_news.h
@@ -11,63 +11,66 @@
 
 namespace dragonflyglade::gateway {
 
-/// What an instance that follows the store says of it.
+/// The state of the store as a relay instance reports it in a digest.
 struct StoreWord {
-  /// The newest revision with an urgent change: of the configuration, of which
-  /// targets and instances there are, or of the duty.
+  /// The newest revision with an urgent change: of the configuration, of the
+  /// set of targets and instances, or of the leader.
   std::uint64_t urgent_revision = 0;
-  /// Through which the changes that came with the word are all; 0: they are
-  /// not.
+  /// The revision through which the digest's changes are complete; 0 if some
+  /// may be missing.
   std::uint64_t changes_through = 0;
-  /// When the store last said that there is nothing newer.
+  /// When the store last confirmed to the relay that nothing is newer.
   Instant confirmed_at;
 };
 
-/// What this instance knows of the store, and how old that is: by its own
-/// reads, and by the word of instances that follow the store. One event loop.
+/// How far this instance's copy of the store is up to date, by its own reads
+/// and by the digests of relay instances. Used by one event loop.
 class StoreNews {
  public:
   StoreNews(boost::asio::io_context& context, Clock clock);
 
-  /// An own read brought all changes up to a revision.
+  /// Records that this instance has read all changes through a revision.
   /// @param urgent the newest revision with an urgent change
   void Read(std::uint64_t revision, std::uint64_t urgent);
 
-  /// Another instance's word came, and its changes were applied.
-  void Told(const StoreWord& word);
+  /// Records a digest of a relay, after its changes were applied.
+  void Told(const StoreWord& digest);
 
-  /// Called when an own read brought an urgent change.
-  void OnUrgent(std::function<void()> act) { this->on_urgent = std::move(act); }
+  /// Called when this instance's own read contained an urgent change.
+  void OnUrgent(std::function<void()> callback) {
+    this->on_urgent_change = std::move(callback);
+  }
 
-  /// By own reads: the newest urgent change, the revision through which all
-  /// changes are known, and when the store said so.
+  /// By this instance's own reads: the revision of the newest urgent change,
+  /// the revision through which all changes are known, and when the store
+  /// confirmed it.
   std::uint64_t UrgentRevision() const { return this->urgent_revision; }
   std::uint64_t ReadThrough() const { return this->read_through; }
   Instant ConfirmedAt() const { return this->confirmed_at; }
 
   /// The revision through which all urgent changes are known, by own reads or
-  /// by others' word.
+  /// by digests.
   std::uint64_t KnownThrough() const { return this->known_through; }
 
-  /// Whether an instance that follows the store spoke lately enough to rely on
-  /// its word.
+  /// Whether the newest digest is recent enough to get updates from relays
+  /// instead of the store.
   bool IsLed() const;
 
-  /// Whether others know of urgent changes that this instance lacks.
+  /// Whether relays have announced urgent changes that this instance lacks.
   bool IsBehind() const { return this->behind_since.has_value(); }
 
-  /// Whether it has lacked them for so long that they must be read.
+  /// Whether it has lacked them for so long that it must read the store.
   bool MustRead() const;
 
-  /// For how long the store has answered those that follow it, without a
-  /// pause; zero if nobody speaks for it.
+  /// For how long the store has responded to the relays without a gap; zero if
+  /// no relay is live.
   absl::Duration SteadyFor() const;
 
-  /// How old the newest word is, from when its sender heard the store;
-  /// unlimited if none came.
+  /// The time since the store confirmed the newest digest to its sender;
+  /// infinite if there is none.
   absl::Duration WordAge() const;
 
-  /// Notified at each word.
+  /// Notified at each digest.
   Signal& Changed() { return this->changed; }
 
  private:
@@ -79,13 +82,13 @@
   Instant confirmed_at;
   std::uint64_t known_through = 0;
 
-  std::uint64_t relay_urgent_revision = 0;  ///< urgent, by others' word
+  std::uint64_t relay_urgent_revision = 0;  ///< by digests
   Instant relay_confirmed_at = -absl::InfiniteDuration();
   Instant store_up_since;
   std::optional<Instant> behind_since;
 
   Signal changed;
-  std::function<void()> on_urgent;
+  std::function<void()> on_urgent_change;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -14,32 +14,35 @@
 
 namespace {
 
-// A summary of 160 engines has some 24 KB beside it, and a datagram 64.
+// A datagram takes 64 KB, and a summary of 160 engines has some 24 KB besides
+// the packed changes.
 constexpr std::size_t kMaxPackedBytes = std::size_t{32} * 1024;
-// The holder reads the store each 0.6 s and speaks each half a second. When its
-// word is older than that, it is lost, or the store is lost to it, and another
-// follower's word is here before this one is too old.
+// The leader gets a response of the store every 0.6 s and sends a digest every
+// 0.5 s. An older digest means that the leader is unreachable, or that the
+// store is unreachable for it. Another relay's digest then arrives before the
+// last one is too old to be used.
 constexpr absl::Duration kDigestStaleAfter = absl::Milliseconds(1150);
 constexpr absl::Duration kQueryInterval = absl::Milliseconds(250);
-// Who asked this lately is told of changes as they come.
+// A query subscribes its sender to changes for this long.
 constexpr absl::Duration kSubscriptionDuration = absl::Milliseconds(1000);
 
 }  // namespace
 
 StoreRelay::StoreRelay(asio::io_context& context, FleetState& fleet,
-                       StoreNews& news, InstanceRecord self, Metrics& metrics,
-                       EventLog& log, Clock clock)
+                       StoreNews& sync_state, InstanceRecord self,
+                       Metrics& metrics, EventLog& log, Clock clock)
     : context(context),
       fleet(fleet),
-      news(news),
+      sync_state(sync_state),
       self(std::move(self)),
       metrics(metrics),
       log(log),
       clock(std::move(clock)) {}
 
-// Most instances know the same revision, and packing costs some milliseconds
-// of a small machine for a large configuration.
-const StoreRelay::Packed* StoreRelay::PackedChangesSince(std::uint64_t known) {
+// Packed changes are cached by revision: most instances know the same one, and
+// packing a large configuration takes some milliseconds on a small machine.
+const StoreRelay::PackedDigestChanges* StoreRelay::PackedChangesSince(
+    std::uint64_t known) {
   const RecentChanges& recent = this->fleet.Recent();
   if (recent.Version() != this->packed_version) this->packed.clear();
   this->packed_version = recent.Version();
@@ -47,7 +50,7 @@
   if (found != this->packed.end()) return &found->second;
   const std::optional<std::vector<StoreEvent>> changes = recent.Since(known);
   if (!changes.has_value()) return nullptr;
-  Packed packed;
+  PackedDigestChanges packed;
   PackedChanges bytes = PackChanges(*changes, kMaxPackedBytes);
   packed.whole = bytes.count == changes->size();
   if (bytes.count > 0) packed.last = (*changes)[bytes.count - 1].item.revision;
@@ -56,19 +59,22 @@
 }
 
 wire::StoreDigest StoreRelay::DigestFor(std::uint64_t known) {
-  const Packed* changes = this->PackedChangesSince(known);
+  const PackedDigestChanges* changes = this->PackedChangesSince(known);
   if (changes == nullptr) return this->DigestOf("");
   wire::StoreDigest digest = this->DigestOf(changes->bytes);
   digest.changes_through = static_cast<std::int64_t>(
-      changes->whole ? this->news.ReadThrough() : changes->last);
+      changes->complete ? this->sync_state.ReadThrough() : changes->last);
   return digest;
 }
 
 void StoreRelay::TakeDigest(const wire::StoreDigest& digest) {
-  StoreWord word;
-  word.urgent_revision = static_cast<std::uint64_t>(digest.urgent_revision);
-  word.confirmed_at = this->clock.Now() - absl::Milliseconds(digest.age_ms);
-  word.changes_through = static_cast<std::uint64_t>(digest.changes_through);
+  StoreWord relay_digest;
+  relay_digest.urgent_revision =
+      static_cast<std::uint64_t>(digest.urgent_revision);
+  relay_digest.confirmed_at =
+      this->clock.Now() - absl::Milliseconds(digest.age_ms);
+  relay_digest.changes_through =
+      static_cast<std::uint64_t>(digest.changes_through);
   if (!digest.changes.empty()) {
     const auto changes = UnpackChanges(digest.changes);
     if (!changes.has_value()) {
@@ -83,12 +89,13 @@
       }
     }
   }
-  const std::uint64_t known = this->news.KnownThrough();
-  this->news.Told(word);
-  // Not all fitted into one datagram.
-  const bool more = this->news.IsBehind() && this->news.KnownThrough() > known;
-  if (more) this->Ask();
-  if (this->on_taken) this->on_taken();
+  const std::uint64_t known = this->sync_state.KnownThrough();
+  this->sync_state.Told(relay_digest);
+  // The changes did not all fit into one datagram; the next query gets more.
+  const bool more_available =
+      this->sync_state.IsBehind() && this->sync_state.KnownThrough() > known;
+  if (more_available) this->QueryNextRelay();
+  if (this->on_digest_applied) this->on_digest_applied();
 }
 
 std::string StoreRelay::PackDuty() const {
@@ -100,13 +107,13 @@
   return PackChanges(*changes, kMaxPackedBytes).bytes;
 }
 
-// That its changes are all there is not said: the receiver may lack others.
+// changes_through stays 0, since the receiver may lack other changes.
 wire::StoreDigest StoreRelay::DigestOf(std::string changes) const {
   wire::StoreDigest digest;
   digest.urgent_revision =
-      static_cast<std::int64_t>(this->news.UrgentRevision());
-  digest.age_ms =
-      absl::ToInt64Milliseconds(this->clock.Now() - this->news.ConfirmedAt());
+      static_cast<std::int64_t>(this->sync_state.UrgentRevision());
+  digest.age_ms = absl::ToInt64Milliseconds(this->clock.Now() -
+                                            this->sync_state.ConfirmedAt());
   digest.changes = std::move(changes);
   return digest;
 }
@@ -119,51 +126,53 @@
 
 void StoreRelay::TakeQuestion(const wire::StoreQuestion& question) {
   const auto known = static_cast<std::uint64_t>(question.known);
-  this->askers[question.address] = {known, this->clock.Now()};
+  this->subscribers[question.address] = {known, this->clock.Now()};
   this->SendDigest(known, question.address);
 }
 
 void StoreRelay::TellAskers() {
   const Instant now = this->clock.Now();
-  for (auto asker = this->askers.begin(); asker != this->askers.end();) {
-    if (now - asker->second.at > kSubscriptionDuration) {
-      asker = this->askers.erase(asker);
+  for (auto subscriber = this->subscribers.begin();
+       subscriber != this->subscribers.end();) {
+    if (now - subscriber->second.at > kSubscriptionDuration) {
+      subscriber = this->subscribers.erase(subscriber);
       continue;
     }
-    this->SendDigest(asker->second.known, asker->first);
-    ++asker;
+    this->SendDigest(subscriber->second.known, subscriber->first);
+    ++subscriber;
   }
 }
 
-bool StoreRelay::IsFollower() const {
+bool StoreRelay::IsRelay() const {
   return this->fleet.FollowsStore(this->self.name);
 }
 
 asio::awaitable<void> StoreRelay::AskWhileSilent() {
   while (true) {
     co_await Sleep(this->context, kQueryInterval);
-    if (!this->IsFollower() && this->news.WordAge() > kDigestStaleAfter)
-      this->Ask();
-    if (this->news.IsLed() == this->led) continue;
-    this->led = this->news.IsLed();
-    this->log.Write("store", this->led ? "led" : "not led",
-                    {{"known_through", this->news.KnownThrough()},
-                     {"behind", this->news.IsBehind()}});
+    if (!this->IsRelay() && this->sync_state.WordAge() > kDigestStaleAfter)
+      this->QueryNextRelay();
+    if (this->sync_state.IsLed() == this->had_live_relay) continue;
+    this->had_live_relay = this->sync_state.IsLed();
+    this->log.Write("store", this->had_live_relay ? "led" : "not led",
+                    {{"known_through", this->sync_state.KnownThrough()},
+                     {"behind", this->sync_state.IsBehind()}});
   }
 }
 
-// In turn, since one of them may be dead, or cut off from here.
-void StoreRelay::Ask() {
-  const std::vector<const InstanceRecord*>& followers = this->fleet.Followers();
-  if (followers.empty()) return;
-  const InstanceRecord* follower = followers[this->turn % followers.size()];
-  this->turn += 1;
+// Queries the relays in turn, since one may have terminated or be unreachable
+// from here.
+void StoreRelay::QueryNextRelay() {
+  const std::vector<const InstanceRecord*>& relays = this->fleet.Followers();
+  if (relays.empty()) return;
+  const InstanceRecord* relay = relays[this->next_relay % relays.size()];
+  this->next_relay += 1;
   wire::FleetMessage message;
   wire::StoreQuestion question;
   question.address = this->self.peers;
-  question.known = static_cast<std::int64_t>(this->news.KnownThrough());
+  question.known = static_cast<std::int64_t>(this->sync_state.KnownThrough());
   message.__set_store_question(std::move(question));
-  this->send(message, follower->peers);
+  this->send(message, relay->peers);
   this->metrics.Count("store_questions");
 }
 
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -20,79 +20,91 @@
 
 namespace dragonflyglade::gateway {
 
-/// Hands the store's urgent changes on from the instances that follow it to
-/// all others, so that reads of the store do not grow with the fleet.
+/// Passes the store's urgent changes from the relay instances, which watch the
+/// store, to all others, so that the load on the store does not grow with the
+/// fleet.
 ///
-/// The holder of the placing duty gives a digest with each summary. While it
-/// is silent, instances ask the other followers, which are few and strong, and
-/// read the store themselves only when none of these speaks. One event loop.
+/// The leader sends a digest with each summary. While the leader is
+/// unresponsive, instances query the other relays, which are few and of high
+/// capacity, and read the store themselves only when no relay responds. Used by
+/// one event loop.
 class StoreRelay {
  public:
   using SendMessage = std::function<void(const wire::FleetMessage& message,
                                          const std::string& address)>;
 
   StoreRelay(boost::asio::io_context& context, FleetState& fleet,
-             StoreNews& news, InstanceRecord self, Metrics& metrics,
+             StoreNews& sync_state, InstanceRecord self, Metrics& metrics,
              EventLog& log, Clock clock);
 
-  /// How messages leave; set once, before anything else is called.
+  /// Sets the function that sends messages; to be called before all others.
   void OnSend(SendMessage send) { this->send = std::move(send); }
-  /// Called after another instance's word was applied.
-  void OnTaken(std::function<void()> act) { this->on_taken = std::move(act); }
-
-  /// What an instance lacks that knows all urgent changes through a revision.
+  /// Called after a digest of another instance was applied.
+  void OnTaken(std::function<void()> callback) {
+    this->on_digest_applied = std::move(callback);
+  }
+
+  /// A digest with the urgent changes after a revision.
+  /// @param known the revision through which the receiver knows all urgent
+  ///   changes
   wire::StoreDigest DigestFor(std::uint64_t known);
 
-  /// Applies what another instance says.
+  /// Applies the changes and the revisions of another instance's digest.
   void TakeDigest(const wire::StoreDigest& digest);
 
-  /// Answers an instance that asks.
+  /// Responds to a query with a digest and subscribes the sender to changes for
+  /// a short time.
   void TakeQuestion(const wire::StoreQuestion& question);
 
-  /// Tells those that asked lately what is new.
+  /// Sends a digest to each subscriber.
   void TellAskers();
 
-  /// Sends an instance what it lacks.
+  /// Sends a digest with the urgent changes after a revision.
   void SendDigest(std::uint64_t known, const std::string& address);
 
-  /// Who holds the placing duty, packed, for any number of DigestOf.
+  /// The change that made the present leader, packed; serves any number of
+  /// DigestOf calls.
   std::string PackDuty() const;
-  /// Packed changes for instances of which it is not known what else they know.
+  /// A digest with packed changes, for receivers whose known revision is not
+  /// known here.
   wire::StoreDigest DigestOf(std::string changes) const;
 
-  /// Asks other followers while nobody speaks; runs until the process ends.
+  /// Queries the relays while the newest digest is stale; runs until the
+  /// process ends.
   boost::asio::awaitable<void> AskWhileSilent();
 
  private:
-  /// Changes packed for all that know the same revision.
-  struct Packed {
+  /// Changes packed for all receivers that know the same revision.
+  struct PackedDigestChanges {
     std::string bytes;
-    std::uint64_t last = 0;  ///< revision of the last change in it
-    bool whole = true;       ///< no change had to be left out
+    std::uint64_t last = 0;  ///< revision of the last packed change
+    bool complete = true;    ///< whether all changes fitted
   };
-  struct Asker {
-    std::uint64_t known = 0;
+  /// An instance that queried this one recently.
+  struct Subscriber {
+    std::uint64_t known = 0;  ///< revision of the query
     Instant at;
   };
 
-  const Packed* PackedChangesSince(std::uint64_t known);
-  void Ask();
-  bool IsFollower() const;
+  const PackedDigestChanges* PackedChangesSince(std::uint64_t known);
+  void QueryNextRelay();
+  bool IsRelay() const;
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  StoreNews& news;
+  StoreNews& sync_state;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
   const Clock clock;
   SendMessage send;
-  std::function<void()> on_taken;
+  std::function<void()> on_digest_applied;
   std::uint64_t packed_version = 0;
-  std::map<std::uint64_t, Packed> packed;  ///< by the known revision
-  std::map<std::string, Asker> askers;     ///< by address
-  std::size_t turn = 0;                    ///< whom to ask next
-  bool led = false;                        ///< as logged last
+  std::map<std::uint64_t, PackedDigestChanges>
+      packed;                                     ///< by the known revision
+  std::map<std::string, Subscriber> subscribers;  ///< by address
+  std::size_t next_relay = 0;   ///< index of the next relay to query
+  bool had_live_relay = false;  ///< as last logged
 };
 
 }  // namespace dragonflyglade::gateway
