--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -61,7 +61,7 @@
            wire.target_fields = fault.Wrap(wire.target_fields);
          },
          500},
-        {"when the response is decoded",
+        {"when its answer is decoded",
          [](const InjectedFault& fault, WireFormat& wire) {
            wire.decode_answer = fault.Wrap(wire.decode_answer);
          },
--- a/tests/platform/platform-placement.cc
+++ b/tests/platform/platform-placement.cc
@@ -119,8 +119,8 @@
     };
     const std::vector<OrderCase> cases = {
         {"the encoder throws", throwing, "m/a7"},
-        {"the adapter's name is not UTF-8", platform::MakeWireFormat(),
-         "m/a\xff"},
+        {"the caller's adapter name is not UTF-8 text",
+         platform::MakeWireFormat(), "m/a\xff"},
     };
     for (const OrderCase& item : cases) {
       Stage::Options options;
--- a/tests/unit/unit-fleet-news.cc
+++ b/tests/unit/unit-fleet-news.cc
@@ -46,7 +46,7 @@
     };
     const std::vector<Case> cases = {
         {"nothing listed yet", std::nullopt, {Change("a", 11)}, 10, {}},
-        {"before the first listing", 10, {Change("a", 11)}, 9, {}},
+        {"behind the first listing", 10, {Change("a", 11)}, 9, {}},
         {"at the first listing", 10, {Change("a", 11)}, 10, 1},
         {"up to date", 10, {Change("a", 11)}, 11, 0},
         {"between two changes", 10, {Change("a", 11), Change("b", 13)}, 12, 1},
