--- a/tests/unit/unit-store-relay.cc
+++ b/tests/unit/unit-store-relay.cc
@@ -171,7 +171,7 @@
          {Item(kConfigKey, 2, Configuration(kModels))},
          true,
          1},
-        {"a configuration of 2,000 models",
+        {"a configuration, this one of 2,000 models",
          {Item(kConfigKey, 2, Configuration(kManyModels))},
          true,
          1},
@@ -181,13 +181,13 @@
           Item(kConfigKey, 4, Configuration(kModels + 2))},
          true,
          1},
-        {"changes that need several digests",
+        {"changes that need several messages",
          {Item("a", 2, RandomBytes(kRandomBytes, 1)),
           Item("b", 3, RandomBytes(kRandomBytes, 2)),
           Item("c", 4, RandomBytes(kRandomBytes, 3))},
          true,
          4},
-        {"a change that fits into no digest",
+        {"a change that fits into no message",
          {Item("a", 2, RandomBytes(4 * kRandomBytes, 1))},
          false,
          1},
@@ -223,11 +223,11 @@
     fleet.ApplyRead(0, {}, 1);
     StoreRelay& relay = fleet.instances[0]->relay;
     wire::StoreQuestion question;
-    question.address = "subscriber";
+    question.address = "asker";
     question.known = 1;
     relay.TakeQuestion(question);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.sent.size());
-    CPPUNIT_ASSERT_EQUAL(std::string("subscriber"), fleet.sent[0].address);
+    CPPUNIT_ASSERT_EQUAL(std::string("asker"), fleet.sent[0].address);
     CPPUNIT_ASSERT(fleet.sent[0].message.store.changes.empty());
     fleet.ApplyRead(0, {Item("k", 2, "v")}, 2);
     relay.TellAskers();
