--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -22,8 +22,8 @@
 constexpr absl::Duration kListingPollInterval = absl::Milliseconds(20);
 // Interval at which this instance checks whether there is a leader.
 constexpr absl::Duration kLeaderCheckInterval = absl::Milliseconds(250);
-// Delay of each further candidate relative to the one before it: longer than
-// the store call of that candidate takes, so that normally only one writes.
+// How much later than the one before it each further candidate tries: longer
+// than a store call takes, so that normally only the first one writes.
 constexpr absl::Duration kCandidacyStep = absl::Milliseconds(100);
 constexpr int kMaxCandidacySteps = 10;
 
