--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -52,7 +52,7 @@
   if (!changes.has_value()) return nullptr;
   PackedDigestChanges packed;
   PackedChanges bytes = PackChanges(*changes, kMaxPackedBytes);
-  packed.whole = bytes.count == changes->size();
+  packed.complete = bytes.count == changes->size();
   if (bytes.count > 0) packed.last = (*changes)[bytes.count - 1].item.revision;
   packed.bytes = std::move(bytes.bytes);
   return &this->packed.emplace(known, std::move(packed)).first->second;
