--- a/dragonflyglade/gateway/quota_desk.cc
+++ b/dragonflyglade/gateway/quota_desk.cc
@@ -11,10 +11,10 @@
 
 // A decision takes one message each way, 1 to 3 ms within a region, plus the
 // leader's processing time. The second attempt covers a lost datagram.
-constexpr absl::Duration kAskTimeout = absl::Milliseconds(45);
-constexpr int kAskAttempts = 2;
-// After a timeout the leader is not asked for this long. Otherwise each request
-// would wait for the timeout while the leader is replaced.
+constexpr absl::Duration kQueryTimeout = absl::Milliseconds(45);
+constexpr int kQueryAttempts = 2;
+// After a timeout the leader is not queried for this long. Otherwise each
+// request would wait for the timeout while the leader is replaced.
 constexpr absl::Duration kLeaderRetryDelay = absl::Milliseconds(400);
 // A denial is reused for requests of at least the same size for this long.
 // Otherwise each request of a workspace that floods would cost the leader a
@@ -24,7 +24,7 @@
 // they learn of it within some hundred milliseconds, and their next reports
 // follow within half a second.
 constexpr absl::Duration kReportsCollectionTime = absl::Seconds(1);
-// While the leader cannot be asked, callers that retry sooner are refused
+// While the leader cannot be queried, callers that retry sooner are refused
 // again, and most retry only once. A leader is replaced within about a second.
 constexpr absl::Duration kLeaderReplacementTime = absl::Milliseconds(800);
 
@@ -91,9 +91,9 @@
   if (denial.has_value()) {
     verdict = *denial;
     by = "holder before";
-  } else if (this->MayAskLeader()) {
+  } else if (this->MayQueryLeader()) {
     const std::optional<QuotaVerdict> decision =
-        co_await this->Ask(workspace, tokens);
+        co_await this->QueryLeader(workspace, tokens);
     this->metrics.Count("quota_asks", !decision.has_value() ? "answer=\"none\""
                                       : decision->admitted
                                           ? "answer=\"granted\""
@@ -125,7 +125,7 @@
   return verdict;
 }
 
-bool QuotaDesk::MayAskLeader() const {
+bool QuotaDesk::MayQueryLeader() const {
   if (!this->fleet.Duty().has_value()) return false;
   return !this->leader_unresponsive_since.has_value() ||
          this->clock.Now() - *this->leader_unresponsive_since >
@@ -146,7 +146,7 @@
   return verdict;
 }
 
-asio::awaitable<std::optional<QuotaVerdict>> QuotaDesk::Ask(
+asio::awaitable<std::optional<QuotaVerdict>> QuotaDesk::QueryLeader(
     std::string workspace, double tokens) {
   const std::int64_t number = ++this->last_number;
   const std::string address = this->fleet.Duty()->instance.peers;
@@ -166,18 +166,19 @@
   ask.workspace = workspace;
   ask.tokens = static_cast<std::int64_t>(tokens);
   message.__set_ask(std::move(ask));
-  PendingAsk& ask_state =
-      this->pending_asks.try_emplace(number, this->context).first->second;
-  for (int i = 0; i < kAskAttempts && !ask_state.verdict.has_value(); ++i) {
+  PendingQuery& pending_query =
+      this->pending_queries.try_emplace(number, this->context).first->second;
+  for (int i = 0; i < kQueryAttempts && !pending_query.verdict.has_value();
+       ++i) {
     this->send(message, address);
-    co_await ask_state.decided.Wait(kAskTimeout);
+    co_await pending_query.decided.Wait(kQueryTimeout);
   }
-  const std::optional<QuotaVerdict> verdict = ask_state.verdict;
+  const std::optional<QuotaVerdict> verdict = pending_query.verdict;
   if (verdict.has_value() && verdict->admitted) {
     this->quotas.Granted(workspace, tokens);
   }
   // A grant that arrives later is ignored, and its tokens are not spent.
-  this->pending_asks.erase(number);
+  this->pending_queries.erase(number);
   if (!verdict.has_value()) {
     this->leader_unresponsive_since = this->clock.Now();
     co_return std::nullopt;
@@ -260,8 +261,8 @@
   if (!leader.has_value() || leader->instance.incarnation != grant.holder) {
     return;
   }
-  const auto found = this->pending_asks.find(grant.number);
-  if (found == this->pending_asks.end()) return;
+  const auto found = this->pending_queries.find(grant.number);
+  if (found == this->pending_queries.end()) return;
   QuotaVerdict verdict;
   verdict.admitted = grant.granted;
   verdict.retry_after = absl::Milliseconds(grant.retry_after_ms);
@@ -275,8 +276,9 @@
 }
 
 std::int64_t QuotaDesk::SettledThrough() const {
-  return this->pending_asks.empty() ? this->last_number
-                                    : this->pending_asks.begin()->first - 1;
+  return this->pending_queries.empty()
+             ? this->last_number
+             : this->pending_queries.begin()->first - 1;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/quota_desk.h
+++ b/dragonflyglade/gateway/quota_desk.h
@@ -25,8 +25,8 @@
 namespace dragonflyglade::gateway {
 
 /// Admits requests to workspaces' quotas: out of this instance's own share, or
-/// by asking the leader, which knows what all instances spent. As leader,
-/// decides on the other instances' asks. Used by one event loop.
+/// by a query to the leader, which knows what all instances spent. As leader,
+/// decides on the other instances' queries. Used by one event loop.
 class QuotaDesk {
  public:
   using TimeOfDay = std::function<absl::Time()>;
@@ -55,9 +55,9 @@
     this->quotas.GiveBack(workspace, tokens);
   }
 
-  /// As leader: decides on another instance's ask and sends the decision.
+  /// As leader: decides on another instance's query and sends the decision.
   void TakeAsk(const wire::QuotaAsk& ask);
-  /// Applies the leader's decision on an ask of this instance.
+  /// Applies the leader's decision on a query of this instance.
   void TakeGrant(const wire::QuotaGrant& grant);
 
   /// As leader: removes the grants that a process's report counts as spent.
@@ -69,17 +69,18 @@
   /// Forgets all unreported grants, after the leader lease ended.
   void Clear() { this->unreported_grants.Clear(); }
 
-  /// The number through which all asks of this process have an outcome: their
-  /// grants are counted as spent or will never be used.
+  /// The number through which all queries of this process have an outcome:
+  /// their grants are counted as spent or will never be used.
   std::int64_t SettledThrough() const;
 
  private:
-  /// An ask that waits for the leader's decision.
-  struct PendingAsk {
+  /// A query that waits for the leader's decision.
+  struct PendingQuery {
     std::optional<QuotaVerdict> verdict;
     Signal decided;
 
-    explicit PendingAsk(boost::asio::io_context& context) : decided(context) {}
+    explicit PendingQuery(boost::asio::io_context& context)
+        : decided(context) {}
   };
   /// The leader's last denial for a workspace, which is reused for a short time
   /// for requests of at least the same size.
@@ -88,13 +89,14 @@
     double tokens = 0;
   };
 
-  /// Decides by this instance's own knowledge, when the leader cannot be asked.
+  /// Decides by this instance's own knowledge, when the leader cannot be
+  /// queried.
   QuotaVerdict AdmitWithoutLeader(const std::string& workspace,
                                   const QuotaLimit& limit, double tokens);
-  /// Asks the leader, and counts what it grants.
+  /// Queries the leader, and counts what it grants.
   /// @return nothing if no decision arrived in time
-  boost::asio::awaitable<std::optional<QuotaVerdict>> Ask(std::string workspace,
-                                                          double tokens);
+  boost::asio::awaitable<std::optional<QuotaVerdict>> QueryLeader(
+      std::string workspace, double tokens);
   std::optional<QuotaVerdict> RecentDenial(std::string_view workspace,
                                            double tokens) const;
   void ApplySpendRecord();
@@ -105,7 +107,7 @@
                                      const std::string& workspace,
                                      double tokens);
   bool HasEnoughReports(const FleetSpend& spend);
-  bool MayAskLeader() const;
+  bool MayQueryLeader() const;
 
   boost::asio::io_context& context;
   FleetState& fleet;
@@ -121,7 +123,7 @@
   QuotaLedger unreported_grants;
   SendMessage send;
   std::int64_t last_number = 0;
-  std::map<std::int64_t, PendingAsk> pending_asks;
+  std::map<std::int64_t, PendingQuery> pending_queries;
   std::map<std::string, Denial, std::less<>> denials;
   std::optional<Instant> leader_unresponsive_since;
   bool spend_record_checked = false;  ///< whether the initial one was applied
