--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -111,11 +111,11 @@
       co_await Sleep(this->context, kReportInterval);
       continue;
     }
-    this->Take(std::string_view(buffer.data(), received_bytes));
+    this->ReceiveDatagram(std::string_view(buffer.data(), received_bytes));
   }
 }
 
-void FleetChannel::Take(std::string_view datagram) {
+void FleetChannel::ReceiveDatagram(std::string_view datagram) {
   const auto message = DecodeThrift<wire::FleetMessage>(datagram);
   if (!message.has_value()) {
     this->metrics.Count("unreadable_datagrams");
@@ -231,10 +231,10 @@
     for (const std::string& target : report.refusing)
       this->on_connection_refused(target);
   }
-  this->Answer(report);
+  this->RespondToReport(report);
 }
 
-void FleetChannel::Answer(const wire::InstanceReport& report) {
+void FleetChannel::RespondToReport(const wire::InstanceReport& report) {
   if (!IsStandby(report)) {
     this->SendSummary(report);
     return;
@@ -338,7 +338,7 @@
         reporters.begin(), reporters.end(),
         [](const wire::InstanceReport& one) { return !IsStandby(one); });
     const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
-      this->Answer(reporters[index]);
+      this->RespondToReport(reporters[index]);
     };
     co_await this->ForEachPaced(reporters.size(), send_to);
   }
@@ -365,8 +365,8 @@
   if (!leader.has_value() || leader->instance.incarnation != summary.holder) {
     return;
   }
-  // The digest may change the leader's entry, which invalidates the reference
-  // leader; it is not used below.
+  // The digest may change the leader's entry, so that the reference leader is
+  // not used below.
   const bool own = summary.holder == this->self.incarnation;
   this->ApplyTargetUses(summary);
   this->ApplyHoldings(summary);
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -96,12 +96,12 @@
   boost::asio::awaitable<void> SendToReporters();
   boost::asio::awaitable<void> ForEachPaced(
       std::size_t count, const std::function<void(std::size_t)>& send_to);
-  void Answer(const wire::InstanceReport& report);
+  void RespondToReport(const wire::InstanceReport& report);
   wire::InstanceReport MakeReport();
   bool BroadcastsSentPrompts() const;
   boost::asio::awaitable<void> SendPromptNote();
   void ReceiveSendNote(const wire::SendNote& note);
-  void Take(std::string_view datagram);
+  void ReceiveDatagram(std::string_view datagram);
   void ReceiveReport(const wire::InstanceReport& report);
   void ReceiveSummary(const wire::FleetSummary& summary);
   void SendSummary(const wire::InstanceReport& report);
