--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -8,8 +8,8 @@
 #include <set>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
-#include "dragonflyglade/gateway/thrift_text.h"
+#include "dragonflyglade/gateway/catch_exception.h"
+#include "dragonflyglade/gateway/thrift_codec.h"
 #include "dragonflyglade/net/endpoint.h"
 
 namespace dragonflyglade::gateway {
@@ -64,13 +64,12 @@
 
 }  // namespace
 
-FleetChannel::FleetChannel(asio::io_context& context, udp::socket& socket,
-                           FleetState& fleet, ModelDemand& demand,
-                           QuotaWindows& quotas, QuotaDesk& quota_admission,
-                           ReportHub& aggregator, const DutyLease& leader_lease,
-                           InstanceRecord self, bool first_start,
-                           StoreNews& sync_state, StoreRelay& relay,
-                           Metrics& metrics, Tasks& tasks, Clock clock)
+FleetChannel::FleetChannel(
+    asio::io_context& context, udp::socket& socket, FleetState& fleet,
+    ModelDemand& demand, QuotaWindows& quotas, QuotaAdmission& quota_admission,
+    ReportAggregator& aggregator, const LeaderLease& leader_lease,
+    InstanceRecord self, bool first_start, StoreSyncState& sync_state,
+    StoreRelay& relay, Metrics& metrics, Tasks& tasks, Clock clock)
     : context(context),
       socket(socket),
       fleet(fleet),
@@ -95,8 +94,8 @@
   };
   this->quota_admission.OnSend(send);
   this->relay.OnSend(send);
-  this->relay.OnTaken([this] { this->CheckLeaderChange(); });
-  this->sync_state.OnUrgent([this] { this->SendUrgentChanges(); });
+  this->relay.OnDigestApplied([this] { this->CheckLeaderChange(); });
+  this->sync_state.OnUrgentChange([this] { this->SendUrgentChanges(); });
 }
 
 asio::awaitable<void> FleetChannel::Receive() {
@@ -123,12 +122,13 @@
   }
   if (message->__isset.report) this->ReceiveReport(message->report);
   if (message->__isset.summary) this->ReceiveSummary(message->summary);
-  if (message->__isset.ask) this->quota_admission.TakeAsk(message->ask);
-  if (message->__isset.grant) this->quota_admission.TakeGrant(message->grant);
+  if (message->__isset.ask) this->quota_admission.ReceiveAsk(message->ask);
+  if (message->__isset.grant)
+    this->quota_admission.ReceiveGrant(message->grant);
   if (message->__isset.note) this->ReceiveSendNote(message->note);
-  if (message->__isset.store) this->relay.TakeDigest(message->store);
+  if (message->__isset.store) this->relay.ReceiveDigest(message->store);
   if (message->__isset.store_question) {
-    this->relay.TakeQuestion(message->store_question);
+    this->relay.ReceiveQuestion(message->store_question);
   }
 }
 
@@ -138,7 +138,7 @@
     message.__set_report(this->MakeReport());
     const absl::Duration interval =
         absl::Milliseconds(message.report.interval_ms);
-    const std::optional<DutyHolder> leader = this->fleet.Duty();
+    const std::optional<LeaderRecord> leader = this->fleet.Leader();
     if (leader.has_value()) {
       if (leader->instance.incarnation == this->self.incarnation) {
         this->ReceiveReport(message.report);
@@ -197,7 +197,7 @@
       static_cast<std::int64_t>(this->sync_state.KnownThrough());
   // An instance without requests must know for how long it has been listed,
   // too: the leader computes its share from that.
-  this->quota_admission.FollowInstances();
+  this->quota_admission.UpdateParticipants();
   report.listed = this->fleet.IsListed(this->self.name);
   report.listed_ms = absl::ToInt64Milliseconds(
       std::min(kUnlimitedAge, this->quotas.ListedFor()));
@@ -249,12 +249,12 @@
   wire::FleetSummary summary = this->aggregator.SummaryFor(report);
   for (wire::WorkspaceSpend& spend : summary.spends) {
     spend.tokens += static_cast<std::int64_t>(
-        this->quota_admission.OpenGrants(spend.workspace));
+        this->quota_admission.UnreportedGrantTokens(spend.workspace));
   }
   summary.holder = this->self.incarnation;
   summary.fence = static_cast<std::int64_t>(this->leader_lease.Fence());
-  summary.store =
-      this->relay.DigestFor(static_cast<std::uint64_t>(report.store_revision));
+  summary.store = this->relay.DigestSince(
+      static_cast<std::uint64_t>(report.store_revision));
   summary.holdings_version = this->holdings.Version();
   summary.holdings = this->holdings.Since(
       report.holdings_of == this->self.incarnation ? report.holdings_version
@@ -268,7 +268,7 @@
 }
 
 bool FleetChannel::IsLeader() const {
-  const std::optional<DutyHolder>& leader = this->fleet.Duty();
+  const std::optional<LeaderRecord>& leader = this->fleet.Leader();
   return this->leader_lease.Held() && leader.has_value() &&
          leader->instance.incarnation == this->self.incarnation;
 }
@@ -276,8 +276,8 @@
 // Sends a report as soon as the leader changes: a new leader has no data until
 // all instances have reported.
 void FleetChannel::CheckLeaderChange() {
-  if (this->fleet.DutyRevision() == this->leader_revision) return;
-  this->leader_revision = this->fleet.DutyRevision();
+  if (this->fleet.LeaderRevision() == this->leader_revision) return;
+  this->leader_revision = this->fleet.LeaderRevision();
   this->wake.Notify();
   if (!this->IsLeader()) return;
   this->tasks.Spawn("announce duty", this->AnnounceLeadership());
@@ -290,7 +290,7 @@
   for (const auto& [name, record] : this->fleet.Instances()) {
     if (name != this->self.name) addresses.push_back(record.peers);
   }
-  const std::string leader_record = this->relay.PackDuty();
+  const std::string leader_record = this->relay.PackLeaderRecord();
   const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
     if (!this->IsLeader()) return;
     wire::FleetMessage message;
@@ -315,7 +315,7 @@
 void FleetChannel::SendUrgentChanges() {
   this->CheckLeaderChange();
   if (!this->leader_lease.Held()) {
-    this->relay.TellAskers();
+    this->relay.NotifySubscribers();
     return;
   }
   this->notify_again = true;
@@ -325,7 +325,8 @@
 }
 
 asio::awaitable<void> FleetChannel::NotifyReporters() {
-  const std::exception_ptr exception = co_await Caught(this->SendToReporters());
+  const std::exception_ptr exception =
+      co_await CatchException(this->SendToReporters());
   this->notifying_reporters = false;
   if (exception) std::rethrow_exception(exception);
 }
@@ -333,7 +334,8 @@
 asio::awaitable<void> FleetChannel::SendToReporters() {
   while (this->notify_again && this->leader_lease.Held()) {
     this->notify_again = false;
-    std::vector<wire::InstanceReport> reporters = this->aggregator.Reporters();
+    std::vector<wire::InstanceReport> reporters =
+        this->aggregator.RecentReports();
     std::stable_partition(
         reporters.begin(), reporters.end(),
         [](const wire::InstanceReport& one) { return !IsStandby(one); });
@@ -344,7 +346,7 @@
   }
 }
 
-void FleetChannel::PushSoon() {
+void FleetChannel::SchedulePush() {
   if (this->push_pending) return;
   this->push_pending = true;
   this->tasks.Spawn("push summaries", this->PushSummaries());
@@ -354,13 +356,13 @@
   co_await Sleep(this->context, kPushDelay);
   this->push_pending = false;
   if (!this->leader_lease.Held()) co_return;
-  for (const wire::InstanceReport& report : this->aggregator.Reporters()) {
+  for (const wire::InstanceReport& report : this->aggregator.RecentReports()) {
     if (!IsIdle(report)) this->SendSummary(report);
   }
 }
 
 void FleetChannel::ReceiveSummary(const wire::FleetSummary& summary) {
-  const std::optional<DutyHolder>& leader = this->fleet.Duty();
+  const std::optional<LeaderRecord>& leader = this->fleet.Leader();
   // A leader that has been replaced may not know it yet.
   if (!leader.has_value() || leader->instance.incarnation != summary.holder) {
     return;
@@ -371,7 +373,7 @@
   this->ApplyTargetUses(summary);
   this->ApplyHoldings(summary);
   this->ApplyFleetSpends(summary);
-  if (!own) this->relay.TakeDigest(summary.store);
+  if (!own) this->relay.ReceiveDigest(summary.store);
   this->fleet.Changed().Notify();
 }
 
@@ -382,11 +384,12 @@
   this->fleet.ForEachTarget([&](TargetState& target) {
     const auto use = uses.find(target.Record().id);
     if (use == uses.end()) {
-      target.SetOthers(0, 0, now);
+      target.SetOtherInstancesLoad(0, 0, now);
     } else {
       const auto unread = static_cast<double>(use->second->unread_tokens);
-      target.SetOthers(use->second->requests,
-                       this->BroadcastsSentPrompts() ? 0 : unread, now);
+      target.SetOtherInstancesLoad(use->second->requests,
+                                   this->BroadcastsSentPrompts() ? 0 : unread,
+                                   now);
     }
   });
 }
@@ -406,8 +409,8 @@
     const std::shared_ptr<TargetState> target = this->fleet.Target(id);
     // Holdings of an earlier process of the target are obsolete.
     if (target == nullptr || target->Record().born_ms != item.born_ms) continue;
-    if (changed.count(id) == 0 && target->ConfirmPlaced(now)) continue;
-    target->SetPlaced(
+    if (changed.count(id) == 0 && target->RefreshPlacement(now)) continue;
+    target->SetPlacement(
         std::set<std::string>(item.adapters.begin(), item.adapters.end()),
         std::set<std::string>(item.closing_models.begin(),
                               item.closing_models.end()),
@@ -418,7 +421,7 @@
 void FleetChannel::ApplyFleetSpends(const wire::FleetSummary& summary) {
   const auto own = this->spent_by_report.find(summary.answers);
   for (const wire::WorkspaceSpend& spend : summary.spends) {
-    FleetSpend fleet_spend;
+    FleetSpending fleet_spend;
     fleet_spend.total = static_cast<double>(spend.tokens);
     fleet_spend.instances = summary.instances;
     if (own != this->spent_by_report.end()) {
@@ -427,7 +430,7 @@
     }
     fleet_spend.unknown_shares = summary.unknown_shares;
     fleet_spend.missing_part = summary.missing_part;
-    this->quotas.SetFleetSpend(spend.workspace, fleet_spend);
+    this->quotas.SetFleetSpending(spend.workspace, fleet_spend);
   }
 }
 
@@ -438,7 +441,8 @@
 // Summaries are some hundred milliseconds old. Instances that chose targets by
 // them alone would send their prompts to the same engine until the next summary
 // arrives, and the engine's running streams stall while it prefills.
-void FleetChannel::NoteSent(const std::string& target, double prompt_tokens) {
+void FleetChannel::BroadcastSentPrompt(const std::string& target,
+                                       double prompt_tokens) {
   if (!this->BroadcastsSentPrompts()) return;
   const bool is_first = this->pending_prompts.empty();
   this->pending_prompts[target] += prompt_tokens;
@@ -469,19 +473,20 @@
     const std::shared_ptr<TargetState> target =
         this->fleet.Target(prompts.target);
     if (target == nullptr) continue;
-    target->OthersSent(static_cast<double>(prompts.tokens), now);
+    target->AddSentByOthers(static_cast<double>(prompts.tokens), now);
   }
 }
 
 // Sends a report immediately: the target's entry expires only seconds later,
 // and until then models that only this target holds look available, so that the
 // leader loads them nowhere else.
-void FleetChannel::ReportRefusing(const std::string& target) {
+void FleetChannel::ReportConnectionRefused(const std::string& target) {
   const bool is_first = this->refusing_targets.insert(target).second;
   if (is_first) this->wake.Notify();
 }
 
-void FleetChannel::ReportLack(std::string_view target, const ModelName& name) {
+void FleetChannel::ReportMissingModel(std::string_view target,
+                                      const ModelName& name) {
   if (this->missing_models.size() >= kMaxMissingModelsPerReport) return;
   wire::TargetLack lack;
   lack.target = std::string(target);
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -13,18 +13,18 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/fleet_state.h"
-#include "dragonflyglade/gateway/holdings_book.h"
 #include "dragonflyglade/gateway/instance_record.h"
 #include "dragonflyglade/gateway/model_demand.h"
-#include "dragonflyglade/gateway/quota_desk.h"
-#include "dragonflyglade/gateway/report_hub.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/quota_admission.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/store_relay.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 #include "dragonflyglade/gateway/tasks.h"
+#include "dragonflyglade/gateway/versioned_holdings.h"
 #include "dragonflyglade/net/endpoint.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
@@ -40,9 +40,9 @@
   FleetChannel(boost::asio::io_context& context,
                boost::asio::ip::udp::socket& socket, FleetState& fleet,
                ModelDemand& demand, QuotaWindows& quotas,
-               QuotaDesk& quota_admission, ReportHub& aggregator,
-               const DutyLease& leader_lease, InstanceRecord self,
-               bool first_start, StoreNews& sync_state, StoreRelay& relay,
+               QuotaAdmission& quota_admission, ReportAggregator& aggregator,
+               const LeaderLease& leader_lease, InstanceRecord self,
+               bool first_start, StoreSyncState& sync_state, StoreRelay& relay,
                Metrics& metrics, Tasks& tasks, Clock clock);
 
   /// Receives datagrams; runs until the process ends.
@@ -52,39 +52,40 @@
 
   /// As leader: sends the summary to each reporting instance that has requests,
   /// a few milliseconds from now. Calls until then are merged into one push.
-  void PushSoon();
+  void SchedulePush();
 
   /// As leader: the residency of the targets, for the summaries.
-  HoldingsBook& Holdings() { return this->holdings; }
+  VersionedHoldings& Holdings() { return this->holdings; }
   /// As leader: called when a report with waiting requests arrives.
-  void OnWaiting(std::function<void()> callback) {
+  void OnWaitingRequests(std::function<void()> callback) {
     this->on_waiting_requests = std::move(callback);
   }
   /// As leader: called when an instance reports that a target lacks a model or
   /// adapter which should be resident there.
-  void OnLack(std::function<void(const wire::TargetLack&)> callback) {
+  void OnMissingModel(std::function<void(const wire::TargetLack&)> callback) {
     this->on_missing_model = std::move(callback);
   }
 
   /// Forgets the quota granted as leader, after the leader lease ended.
-  void ForgetGrants() { this->quota_admission.Clear(); }
+  void ClearGrants() { this->quota_admission.Clear(); }
 
   /// Notifies the other instances of a prompt that was sent to a target.
-  void NoteSent(const std::string& target, double prompt_tokens);
+  void BroadcastSentPrompt(const std::string& target, double prompt_tokens);
 
   /// As leader: called when an instance reports a target that refused its
   /// connection.
-  void OnRefusing(std::function<void(const std::string& target)> callback) {
+  void OnConnectionRefused(
+      std::function<void(const std::string& target)> callback) {
     this->on_connection_refused = std::move(callback);
   }
 
   /// Reports to the leader that a target refused a connection, which means that
   /// no process listens there any more.
-  void ReportRefusing(const std::string& target);
+  void ReportConnectionRefused(const std::string& target);
 
   /// Reports to the leader that a target responded that it lacks the model or
   /// adapter.
-  void ReportLack(std::string_view target, const ModelName& name);
+  void ReportMissingModel(std::string_view target, const ModelName& name);
 
  private:
   boost::asio::awaitable<void> PushSummaries();
@@ -115,12 +116,12 @@
   FleetState& fleet;
   ModelDemand& demand;
   QuotaWindows& quotas;
-  QuotaDesk& quota_admission;
-  ReportHub& aggregator;
-  const DutyLease& leader_lease;
+  QuotaAdmission& quota_admission;
+  ReportAggregator& aggregator;
+  const LeaderLease& leader_lease;
   const InstanceRecord self;
   const bool first_start;
-  StoreNews& sync_state;
+  StoreSyncState& sync_state;
   StoreRelay& relay;
   Metrics& metrics;
   Tasks& tasks;
@@ -130,7 +131,7 @@
   std::int64_t sequence = 0;
   /// This instance's spending at the time of each report, by report sequence.
   std::map<std::int64_t, std::map<std::string, double>> spent_by_report;
-  HoldingsBook holdings;
+  VersionedHoldings holdings;
   /// The residency of the targets as received from the leader, the leader's
   /// incarnation, and its version of the data.
   std::map<std::string, wire::TargetHoldings> known_holdings;
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -63,7 +63,7 @@
   const bool urgent = !of_target || this->ApplyTarget(item);
   if (item.key == this->wire.config_key) this->ApplyConfig(item);
   if (this->HasPrefix(item.key, kInstanceKeyPrefix)) this->ApplyInstance(item);
-  if (item.key == kDutyKey) this->ApplyLeader(item);
+  if (item.key == kLeaderKey) this->ApplyLeader(item);
   if (urgent) this->AddUrgentChange({item, false});
   this->changed.Notify();
 }
@@ -147,7 +147,7 @@
   Result<InstanceRecord> decoded = DecodeInstanceRecord(item.value);
   if (!decoded.Ok()) return;
   this->leader =
-      DutyHolder{std::move(decoded.Value()), item.lease, item.revision};
+      LeaderRecord{std::move(decoded.Value()), item.lease, item.revision};
   this->leader_revision = item.revision;
   this->choice.reset();
   this->log.Write(
@@ -187,7 +187,7 @@
     if (found != this->instances.end()) this->instances.erase(found);
     this->choice.reset();
   }
-  if (key == kDutyKey) {
+  if (key == kLeaderKey) {
     this->leader.reset();
     this->leader_revision = revision;
     this->choice.reset();
@@ -213,7 +213,9 @@
   this->listed_before = true;
 }
 
-void FleetState::StoreReturned() { this->recovered_at = this->clock.Now(); }
+void FleetState::HandleStoreRecovery() {
+  this->recovered_at = this->clock.Now();
+}
 
 void FleetState::DropTarget(std::string_view id, std::string_view why) {
   const std::shared_ptr<TargetState> target = this->Target(id);
@@ -239,7 +241,7 @@
   this->targets.erase(found);
 }
 
-void FleetState::Sweep() {
+void FleetState::RemoveExpiredTargets() {
   if (!this->recovered_at.has_value()) return;
   if (this->clock.Now() - *this->recovered_at < kStoreRecoveryGrace) return;
   this->recovered_at.reset();
@@ -272,8 +274,8 @@
   return found == this->targets.end() ? nullptr : found->second;
 }
 
-std::vector<InstanceOffer> FleetState::InstanceOffers() const {
-  std::vector<InstanceOffer> offers;
+std::vector<InstanceCandidate> FleetState::InstanceOffers() const {
+  std::vector<InstanceCandidate> offers;
   for (const auto& [name, record] : this->instances) {
     offers.push_back({name, record.zone, record.capacity});
   }
@@ -307,15 +309,15 @@
   const std::size_t others =
       std::min(kMaxExtraRelays, this->instances.size() / kInstancesPerRelay);
   const std::size_t most = relays.size() + others;
-  for (const InstanceRecord* record : this->InstancesByStrength(kDutyKey)) {
+  for (const InstanceRecord* record : this->InstancesByStrength(kLeaderKey)) {
     if (relays.size() >= most) break;
     if (record->name != leader_name) relays.push_back(record);
   }
   return relays;
 }
 
-bool FleetState::FollowsStore(std::string_view instance) const {
-  return HasName(this->Followers(), instance);
+bool FleetState::IsRelayInstance(std::string_view instance) const {
+  return HasName(this->RelayInstances(), instance);
 }
 
 bool FleetState::IsListed(std::string_view instance) const {
@@ -324,7 +326,7 @@
 
 std::vector<const InstanceRecord*> FleetState::InstancesByStrength(
     std::string_view key) const {
-  return this->Records(ByStrength(this->InstanceOffers(), key));
+  return this->Records(OrderByCapacity(this->InstanceOffers(), key));
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -27,7 +27,7 @@
 namespace dragonflyglade::gateway {
 
 /// The leader's entry in the store.
-struct DutyHolder {
+struct LeaderRecord {
   InstanceRecord instance;
   std::uint64_t lease = 0;  ///< store lease that the entry is attached to
   std::uint64_t revision = 0;
@@ -56,10 +56,10 @@
   /// Begins a grace period after the store was unreachable and responds again.
   /// Targets whose entries are removed in it are kept until it ends: leases
   /// expire while the store is unavailable, and running targets register again.
-  void StoreReturned();
+  void HandleStoreRecovery();
 
   /// Removes the targets that are still missing after the grace period.
-  void Sweep();
+  void RemoveExpiredTargets();
 
   /// The configuration in effect; null until one is known.
   std::shared_ptr<const GatewayConfig> Config() const { return this->config; }
@@ -80,21 +80,21 @@
   bool IsListed(std::string_view instance) const;
   /// The instances that watch the store and pass its changes on to all others:
   /// the leader, and in a large fleet the instances of highest capacity, too.
-  const std::vector<const InstanceRecord*>& Followers() const {
+  const std::vector<const InstanceRecord*>& RelayInstances() const {
     return this->ChosenInstances().relays;
   }
-  bool FollowsStore(std::string_view instance) const;
+  bool IsRelayInstance(std::string_view instance) const;
   /// All instances, highest capacity first; ties are broken by a hash of the
   /// name and the key.
   std::vector<const InstanceRecord*> InstancesByStrength(
       std::string_view key) const;
-  const std::optional<DutyHolder>& Duty() const { return this->leader; }
+  const std::optional<LeaderRecord>& Leader() const { return this->leader; }
   /// The revision at which the leader's entry last changed or was removed.
-  std::uint64_t DutyRevision() const { return this->leader_revision; }
+  std::uint64_t LeaderRevision() const { return this->leader_revision; }
 
   /// The fleet's quota spending as the store had it when this process listed
   /// the store for the first time.
-  const std::optional<SpendRecord>& SpentBefore() const {
+  const std::optional<SpendRecord>& InitialSpendRecord() const {
     return this->initial_spend_record;
   }
 
@@ -103,14 +103,15 @@
   std::uint64_t UrgentRevision() const { return this->urgent_revision; }
 
   /// The latest urgent changes.
-  const RecentChanges& Recent() const { return this->recent; }
+  const RecentChanges& RecentUrgentChanges() const { return this->recent; }
 
   /// Notified at each change.
   Signal& Changed() { return this->changed; }
 
   /// The keys that this program writes.
   static std::string InstanceKey(std::string_view name);
-  static constexpr std::string_view kDutyKey = "dragonflyglade/duty/placement";
+  static constexpr std::string_view kLeaderKey =
+      "dragonflyglade/duty/placement";
   /// Key of the SpendRecord, read by a new leader and at the process's start.
   static constexpr std::string_view kSpendsKey = "dragonflyglade/spends";
 
@@ -133,7 +134,7 @@
 
   const Choice& ChosenInstances() const;
   std::vector<const InstanceRecord*> ChooseRelays() const;
-  std::vector<InstanceOffer> InstanceOffers() const;
+  std::vector<InstanceCandidate> InstanceOffers() const;
   std::vector<const InstanceRecord*> Records(
       absl::Span<const std::size_t> order) const;
   bool HasPrefix(std::string_view key, std::string_view prefix) const;
@@ -153,7 +154,7 @@
   mutable std::optional<Choice> choice;
   std::optional<SpendRecord> initial_spend_record;
   bool listed_before = false;  ///< whether a listing was applied
-  std::optional<DutyHolder> leader;
+  std::optional<LeaderRecord> leader;
   std::uint64_t leader_revision = 0;
   std::optional<Instant> recovered_at;
   std::uint64_t urgent_revision = 0;
--- a/dragonflyglade/gateway/placement_duty.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/placement_duty.h"
+#include "dragonflyglade/gateway/placement_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -27,12 +27,11 @@
 
 }  // namespace
 
-PlacementDuty::PlacementDuty(asio::io_context& context,
-                             const GatewaySettings& settings,
-                             const WireFormat& wire, FleetState& fleet,
-                             DutyLease& leader_lease, ReportHub& aggregator,
-                             FleetChannel& channel, Metrics& metrics,
-                             EventLog& log, Tasks& tasks, Clock clock)
+PlacementController::PlacementController(
+    asio::io_context& context, const GatewaySettings& settings,
+    const WireFormat& wire, FleetState& fleet, LeaderLease& leader_lease,
+    ReportAggregator& aggregator, FleetChannel& channel, Metrics& metrics,
+    EventLog& log, Tasks& tasks, Clock clock)
     : context(context),
       settings(settings),
       wire(wire),
@@ -46,25 +45,25 @@
       clock(clock),
       planner(ResidencyOptions(), clock),
       wake(context) {
-  this->channel.OnWaiting([this] { this->RequestPlan(); });
-  this->channel.OnLack(
+  this->channel.OnWaitingRequests([this] { this->RequestPlan(); });
+  this->channel.OnMissingModel(
       [this](const wire::TargetLack& lack) { this->HandleMissingModel(lack); });
-  this->channel.OnRefusing([this](const std::string& target) {
+  this->channel.OnConnectionRefused([this](const std::string& target) {
     this->HandleConnectionRefused(target);
   });
 }
 
-asio::awaitable<void> PlacementDuty::Run() {
+asio::awaitable<void> PlacementController::Run() {
   absl::Duration pause = kMinPlanPause;
   while (true) {
     co_await Sleep(this->context, pause);
     if (!this->plan_requested) co_await this->wake.Wait(kPlanInterval);
     this->plan_requested = false;
-    if (!this->leader_lease.MayAct()) {
+    if (!this->leader_lease.MayIssueOrders()) {
       if (this->acting) this->StopActing();
       if (!this->leader_lease.Held()) {
         this->aggregator.Clear();
-        this->channel.ForgetGrants();
+        this->channel.ClearGrants();
       }
       continue;
     }
@@ -83,7 +82,7 @@
   }
 }
 
-void PlacementDuty::HandleMissingModel(const wire::TargetLack& lack) {
+void PlacementController::HandleMissingModel(const wire::TargetLack& lack) {
   const auto found = this->engines.find(lack.target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
@@ -103,7 +102,7 @@
 
 // The target's entry remains in the store for a few heartbeats. If its copies
 // counted until then, the planner would not load their models elsewhere.
-void PlacementDuty::HandleConnectionRefused(const std::string& target) {
+void PlacementController::HandleConnectionRefused(const std::string& target) {
   const auto found = this->engines.find(target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
@@ -114,12 +113,12 @@
   engine.connection_refused_at = this->clock.Now();
 }
 
-bool PlacementDuty::IsTerminated(const Engine& engine) const {
+bool PlacementController::IsTerminated(const Engine& engine) const {
   return engine.connection_refused_at.has_value() &&
          this->clock.Now() - *engine.connection_refused_at < kEntryExpiry;
 }
 
-void PlacementDuty::StopActing() {
+void PlacementController::StopActing() {
   this->acting = false;
   this->engines.clear();
   this->channel.Holdings().Clear();
@@ -127,7 +126,7 @@
                   {{"held", this->leader_lease.Held()}});
 }
 
-void PlacementDuty::UpdateEngines() {
+void PlacementController::UpdateEngines() {
   std::set<std::string> present;
   this->fleet.ForEachTarget([&](const TargetState& target) {
     const auto config = this->fleet.Config();
@@ -146,7 +145,7 @@
   }
 }
 
-void PlacementDuty::UpdateEngine(const TargetState& target) {
+void PlacementController::UpdateEngine(const TargetState& target) {
   const TargetRecord& record = target.Record();
   std::shared_ptr<Engine>& engine = this->engines[record.id];
   const bool is_known = engine != nullptr &&
@@ -171,8 +170,8 @@
 // The record shows the resident models as of the target's last heartbeat;
 // adapters are tracked here more precisely. A record from before the last order
 // does not show that order's effect and is ignored.
-void PlacementDuty::ApplyTargetRecord(Engine& engine,
-                                      const TargetState& target) {
+void PlacementController::ApplyTargetRecord(Engine& engine,
+                                            const TargetState& target) {
   const Instant now = this->clock.Now();
   const TargetRecord& record = target.Record();
   if (engine.loading.has_value()) {
@@ -203,7 +202,7 @@
   }
 }
 
-std::vector<wire::TargetHoldings> PlacementDuty::CurrentHoldings() const {
+std::vector<wire::TargetHoldings> PlacementController::CurrentHoldings() const {
   std::vector<wire::TargetHoldings> all;
   for (const auto& [id, engine] : this->engines) {
     wire::TargetHoldings holdings;
@@ -223,17 +222,17 @@
   return all;
 }
 
-void PlacementDuty::RequestPlan() {
+void PlacementController::RequestPlan() {
   this->plan_requested = true;
   this->wake.Notify();
 }
 
-void PlacementDuty::PublishHoldings() {
+void PlacementController::PublishHoldings() {
   this->channel.Holdings().Set(this->CurrentHoldings());
-  this->channel.PushSoon();
+  this->channel.SchedulePush();
 }
 
-void PlacementDuty::Plan() {
+void PlacementController::Plan() {
   const auto config = this->fleet.Config();
   const std::map<ModelName, FleetDemand> demand = this->aggregator.Demand();
   for (const auto& [name, service] : config->services) {
@@ -241,32 +240,34 @@
   }
 }
 
-LoadCeiling& PlacementDuty::CeilingOf(const ServiceSpec& service) {
+ModelLoadLimiter& PlacementController::LoadLimiterOf(
+    const ServiceSpec& service) {
   const auto found = this->ceilings.find(service.name);
   if (found != this->ceilings.end()) return found->second;
-  const LoadCeilingOptions options{this->settings.load_window,
-                                   this->settings.load_overage,
-                                   this->settings.quiet_between_holders};
-  LoadCeiling& ceiling =
-      this->ceilings.emplace(service.name, LoadCeiling(options, this->clock))
+  const ModelLoadLimiterOptions options{this->settings.load_window,
+                                        this->settings.load_overage,
+                                        this->settings.leader_handover_delay};
+  ModelLoadLimiter& ceiling =
+      this->ceilings
+          .emplace(service.name, ModelLoadLimiter(options, this->clock))
           .first->second;
-  ceiling.TakenOver(service.engine->loads_per_second);
+  ceiling.OnLeadershipAcquired(service.engine->loads_per_second);
   return ceiling;
 }
 
-void PlacementDuty::PlanService(
+void PlacementController::PlanService(
     const ServiceSpec& service,
     const std::map<ModelName, FleetDemand>& demand) {
-  LoadCeiling& ceiling = this->CeilingOf(service);
-  std::vector<WantedModel> models;
+  ModelLoadLimiter& ceiling = this->LoadLimiterOf(service);
+  std::vector<DemandedModel> models;
   for (const ServedModel& served : service.engine->models) {
-    WantedModel model;
+    DemandedModel model;
     model.name = served.name;
     model.memory_mb = served.memory_mb;
     model.adapter_mb = served.adapter_mb;
     model.from_store = served.load_time;
-    model.from_disk = served.disk_load_time;
-    model.from_memory = served.memory_load_time;
+    model.load_time_from_disk = served.disk_load_time;
+    model.load_time_from_memory = served.memory_load_time;
     const auto found_demand = demand.find({service.name, served.name, ""});
     if (found_demand != demand.end()) {
       model.load = found_demand->second.load;
@@ -274,18 +275,18 @@
     }
     models.push_back(std::move(model));
   }
-  std::vector<WantedAdapter> adapters;
+  std::vector<DemandedAdapter> adapters;
   for (const auto& [name, found_demand] : demand) {
     if (name.service != service.name || name.adapter.empty()) continue;
     adapters.push_back(
         {name.model, name.adapter, found_demand.load, found_demand.waiting});
   }
   const auto residents_in_use = this->aggregator.ResidentsInUse();
-  std::vector<EngineHoldings> holdings;
+  std::vector<EngineResidency> holdings;
   for (const auto& [id, engine] : this->engines) {
     if (engine->service != service.name) continue;
     const auto target = this->fleet.Target(id);
-    EngineHoldings item;
+    EngineResidency item;
     item.id = id;
     item.memory_mb = service.engine->memory_mb;
     item.adapter_slots = service.engine->adapter_slots;
@@ -294,7 +295,7 @@
     if (in_use != residents_in_use.end()) item.in_use = in_use->second;
     item.usable = target != nullptr && !target->Record().leaving &&
                   !this->IsTerminated(*engine);
-    item.answers = target != nullptr && !target->Avoided(this->clock.Now());
+    item.answers = target != nullptr && !target->IsAvoided(this->clock.Now());
     item.loading = engine->loading.value_or("");
     // Weights that were cached before the last order may have been evicted for
     // it.
--- a/dragonflyglade/gateway/placement_duty.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
-#define DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
+#define DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -11,15 +11,15 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 #include "dragonflyglade/decision/residency_planner.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_channel.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/gateway_settings.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/target_exchange.h"
 #include "dragonflyglade/gateway/tasks.h"
 #include "dragonflyglade/gateway/wire_format.h"
@@ -33,13 +33,14 @@
 /// shows that the model is unloaded. Each order names the engine's process and
 /// the number of orders that it has accepted before, so that a late or
 /// duplicate order has no effect. Used by one event loop.
-class PlacementDuty {
+class PlacementController {
  public:
-  PlacementDuty(boost::asio::io_context& context,
-                const GatewaySettings& settings, const WireFormat& wire,
-                FleetState& fleet, DutyLease& leader_lease,
-                ReportHub& aggregator, FleetChannel& channel, Metrics& metrics,
-                EventLog& log, Tasks& tasks, Clock clock);
+  PlacementController(boost::asio::io_context& context,
+                      const GatewaySettings& settings, const WireFormat& wire,
+                      FleetState& fleet, LeaderLease& leader_lease,
+                      ReportAggregator& aggregator, FleetChannel& channel,
+                      Metrics& metrics, EventLog& log, Tasks& tasks,
+                      Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
@@ -76,18 +77,18 @@
   void Plan();
   void PlanService(const ServiceSpec& service,
                    const std::map<ModelName, FleetDemand>& demand);
-  LoadCeiling& CeilingOf(const ServiceSpec& service);
+  ModelLoadLimiter& LoadLimiterOf(const ServiceSpec& service);
   bool ScheduleOrder(const ServiceSpec& service, const ResidencyChange& change);
   boost::asio::awaitable<void> ExecuteOrder(std::shared_ptr<Engine> engine,
                                             ResidencyChange change);
   boost::asio::awaitable<void> DeliverOrder(Engine& engine,
                                             const ResidencyChange& change);
   boost::asio::awaitable<ExchangeOutcome> Call(TargetState& target,
-                                               HttpCallText call);
-  boost::asio::awaitable<std::optional<OrderAnswer>> SendOrder(
+                                               OutgoingHttpRequest call);
+  boost::asio::awaitable<std::optional<OrderResponse>> SendOrder(
       const Engine& engine, const ResidencyChange& change);
   void ApplyOrderResponse(Engine& engine, const ResidencyChange& change,
-                          OrderAnswer response);
+                          OrderResponse response);
   boost::asio::awaitable<void> InspectEngine(std::shared_ptr<Engine> engine);
   boost::asio::awaitable<void> FetchEngineReport(Engine& engine);
   bool ApplyEngineReport(Engine& engine, std::string_view body);
@@ -99,8 +100,8 @@
   const GatewaySettings& settings;
   const WireFormat& wire;
   FleetState& fleet;
-  DutyLease& leader_lease;
-  ReportHub& aggregator;
+  LeaderLease& leader_lease;
+  ReportAggregator& aggregator;
   FleetChannel& channel;
   Metrics& metrics;
   EventLog& log;
@@ -111,9 +112,10 @@
   bool acting = false;
   bool plan_requested = false;
   std::map<std::string, std::shared_ptr<Engine>> engines;
-  std::map<std::string, LoadCeiling, std::less<>> ceilings;  ///< by service
+  std::map<std::string, ModelLoadLimiter, std::less<>>
+      ceilings;  ///< by service
 };
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -1,11 +1,11 @@
-// The part of PlacementDuty that sends orders to engines and reads their
+// The part of PlacementController that sends orders to engines and reads their
 // residency when the outcome of an order is unknown.
 #include <algorithm>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 #include "dragonflyglade/gateway/http_text.h"
-#include "dragonflyglade/gateway/placement_duty.h"
+#include "dragonflyglade/gateway/placement_controller.h"
 
 namespace dragonflyglade::gateway {
 
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-bool PlacementDuty::ScheduleOrder(const ServiceSpec& service,
-                                  const ResidencyChange& change) {
+bool PlacementController::ScheduleOrder(const ServiceSpec& service,
+                                        const ResidencyChange& change) {
   const auto found = this->engines.find(change.target);
   if (found == this->engines.end() || found->second->is_busy) return false;
   Engine& engine = *found->second;
@@ -52,7 +52,7 @@
         [&](const ServedModel& item) { return item.name == change.model; });
     engine.loading_deadline =
         this->clock.Now() + kLoadTimeoutFactor * model->load_time;
-    if (change.from_store) this->CeilingOf(service).Began();
+    if (change.from_store) this->LoadLimiterOf(service).RecordLoadStart();
   } else if (is_load) {
     engine.models[change.model].insert(change.adapter);
     engine.changing_adapters.insert(ResidentKeyOf(change));
@@ -66,10 +66,10 @@
   return true;
 }
 
-asio::awaitable<ExchangeOutcome> PlacementDuty::Call(TargetState& target,
-                                                     HttpCallText call) {
+asio::awaitable<ExchangeOutcome> PlacementController::Call(
+    TargetState& target, OutgoingHttpRequest call) {
   const std::string address = target.Record().address;
-  std::string head = RequestText(call, address);
+  std::string head = RequestHeadText(call, address);
   TargetExchange exchange(this->context, target.connections, this->wire,
                           this->clock);
   const Instant deadline = this->clock.Now() + kOrderTimeout;
@@ -77,10 +77,10 @@
                                   deadline);
 }
 
-asio::awaitable<std::optional<OrderAnswer>> PlacementDuty::SendOrder(
+asio::awaitable<std::optional<OrderResponse>> PlacementController::SendOrder(
     const Engine& engine, const ResidencyChange& change) {
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
-  if (target == nullptr) co_return OrderAnswer::kWrongTarget;
+  if (target == nullptr) co_return OrderResponse::kWrongTarget;
   EngineOrder order;
   order.load = change.kind == ResidencyChange::Kind::kLoad;
   order.model = change.model;
@@ -88,24 +88,24 @@
   order.orders_taken = engine.orders_taken;
   order.holder = this->settings.instance;
   order.fence = this->leader_lease.Fence();
-  HttpCallText call = this->wire.encode_order(engine.id, order);
+  OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("orders");
   if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
-    co_return this->wire.decode_order_answer(whole->head.status);
+    co_return this->wire.decode_order_response(whole->head.status);
   }
   if (const auto* declined = std::get_if<Declined>(&outcome)) {
-    co_return this->wire.decode_order_answer(declined->head.status);
+    co_return this->wire.decode_order_response(declined->head.status);
   }
   co_return std::nullopt;
 }
 
 // Clears the engine's ordering state on every outcome, including exceptions, so
 // that the engine gets further orders.
-asio::awaitable<void> PlacementDuty::ExecuteOrder(
+asio::awaitable<void> PlacementController::ExecuteOrder(
     std::shared_ptr<Engine> engine, ResidencyChange change) {
   const std::exception_ptr exception =
-      co_await Caught(this->DeliverOrder(*engine, change));
+      co_await CatchException(this->DeliverOrder(*engine, change));
   if (exception) engine->needs_inspection = true;
   engine->changing_adapters.erase(ResidentKeyOf(change));
   engine->last_order_ended_at = this->clock.Now();
@@ -115,18 +115,18 @@
   if (exception) std::rethrow_exception(exception);
 }
 
-asio::awaitable<void> PlacementDuty::DeliverOrder(
+asio::awaitable<void> PlacementController::DeliverOrder(
     Engine& engine, const ResidencyChange& change) {
   if (change.kind == ResidencyChange::Kind::kUnload) {
     this->PublishHoldings();
     co_await Sleep(this->context, kUnloadNoticeDelay);
   }
-  std::optional<OrderAnswer> response;
+  std::optional<OrderResponse> response;
   for (int attempt = 0; attempt < kOrderAttempts && !response.has_value();
        ++attempt) {
     // Checked immediately before sending: an instance that is no longer leader
     // must not send orders.
-    if (!this->leader_lease.MayAct()) break;
+    if (!this->leader_lease.MayIssueOrders()) break;
     response = co_await this->SendOrder(engine, change);
     if (!response.has_value()) co_await Sleep(this->context, kOrderRetryDelay);
   }
@@ -145,35 +145,35 @@
     engine.needs_inspection = true;
   }
   const bool adapter_load_accepted =
-      response == OrderAnswer::kAccepted && !change.adapter.empty() &&
+      response == OrderResponse::kAccepted && !change.adapter.empty() &&
       change.kind == ResidencyChange::Kind::kLoad;
   if (adapter_load_accepted) co_await Sleep(this->context, kAdapterLoadTime);
 }
 
-void PlacementDuty::ApplyOrderResponse(Engine& engine,
-                                       const ResidencyChange& change,
-                                       OrderAnswer response) {
+void PlacementController::ApplyOrderResponse(Engine& engine,
+                                             const ResidencyChange& change,
+                                             OrderResponse response) {
   const bool is_load = change.kind == ResidencyChange::Kind::kLoad;
   const bool is_adapter = !change.adapter.empty();
   switch (response) {
-    case OrderAnswer::kAccepted:
+    case OrderResponse::kAccepted:
       engine.orders_taken += 1;
       break;
-    case OrderAnswer::kAlreadyHolds:
+    case OrderResponse::kAlreadyApplied:
       // An engine unloads an unused adapter immediately, which counts as an
       // accepted order.
       if (is_adapter && !is_load) engine.orders_taken += 1;
       if (!is_adapter && is_load) engine.loading.reset();
       break;
-    case OrderAnswer::kWrongTarget:
-    case OrderAnswer::kConflict:
-    case OrderAnswer::kFenced:
-    case OrderAnswer::kInvalid:
+    case OrderResponse::kWrongTarget:
+    case OrderResponse::kConflict:
+    case OrderResponse::kFenced:
+    case OrderResponse::kInvalid:
       engine.needs_inspection = true;
       return;
   }
   if (!is_adapter || is_load) return;
-  if (response == OrderAnswer::kAccepted) {
+  if (response == OrderResponse::kAccepted) {
     // Requests still use the adapter; its memory is released when they end.
     engine.needs_inspection = true;
     return;
@@ -181,24 +181,24 @@
   engine.models[change.model].erase(change.adapter);
 }
 
-asio::awaitable<void> PlacementDuty::InspectEngine(
+asio::awaitable<void> PlacementController::InspectEngine(
     std::shared_ptr<Engine> engine) {
   const std::exception_ptr exception =
-      co_await Caught(this->FetchEngineReport(*engine));
+      co_await CatchException(this->FetchEngineReport(*engine));
   engine->last_order_ended_at = this->clock.Now();
   engine->is_busy = false;
   this->PublishHoldings();
   if (exception) std::rethrow_exception(exception);
 }
 
-asio::awaitable<void> PlacementDuty::FetchEngineReport(Engine& engine) {
+asio::awaitable<void> PlacementController::FetchEngineReport(Engine& engine) {
   // Reports lag behind: one that is read too early does not show the effect of
   // the last order.
   const absl::Duration since = this->clock.Now() - engine.last_order_ended_at;
   if (since < kReportLag) co_await Sleep(this->context, kReportLag - since);
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
-  if (target == nullptr || !this->leader_lease.MayAct()) co_return;
-  HttpCallText call = this->wire.encode_report_call(engine.id);
+  if (target == nullptr || !this->leader_lease.MayIssueOrders()) co_return;
+  OutgoingHttpRequest call = this->wire.encode_report_call(engine.id);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("engine_reports");
   const auto* whole = std::get_if<WholeAnswer>(&outcome);
@@ -210,7 +210,8 @@
                    {"known", is_known}});
 }
 
-bool PlacementDuty::ApplyEngineReport(Engine& engine, std::string_view body) {
+bool PlacementController::ApplyEngineReport(Engine& engine,
+                                            std::string_view body) {
   const Result<EngineReport> decoded = this->wire.decode_report(body);
   if (!decoded.Ok() || decoded.Value().busy) return false;
   const EngineReport& report = decoded.Value();
--- a/dragonflyglade/gateway/quota_desk.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/quota_desk.h"
+#include "dragonflyglade/gateway/quota_admission.h"
 
 #include <algorithm>
 #include <utility>
@@ -30,12 +30,14 @@
 
 }  // namespace
 
-QuotaDesk::QuotaDesk(asio::io_context& context, FleetState& fleet,
-                     QuotaOwners& participants, QuotaWindows& quotas,
-                     ReportHub& aggregator, const DutyLease& leader_lease,
-                     InstanceRecord self, absl::Duration window,
-                     Metrics& metrics, EventLog& log, Clock clock,
-                     TimeOfDay time_of_day)
+QuotaAdmission::QuotaAdmission(asio::io_context& context, FleetState& fleet,
+                               QuotaParticipants& participants,
+                               QuotaWindows& quotas,
+                               ReportAggregator& aggregator,
+                               const LeaderLease& leader_lease,
+                               InstanceRecord self, absl::Duration window,
+                               Metrics& metrics, EventLog& log, Clock clock,
+                               TimeOfDay time_of_day)
     : context(context),
       fleet(fleet),
       participants(participants),
@@ -51,21 +53,21 @@
 
 // All processes may have been killed a moment ago. With the spend record, this
 // one can spend what is left of the quotas without waiting for a leader.
-void QuotaDesk::ApplySpendRecord() {
-  const std::optional<SpendRecord>& record = this->fleet.SpentBefore();
+void QuotaAdmission::ApplySpendRecord() {
+  const std::optional<SpendRecord>& record = this->fleet.InitialSpendRecord();
   if (this->spend_record_checked || !record.has_value()) return;
   this->spend_record_checked = true;
   const absl::Time now = this->time_of_day();
   const bool recent = IsRecent(*record, now);
   if (recent) {
-    this->quotas.SetBefore(FleetSpent(*record),
-                           WasListed(*record, this->self.name));
+    this->quotas.SetPriorSpending(SpendingByWorkspace(*record),
+                                  WasListed(*record, this->self.name));
   }
   this->log.Write("quota", recent ? "spending read" : "record too old",
                   {{"age_ms", now - record->written}});
 }
 
-void QuotaDesk::FollowInstances() {
+void QuotaAdmission::UpdateParticipants() {
   this->ApplySpendRecord();
   std::vector<std::string_view> names;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
@@ -73,17 +75,19 @@
   }
   this->participants.Follow(names);
   const int listed = static_cast<int>(names.size());
-  this->quotas.SetInstances(listed);
+  this->quotas.SetParticipantCount(listed);
   // An instance that sees no instance in the store, not even itself, has just
   // started; its process's age limits it then.
   this->quotas.SetListed(listed == 0 || this->fleet.IsListed(this->self.name));
 }
 
-asio::awaitable<QuotaVerdict> QuotaDesk::Take(std::string_view request_id,
-                                              std::string workspace,
-                                              QuotaLimit limit, double tokens) {
-  this->FollowInstances();
-  QuotaVerdict verdict = this->quotas.TakePart(workspace, limit, tokens);
+asio::awaitable<QuotaVerdict> QuotaAdmission::Take(std::string_view request_id,
+                                                   std::string workspace,
+                                                   QuotaLimit limit,
+                                                   double tokens) {
+  this->UpdateParticipants();
+  QuotaVerdict verdict =
+      this->quotas.AdmitWithoutGrant(workspace, limit, tokens);
   if (verdict.admitted) co_return verdict;
   std::string_view by = "part";
   const std::optional<QuotaVerdict> denial =
@@ -115,9 +119,9 @@
   co_return verdict;
 }
 
-QuotaVerdict QuotaDesk::AdmitWithoutLeader(const std::string& workspace,
-                                           const QuotaLimit& limit,
-                                           double tokens) {
+QuotaVerdict QuotaAdmission::AdmitWithoutLeader(const std::string& workspace,
+                                                const QuotaLimit& limit,
+                                                double tokens) {
   QuotaVerdict verdict = this->quotas.Take(workspace, limit, tokens);
   if (!verdict.admitted) {
     verdict.retry_after = std::max(verdict.retry_after, kLeaderReplacementTime);
@@ -125,15 +129,15 @@
   return verdict;
 }
 
-bool QuotaDesk::MayQueryLeader() const {
-  if (!this->fleet.Duty().has_value()) return false;
+bool QuotaAdmission::MayQueryLeader() const {
+  if (!this->fleet.Leader().has_value()) return false;
   return !this->leader_unresponsive_since.has_value() ||
          this->clock.Now() - *this->leader_unresponsive_since >
              kLeaderRetryDelay;
 }
 
-std::optional<QuotaVerdict> QuotaDesk::RecentDenial(std::string_view workspace,
-                                                    double tokens) const {
+std::optional<QuotaVerdict> QuotaAdmission::RecentDenial(
+    std::string_view workspace, double tokens) const {
   const auto found = this->denials.find(workspace);
   if (found == this->denials.end()) return std::nullopt;
   const absl::Duration remaining = found->second.until - this->clock.Now();
@@ -146,16 +150,16 @@
   return verdict;
 }
 
-asio::awaitable<std::optional<QuotaVerdict>> QuotaDesk::QueryLeader(
+asio::awaitable<std::optional<QuotaVerdict>> QuotaAdmission::QueryLeader(
     std::string workspace, double tokens) {
   const std::int64_t number = ++this->last_number;
-  const std::string address = this->fleet.Duty()->instance.peers;
-  if (this->fleet.Duty()->instance.incarnation == this->self.incarnation) {
+  const std::string address = this->fleet.Leader()->instance.peers;
+  if (this->fleet.Leader()->instance.incarnation == this->self.incarnation) {
     if (!this->leader_lease.Held()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
         this->Decide(this->self.incarnation, number, workspace, tokens);
     const bool granted = verdict.has_value() && verdict->admitted;
-    if (granted) this->quotas.Granted(workspace, tokens);
+    if (granted) this->quotas.RecordGrant(workspace, tokens);
     co_return verdict;
   }
   wire::FleetMessage message;
@@ -175,7 +179,7 @@
   }
   const std::optional<QuotaVerdict> verdict = pending_query.verdict;
   if (verdict.has_value() && verdict->admitted) {
-    this->quotas.Granted(workspace, tokens);
+    this->quotas.RecordGrant(workspace, tokens);
   }
   // A grant that arrives later is ignored, and its tokens are not spent.
   this->pending_queries.erase(number);
@@ -192,7 +196,7 @@
   co_return verdict;
 }
 
-void QuotaDesk::TakeAsk(const wire::QuotaAsk& ask) {
+void QuotaAdmission::ReceiveAsk(const wire::QuotaAsk& ask) {
   if (!this->leader_lease.Held()) return;
   const std::optional<QuotaVerdict> verdict =
       this->Decide(ask.incarnation, ask.number, ask.workspace,
@@ -211,7 +215,7 @@
 
 // A new leader that has the reports of one of eight instances would deny tokens
 // that are available, and callers that retry at once would be refused again.
-bool QuotaDesk::HasEnoughReports(const FleetSpend& spend) {
+bool QuotaAdmission::HasEnoughReports(const FleetSpending& spend) {
   const Instant now = this->clock.Now();
   if (this->leader_fencing_token != this->leader_lease.Fence()) {
     this->leader_fencing_token = this->leader_lease.Fence();
@@ -222,10 +226,10 @@
          now - this->leader_since > kReportsCollectionTime;
 }
 
-std::optional<QuotaVerdict> QuotaDesk::Decide(const std::string& process,
-                                              std::int64_t number,
-                                              const std::string& workspace,
-                                              double tokens) {
+std::optional<QuotaVerdict> QuotaAdmission::Decide(const std::string& process,
+                                                   std::int64_t number,
+                                                   const std::string& workspace,
+                                                   double tokens) {
   QuotaVerdict verdict;
   verdict.admitted = false;
   verdict.retry_after = kLeaderRetryDelay;
@@ -234,8 +238,8 @@
   const auto known = config->workspaces.find(workspace);
   // The asking instance has a newer configuration than this one.
   if (known == config->workspaces.end()) return verdict;
-  this->FollowInstances();
-  FleetSpend spend = this->aggregator.SpendOf(workspace);
+  this->UpdateParticipants();
+  FleetSpending spend = this->aggregator.SpendingOf(workspace);
   if (!this->HasEnoughReports(spend)) return std::nullopt;
   spend.total += this->unreported_grants.Open(workspace);
   verdict = this->quotas.Grant(known->second.quota, tokens, spend);
@@ -255,8 +259,8 @@
   return verdict;
 }
 
-void QuotaDesk::TakeGrant(const wire::QuotaGrant& grant) {
-  const auto& leader = this->fleet.Duty();
+void QuotaAdmission::ReceiveGrant(const wire::QuotaGrant& grant) {
+  const auto& leader = this->fleet.Leader();
   // The new leader does not count what a replaced leader grants.
   if (!leader.has_value() || leader->instance.incarnation != grant.holder) {
     return;
@@ -271,11 +275,11 @@
   found->second.decided.Notify();
 }
 
-void QuotaDesk::Reported(const wire::InstanceReport& report) {
+void QuotaAdmission::Reported(const wire::InstanceReport& report) {
   this->unreported_grants.Reported(report.incarnation, report.grants_through);
 }
 
-std::int64_t QuotaDesk::SettledThrough() const {
+std::int64_t QuotaAdmission::SettledThrough() const {
   return this->pending_queries.empty()
              ? this->last_number
              : this->pending_queries.begin()->first - 1;
--- a/dragonflyglade/gateway/quota_desk.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
-#define DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
+#define DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -10,15 +10,15 @@
 #include <string_view>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/quota_ledger.h"
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
+#include "dragonflyglade/decision/unreported_grants.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
 
@@ -27,17 +27,17 @@
 /// Admits requests to workspaces' quotas: out of this instance's own share, or
 /// by a query to the leader, which knows what all instances spent. As leader,
 /// decides on the other instances' queries. Used by one event loop.
-class QuotaDesk {
+class QuotaAdmission {
  public:
   using TimeOfDay = std::function<absl::Time()>;
   using SendMessage = std::function<void(const wire::FleetMessage& message,
                                          const std::string& address)>;
 
-  QuotaDesk(boost::asio::io_context& context, FleetState& fleet,
-            QuotaOwners& participants, QuotaWindows& quotas,
-            ReportHub& aggregator, const DutyLease& leader_lease,
-            InstanceRecord self, absl::Duration window, Metrics& metrics,
-            EventLog& log, Clock clock, TimeOfDay time_of_day);
+  QuotaAdmission(boost::asio::io_context& context, FleetState& fleet,
+                 QuotaParticipants& participants, QuotaWindows& quotas,
+                 ReportAggregator& aggregator, const LeaderLease& leader_lease,
+                 InstanceRecord self, absl::Duration window, Metrics& metrics,
+                 EventLog& log, Clock clock, TimeOfDay time_of_day);
 
   void OnSend(SendMessage send) { this->send = std::move(send); }
 
@@ -48,7 +48,7 @@
 
   /// Updates which instances share the quotas, namely those that callers are
   /// sent to, and whether this one is among them.
-  void FollowInstances();
+  void UpdateParticipants();
 
   /// Returns the tokens of a request that was admitted but did not run.
   void GiveBack(std::string_view workspace, double tokens) {
@@ -56,14 +56,14 @@
   }
 
   /// As leader: decides on another instance's query and sends the decision.
-  void TakeAsk(const wire::QuotaAsk& ask);
+  void ReceiveAsk(const wire::QuotaAsk& ask);
   /// Applies the leader's decision on a query of this instance.
-  void TakeGrant(const wire::QuotaGrant& grant);
+  void ReceiveGrant(const wire::QuotaGrant& grant);
 
   /// As leader: removes the grants that a process's report counts as spent.
   void Reported(const wire::InstanceReport& report);
   /// As leader: tokens granted and not yet reported as spent.
-  double OpenGrants(std::string_view workspace) {
+  double UnreportedGrantTokens(std::string_view workspace) {
     return this->unreported_grants.Open(workspace);
   }
   /// Forgets all unreported grants, after the leader lease ended.
@@ -106,21 +106,21 @@
                                      std::int64_t number,
                                      const std::string& workspace,
                                      double tokens);
-  bool HasEnoughReports(const FleetSpend& spend);
+  bool HasEnoughReports(const FleetSpending& spend);
   bool MayQueryLeader() const;
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  QuotaOwners& participants;
+  QuotaParticipants& participants;
   QuotaWindows& quotas;
-  ReportHub& aggregator;
-  const DutyLease& leader_lease;
+  ReportAggregator& aggregator;
+  const LeaderLease& leader_lease;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
   const Clock clock;
   const TimeOfDay time_of_day;
-  QuotaLedger unreported_grants;
+  UnreportedGrants unreported_grants;
   SendMessage send;
   std::int64_t last_number = 0;
   std::map<std::int64_t, PendingQuery> pending_queries;
@@ -133,4 +133,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -29,22 +29,22 @@
 
 }  // namespace
 
-LocalTime ReadLocalTime() {
+ClockReadings ReadClocks() {
   timespec boot{};
   clock_gettime(CLOCK_BOOTTIME, &boot);
   return {SteadyClock().Now(), absl::DurationFromTimespec(boot)};
 }
 
-Registration::Registration(asio::io_context& context, StoreLink& store,
-                           FleetState& fleet, DutyLease& leader_lease,
-                           InstanceRecord self, LeaseTimes lease_times,
+Registration::Registration(asio::io_context& context, StoreClient& store,
+                           FleetState& fleet, LeaderLease& leader_lease,
+                           InstanceRecord self, LeaseDurations lease_durations,
                            EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
       leader_lease(leader_lease),
       self(std::move(self)),
-      lease_times(lease_times),
+      lease_durations(lease_durations),
       log(log),
       clock(std::move(clock)) {}
 
@@ -80,10 +80,10 @@
 }
 
 asio::awaitable<void> Registration::RequestLease() {
-  const LocalTime sent = ReadLocalTime();
+  const ClockReadings sent = ReadClocks();
   const absl::Duration wanted = this->WantedTtl();
-  StoreCall call = StoreGrant{wanted};
-  const StoreReply reply =
+  StoreCall call = StoreLeaseGrant{wanted};
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   const auto* lease = std::get_if<StoreLease>(&reply);
   if (lease == nullptr) co_return;
@@ -101,9 +101,10 @@
   transaction.puts.push_back({FleetState::InstanceKey(this->self.name),
                               EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->HandleLeaseLoss();
+  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+    this->HandleLeaseLoss();
   this->is_registered = std::holds_alternative<StoreCommitted>(reply);
   if (this->is_registered) {
     this->log.Write("registration", "entered", {{"lease", this->lease}});
@@ -111,11 +112,11 @@
 }
 
 asio::awaitable<void> Registration::Renew() {
-  const LocalTime sent = ReadLocalTime();
-  StoreCall call = StoreRenewal{this->lease};
-  const StoreReply reply =
+  const ClockReadings sent = ReadClocks();
+  StoreCall call = StoreLeaseRenewal{this->lease};
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) {
+  if (std::holds_alternative<StoreLeaseNotFound>(reply)) {
     this->HandleLeaseLoss();
     co_return;
   }
@@ -123,7 +124,8 @@
   if (lease == nullptr) co_return;
   this->granted_ttl = lease->ttl;
   this->renewed_at = sent;
-  if (this->leader_lease.Held()) this->leader_lease.Renewed(sent, lease->ttl);
+  if (this->leader_lease.Held())
+    this->leader_lease.OnLeaseRenewed(sent, lease->ttl);
 }
 
 void Registration::HandleLeaseLoss() {
@@ -136,7 +138,7 @@
 }
 
 bool Registration::HoldsLeaderEntry() const {
-  const auto& holder = this->fleet.Duty();
+  const auto& holder = this->fleet.Leader();
   return holder.has_value() && holder->lease == this->lease &&
          holder->instance.incarnation == this->self.incarnation;
 }
@@ -146,16 +148,16 @@
 // be leader.
 void Registration::CheckLeadership() {
   if (!this->leader_lease.Held() || this->HoldsLeaderEntry()) return;
-  if (this->fleet.DutyRevision() <= this->leader_lease.Fence()) return;
+  if (this->fleet.LeaderRevision() <= this->leader_lease.Fence()) return;
   this->log.Write("duty", "lost to another",
                   {{"fence", this->leader_lease.Fence()},
-                   {"revision", this->fleet.DutyRevision()}});
+                   {"revision", this->fleet.LeaderRevision()}});
   this->leader_lease.Lost();
 }
 
 absl::Duration Registration::WantedTtl() const {
-  return this->fleet.IsListed(this->self.name) ? this->lease_times.listed
-                                               : this->lease_times.unlisted;
+  return this->fleet.IsListed(this->self.name) ? this->lease_durations.listed
+                                               : this->lease_durations.unlisted;
 }
 
 // The lease of the leader's entry must not change while this instance is
@@ -169,7 +171,7 @@
 absl::Duration Registration::CandidacyDelay() const {
   // The leader sends summaries to all instances, so the candidates of highest
   // capacity go first.
-  const auto order = this->fleet.InstancesByStrength(FleetState::kDutyKey);
+  const auto order = this->fleet.InstancesByStrength(FleetState::kLeaderKey);
   const auto position = std::find_if(
       order.begin(), order.end(),
       [&](const auto* record) { return record->name == this->self.name; });
@@ -180,15 +182,15 @@
 asio::awaitable<void> Registration::TryBecomeLeader() {
   this->CheckLeadership();
   const Instant now = this->clock.Now();
-  if (this->fleet.Duty().has_value()) {
+  if (this->fleet.Leader().has_value()) {
     this->leaderless_since.reset();
     // The response to the write was lost, but the store shows that it
     // succeeded. An entry under an earlier lease of this instance does not
     // count, since it is about to expire: this instance would give orders with
     // an old fencing token while the next leader gives orders, too.
     if (this->HoldsLeaderEntry() && !this->leader_lease.Held()) {
-      this->leader_lease.Acquired(this->fleet.Duty()->revision,
-                                  this->renewed_at, this->granted_ttl);
+      this->leader_lease.OnLeaseAcquired(this->fleet.Leader()->revision,
+                                         this->renewed_at, this->granted_ttl);
     }
     co_return;
   }
@@ -197,22 +199,23 @@
   // The leader's entry is attached to this instance's lease. Under a long
   // lease, it would keep others from becoming leader for that long after this
   // process ended.
-  if (this->requested_ttl != this->lease_times.listed) co_return;
+  if (this->requested_ttl != this->lease_durations.listed) co_return;
   if (!this->leaderless_since.has_value()) this->leaderless_since = now;
   if (now - *this->leaderless_since < this->CandidacyDelay()) co_return;
   StoreTransaction transaction;
-  const std::string key(FleetState::kDutyKey);
+  const std::string key(FleetState::kLeaderKey);
   transaction.expected.push_back({key, 0});
   transaction.puts.push_back(
       {key, EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->HandleLeaseLoss();
+  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+    this->HandleLeaseLoss();
   const auto* committed = std::get_if<StoreCommitted>(&reply);
   if (committed == nullptr) co_return;
-  this->leader_lease.Acquired(committed->revision, this->renewed_at,
-                              this->granted_ttl);
+  this->leader_lease.OnLeaseAcquired(committed->revision, this->renewed_at,
+                                     this->granted_ttl);
   this->log.Write("duty", "taken", {{"fence", committed->revision}});
 }
 
@@ -225,7 +228,7 @@
   if (held) {
     // The fleet state is not used here: right after the entry was written, this
     // instance's own watch may not have returned it yet.
-    const std::string key(FleetState::kDutyKey);
+    const std::string key(FleetState::kLeaderKey);
     transaction.expected.push_back({key, this->leader_lease.Fence()});
     transaction.deletes.push_back(key);
   }
@@ -236,7 +239,7 @@
   bool is_confirmed = false;
   while (!is_confirmed) {
     StoreCall call = transaction;
-    const StoreReply reply =
+    const StoreResponse reply =
         co_await this->store.Call(std::move(call), kCallTimeout);
     is_confirmed = std::holds_alternative<StoreCommitted>(reply);
     if (std::holds_alternative<StoreConflict>(reply)) {
--- a/dragonflyglade/gateway/registration.h
+++ b/dragonflyglade/gateway/registration.h
@@ -6,20 +6,20 @@
 #include <optional>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
+#include "dragonflyglade/decision/leader_lease.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_link.h"
+#include "dragonflyglade/gateway/store_client.h"
 
 namespace dragonflyglade::gateway {
 
 /// Reads the steady and the boot clock.
-LocalTime ReadLocalTime();
+ClockReadings ReadClocks();
 
 /// The durations of store leases.
-struct LeaseTimes {
+struct LeaseDurations {
   absl::Duration listed = absl::Seconds(2);    ///< if callers are sent here
   absl::Duration unlisted = absl::Seconds(8);  ///< if they are not
 };
@@ -29,9 +29,10 @@
 /// event loop.
 class Registration {
  public:
-  Registration(boost::asio::io_context& context, StoreLink& store,
-               FleetState& fleet, DutyLease& leader_lease, InstanceRecord self,
-               LeaseTimes lease_times, EventLog& log, Clock clock);
+  Registration(boost::asio::io_context& context, StoreClient& store,
+               FleetState& fleet, LeaderLease& leader_lease,
+               InstanceRecord self, LeaseDurations lease_durations,
+               EventLog& log, Clock clock);
 
   /// Runs until Leave.
   boost::asio::awaitable<void> Run();
@@ -54,15 +55,15 @@
   void HandleLeaseLoss();
 
   boost::asio::io_context& context;
-  StoreLink& store;
+  StoreClient& store;
   FleetState& fleet;
-  DutyLease& leader_lease;
+  LeaderLease& leader_lease;
   const InstanceRecord self;
-  const LeaseTimes lease_times;
+  const LeaseDurations lease_durations;
   EventLog& log;
   const Clock clock;
   std::uint64_t lease = 0;
-  LocalTime renewed_at;          ///< when the last successful renewal was sent
+  ClockReadings renewed_at;      ///< when the last successful renewal was sent
   absl::Duration granted_ttl;    ///< duration that the store granted
   absl::Duration requested_ttl;  ///< duration that was requested
   bool is_registered = false;
--- a/dragonflyglade/gateway/report_hub.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -1,10 +1,10 @@
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-ReportHub::ReportHub(const QuotaOwners& participants,
-                     absl::Duration spend_window, Clock clock)
+ReportAggregator::ReportAggregator(const QuotaParticipants& participants,
+                                   absl::Duration spend_window, Clock clock)
     : participants(participants),
       spend_window(spend_window),
       clock(std::move(clock)) {}
 
-void ReportHub::Decay(DemandAverage& average) const {
+void ReportAggregator::Decay(DemandAverage& average) const {
   const Instant now = this->clock.Now();
   const double age =
       absl::FDivDuration(now - average.updated_at, kDemandTimeConstant);
@@ -40,7 +40,7 @@
   average.updated_at = now;
 }
 
-void ReportHub::Take(const wire::InstanceReport& report) {
+void ReportAggregator::Take(const wire::InstanceReport& report) {
   ProcessReport& entry = this->entries[report.incarnation];
   if (report.sequence <= entry.report.sequence) return;
   entry.report = report;
@@ -58,13 +58,13 @@
   }
 }
 
-bool ReportHub::IsCurrent(const ProcessReport& entry) const {
+bool ReportAggregator::IsCurrent(const ProcessReport& entry) const {
   if (entry.from_record) return false;
   const absl::Duration interval = absl::Milliseconds(entry.report.interval_ms);
   return this->clock.Now() - entry.received_at <= interval + kReportGrace;
 }
 
-void ReportHub::RemoveExpired() {
+void ReportAggregator::RemoveExpired() {
   const Instant now = this->clock.Now();
   for (auto entry = this->entries.begin(); entry != this->entries.end();) {
     if (now - entry->second.received_at > this->spend_window) {
@@ -75,18 +75,19 @@
   }
 }
 
-double ReportHub::UnknownShares() const {
+double ReportAggregator::UnknownShares() const {
   double shares = 0;
   for (const auto& [incarnation, entry] : this->entries) {
     if (!entry.report.listed || !this->IsCurrent(entry)) continue;
     if (this->IsSuccessor(incarnation, entry)) continue;
-    shares += 1 - EarnedPart(absl::Milliseconds(entry.report.age_ms),
-                             this->spend_window);
+    shares +=
+        1 - SpendableFractionAfterRestart(
+                absl::Milliseconds(entry.report.age_ms), this->spend_window);
   }
   return shares;
 }
 
-double ReportHub::MissingPart() const {
+double ReportAggregator::MissingPart() const {
   std::set<std::string_view> heard;
   for (const auto& [incarnation, entry] : this->entries) {
     if (this->IsCurrent(entry)) heard.insert(entry.report.instance);
@@ -95,8 +96,8 @@
 }
 
 // Whether the spending of the instance's previous process is known.
-bool ReportHub::IsSuccessor(std::string_view incarnation,
-                            const ProcessReport& entry) const {
+bool ReportAggregator::IsSuccessor(std::string_view incarnation,
+                                   const ProcessReport& entry) const {
   return std::any_of(
       this->entries.begin(), this->entries.end(), [&](const auto& other) {
         return other.first != incarnation &&
@@ -107,7 +108,7 @@
 // Sums are shared by many summaries: an instance's summary is the total less
 // its own part, so that the work grows with the number of instances and not
 // with its square.
-void ReportHub::UpdateSums() {
+void ReportAggregator::UpdateSums() {
   const Instant now = this->clock.Now();
   if (this->sums_at.has_value() && now - *this->sums_at < kSumsMaxAge) return;
   this->sums_at = now;
@@ -133,15 +134,15 @@
 
 // It is not known when recorded tokens were spent, and so not when they leave
 // the window; they are discounted gradually.
-std::int64_t ReportHub::CountedTokens(const ProcessReport& entry,
-                                      std::int64_t tokens) const {
+std::int64_t ReportAggregator::CountedTokens(const ProcessReport& entry,
+                                             std::int64_t tokens) const {
   if (!entry.from_record) return tokens;
-  const double part =
-      CountedPart(this->clock.Now() - entry.received_at, this->spend_window);
+  const double part = CountedFractionOfPriorSpending(
+      this->clock.Now() - entry.received_at, this->spend_window);
   return static_cast<std::int64_t>(part * static_cast<double>(tokens));
 }
 
-std::vector<ProcessSpend> ReportHub::SpendsByProcess() {
+std::vector<ProcessSpend> ReportAggregator::SpendingByProcess() {
   this->RemoveExpired();
   std::vector<ProcessSpend> all;
   for (const auto& [incarnation, entry] : this->entries) {
@@ -161,7 +162,7 @@
   return all;
 }
 
-void ReportHub::TakeOver(const SpendRecord& record) {
+void ReportAggregator::TakeOver(const SpendRecord& record) {
   for (const ProcessSpend& process : record.processes) {
     ProcessReport entry;
     entry.report.instance = process.instance;
@@ -171,7 +172,7 @@
     for (const auto& [workspace, tokens] : process.tokens) {
       wire::WorkspaceSpend spend;
       spend.workspace = workspace;
-      spend.tokens = static_cast<std::int64_t>((1 + kSpentAfterRecord) *
+      spend.tokens = static_cast<std::int64_t>((1 + kUnrecordedSpendingShare) *
                                                static_cast<double>(tokens));
       entry.report.spends.push_back(std::move(spend));
     }
@@ -181,9 +182,9 @@
   this->sums_at.reset();
 }
 
-FleetSpend ReportHub::SpendOf(const std::string& workspace) {
+FleetSpending ReportAggregator::SpendingOf(const std::string& workspace) {
   this->UpdateSums();
-  FleetSpend spend;
+  FleetSpending spend;
   const auto tokens = this->sums.spends.find(workspace);
   if (tokens != this->sums.spends.end()) {
     spend.total = static_cast<double>(tokens->second);
@@ -194,7 +195,8 @@
   return spend;
 }
 
-wire::FleetSummary ReportHub::SummaryFor(const wire::InstanceReport& report) {
+wire::FleetSummary ReportAggregator::SummaryFor(
+    const wire::InstanceReport& report) {
   this->UpdateSums();
   wire::FleetSummary summary;
   summary.instances = this->sums.instances;
@@ -228,7 +230,7 @@
   return summary;
 }
 
-std::map<ModelName, FleetDemand> ReportHub::Demand() {
+std::map<ModelName, FleetDemand> ReportAggregator::Demand() {
   this->RemoveExpired();
   std::map<ModelName, FleetDemand> result;
   // A new leader's average starts at zero. Without dividing by the observed
@@ -260,7 +262,8 @@
   return result;
 }
 
-std::map<std::string, std::set<std::string>> ReportHub::ResidentsInUse() const {
+std::map<std::string, std::set<std::string>> ReportAggregator::ResidentsInUse()
+    const {
   std::map<std::string, std::set<std::string>> in_use;
   for (const auto& [incarnation, entry] : this->entries) {
     if (!this->IsCurrent(entry)) continue;
@@ -271,7 +274,7 @@
   return in_use;
 }
 
-std::vector<wire::InstanceReport> ReportHub::Reporters() {
+std::vector<wire::InstanceReport> ReportAggregator::RecentReports() {
   this->RemoveExpired();
   std::vector<wire::InstanceReport> reporters;
   for (const auto& [incarnation, entry] : this->entries) {
@@ -280,7 +283,7 @@
   return reporters;
 }
 
-void ReportHub::Clear() {
+void ReportAggregator::Clear() {
   this->entries.clear();
   this->demand.clear();
   this->sums_at.reset();
--- a/dragonflyglade/gateway/report_hub.h
+++ b/dragonflyglade/gateway/report_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
-#define DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
+#define DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/gateway/model_demand.h"
 #include "dragonflyglade/gateway/spend_record.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
@@ -28,12 +28,12 @@
 /// exchanges one report and one summary instead of messages with all others.
 /// The state is not persistent: a new leader is complete after one round of
 /// reports. Used by one event loop.
-class ReportHub {
+class ReportAggregator {
  public:
   /// @param owners the instances that share the quotas; updated by others
   /// @param spend_window for how long spent tokens count
-  ReportHub(const QuotaOwners& participants, absl::Duration spend_window,
-            Clock clock);
+  ReportAggregator(const QuotaParticipants& participants,
+                   absl::Duration spend_window, Clock clock);
 
   /// Stores a report. One that is not newer than the process's last is ignored.
   void Take(const wire::InstanceReport& report);
@@ -46,10 +46,10 @@
   wire::FleetSummary SummaryFor(const wire::InstanceReport& report);
 
   /// What all instances spent of a workspace's quota.
-  FleetSpend SpendOf(const std::string& workspace);
+  FleetSpending SpendingOf(const std::string& workspace);
 
   /// What each process spent in the window.
-  std::vector<ProcessSpend> SpendsByProcess();
+  std::vector<ProcessSpend> SpendingByProcess();
 
   /// Adds the spending from the previous leader's record, for processes that
   /// have not reported to this leader and may have terminated.
@@ -63,7 +63,7 @@
   std::map<std::string, std::set<std::string>> ResidentsInUse() const;
 
   /// The last report of each process whose reports are not overdue.
-  std::vector<wire::InstanceReport> Reporters();
+  std::vector<wire::InstanceReport> RecentReports();
 
   /// Forgets all reports and demand, after the leader lease ended.
   void Clear();
@@ -102,7 +102,7 @@
                    const ProcessReport& entry) const;
   void Decay(DemandAverage& average) const;
 
-  const QuotaOwners& participants;
+  const QuotaParticipants& participants;
   const absl::Duration spend_window;
   const Clock clock;
   /// By incarnation: a restarted instance no longer knows what it spent before,
@@ -116,4 +116,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
--- a/dragonflyglade/gateway/spend_record.h
+++ b/dragonflyglade/gateway/spend_record.h
@@ -32,16 +32,17 @@
 /// maximum age of a record.
 bool IsRecent(const SpendRecord& record, absl::Time now);
 
-/// The spending of all processes by workspace, increased by kSpentAfterRecord
-/// for what they may have spent between the record and their termination.
-std::map<std::string, double, std::less<>> FleetSpent(
+/// The spending of all processes by workspace, increased by
+/// kUnrecordedSpendingShare for what they may have spent between the record and
+/// their termination.
+std::map<std::string, double, std::less<>> SpendingByWorkspace(
     const SpendRecord& record);
 
 /// Whether callers were sent to the instance when the record was written.
 bool WasListed(const SpendRecord& record, std::string_view instance);
 
 /// Fraction of the recorded tokens that is added for spending after the record.
-inline constexpr double kSpentAfterRecord = 0.3;
+inline constexpr double kUnrecordedSpendingShare = 0.3;
 
 /// Encodes the record as compressed JSON: a few kilobytes for some tens of
 /// processes, which each instance that watches the store reads at each change.
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -12,7 +12,7 @@
 namespace {
 
 // The record shows a sudden rise of spending within this time; see
-// kSpentAfterRecord.
+// kUnrecordedSpendingShare.
 constexpr absl::Duration kCheckInterval = absl::Milliseconds(500);
 // Each write costs a store call. A record is therefore kept for this long while
 // no workspace has spent much more than it shows.
@@ -25,9 +25,9 @@
 
 }  // namespace
 
-SpendRecorder::SpendRecorder(asio::io_context& context, StoreLink& store,
-                             ReportHub& aggregator,
-                             const DutyLease& leader_lease, EventLog& log,
+SpendRecorder::SpendRecorder(asio::io_context& context, StoreClient& store,
+                             ReportAggregator& aggregator,
+                             const LeaderLease& leader_lease, EventLog& log,
                              TimeOfDay time_of_day)
     : context(context),
       store(store),
@@ -57,7 +57,7 @@
 asio::awaitable<bool> SpendRecorder::TakeOver() {
   const std::string key(FleetState::kSpendsKey);
   StoreCall call = StoreList{key, ""};
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   const auto* page = std::get_if<StorePage>(&reply);
   if (page == nullptr) co_return false;
@@ -83,8 +83,8 @@
 bool SpendRecorder::IsStillAccurate(const SpendRecord& newer) const {
   const absl::Duration age = newer.written - this->last.written;
   if (age < absl::ZeroDuration() || age >= kRecordMaxAge) return false;
-  const auto known = FleetSpent(this->last);
-  const auto spent = FleetSpent(newer);
+  const auto known = SpendingByWorkspace(this->last);
+  const auto spent = SpendingByWorkspace(newer);
   return std::all_of(spent.begin(), spent.end(), [&](const auto& item) {
     const auto found = known.find(item.first);
     return found != known.end() &&
@@ -95,17 +95,18 @@
 asio::awaitable<void> SpendRecorder::Record() {
   SpendRecord record;
   record.written = this->time_of_day();
-  record.processes = this->aggregator.SpendsByProcess();
-  if (FleetSpent(record).empty() || this->IsStillAccurate(record)) co_return;
+  record.processes = this->aggregator.SpendingByProcess();
+  if (SpendingByWorkspace(record).empty() || this->IsStillAccurate(record))
+    co_return;
   StoreTransaction transaction;
   // The precondition keeps a leader that was replaced, and does not know it
   // yet, from writing.
   transaction.expected.push_back(
-      {std::string(FleetState::kDutyKey), this->leader_lease.Fence()});
+      {std::string(FleetState::kLeaderKey), this->leader_lease.Fence()});
   transaction.puts.push_back(
       {std::string(FleetState::kSpendsKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   if (std::holds_alternative<StoreCommitted>(reply)) {
     this->last = std::move(record);
--- a/dragonflyglade/gateway/store_link.h
+++ b/dragonflyglade/gateway/store_client.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 
@@ -16,17 +16,18 @@
 
 /// Calls the store, each call with a timeout of its own. A connection on which
 /// a response timed out is not reused. Used by one event loop.
-class StoreLink {
+class StoreClient {
  public:
-  StoreLink(boost::asio::io_context& context, Endpoint store,
-            const WireFormat& wire, Metrics& metrics, Clock clock);
+  StoreClient(boost::asio::io_context& context, Endpoint store,
+              const WireFormat& wire, Metrics& metrics, Clock clock);
 
   /// @param timeout until the response begins; after that, the call continues
   ///   while bytes arrive
-  /// @return StoreUnknown if there is no response although the store may have
+  /// @return StoreOutcomeUnknown if there is no response although the store may
+  /// have
   ///   executed the call
-  boost::asio::awaitable<StoreReply> Call(StoreCall call,
-                                          absl::Duration timeout);
+  boost::asio::awaitable<StoreResponse> Call(StoreCall call,
+                                             absl::Duration timeout);
 
  private:
   boost::asio::io_context& context;
@@ -39,4 +40,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -29,7 +29,7 @@
 }  // namespace
 
 StoreRelay::StoreRelay(asio::io_context& context, FleetState& fleet,
-                       StoreNews& sync_state, InstanceRecord self,
+                       StoreSyncState& sync_state, InstanceRecord self,
                        Metrics& metrics, EventLog& log, Clock clock)
     : context(context),
       fleet(fleet),
@@ -43,7 +43,7 @@
 // packing a large configuration takes some milliseconds on a small machine.
 const StoreRelay::PackedDigestChanges* StoreRelay::PackedChangesSince(
     std::uint64_t known) {
-  const RecentChanges& recent = this->fleet.Recent();
+  const RecentChanges& recent = this->fleet.RecentUrgentChanges();
   if (recent.Version() != this->packed_version) this->packed.clear();
   this->packed_version = recent.Version();
   const auto found = this->packed.find(known);
@@ -58,7 +58,7 @@
   return &this->packed.emplace(known, std::move(packed)).first->second;
 }
 
-wire::StoreDigest StoreRelay::DigestFor(std::uint64_t known) {
+wire::StoreDigest StoreRelay::DigestSince(std::uint64_t known) {
   const PackedDigestChanges* changes = this->PackedChangesSince(known);
   if (changes == nullptr) return this->DigestOf("");
   wire::StoreDigest digest = this->DigestOf(changes->bytes);
@@ -67,8 +67,8 @@
   return digest;
 }
 
-void StoreRelay::TakeDigest(const wire::StoreDigest& digest) {
-  StoreWord relay_digest;
+void StoreRelay::ReceiveDigest(const wire::StoreDigest& digest) {
+  RelayDigest relay_digest;
   relay_digest.urgent_revision =
       static_cast<std::uint64_t>(digest.urgent_revision);
   relay_digest.confirmed_at =
@@ -98,11 +98,12 @@
   if (this->on_digest_applied) this->on_digest_applied();
 }
 
-std::string StoreRelay::PackDuty() const {
-  auto changes = this->fleet.Recent().Since(this->fleet.DutyRevision() - 1);
+std::string StoreRelay::PackLeaderRecord() const {
+  auto changes =
+      this->fleet.RecentUrgentChanges().Since(this->fleet.LeaderRevision() - 1);
   if (!changes.has_value()) return "";
   std::erase_if(*changes, [](const StoreEvent& event) {
-    return event.item.key != FleetState::kDutyKey;
+    return event.item.key != FleetState::kLeaderKey;
   });
   return PackChanges(*changes, kMaxPackedBytes).bytes;
 }
@@ -120,17 +121,17 @@
 
 void StoreRelay::SendDigest(std::uint64_t known, const std::string& address) {
   wire::FleetMessage message;
-  message.__set_store(this->DigestFor(known));
+  message.__set_store(this->DigestSince(known));
   this->send(message, address);
 }
 
-void StoreRelay::TakeQuestion(const wire::StoreQuestion& question) {
+void StoreRelay::ReceiveQuestion(const wire::StoreQuestion& question) {
   const auto known = static_cast<std::uint64_t>(question.known);
   this->subscribers[question.address] = {known, this->clock.Now()};
   this->SendDigest(known, question.address);
 }
 
-void StoreRelay::TellAskers() {
+void StoreRelay::NotifySubscribers() {
   const Instant now = this->clock.Now();
   for (auto subscriber = this->subscribers.begin();
        subscriber != this->subscribers.end();) {
@@ -144,16 +145,16 @@
 }
 
 bool StoreRelay::IsRelay() const {
-  return this->fleet.FollowsStore(this->self.name);
+  return this->fleet.IsRelayInstance(this->self.name);
 }
 
-asio::awaitable<void> StoreRelay::AskWhileSilent() {
+asio::awaitable<void> StoreRelay::QueryRelaysWhileStale() {
   while (true) {
     co_await Sleep(this->context, kQueryInterval);
-    if (!this->IsRelay() && this->sync_state.WordAge() > kDigestStaleAfter)
+    if (!this->IsRelay() && this->sync_state.DigestAge() > kDigestStaleAfter)
       this->QueryNextRelay();
-    if (this->sync_state.IsLed() == this->had_live_relay) continue;
-    this->had_live_relay = this->sync_state.IsLed();
+    if (this->sync_state.HasLiveRelay() == this->had_live_relay) continue;
+    this->had_live_relay = this->sync_state.HasLiveRelay();
     this->log.Write("store", this->had_live_relay ? "led" : "not led",
                     {{"known_through", this->sync_state.KnownThrough()},
                      {"behind", this->sync_state.IsBehind()}});
@@ -163,7 +164,8 @@
 // Queries the relays in turn, since one may have terminated or be unreachable
 // from here.
 void StoreRelay::QueryNextRelay() {
-  const std::vector<const InstanceRecord*>& relays = this->fleet.Followers();
+  const std::vector<const InstanceRecord*>& relays =
+      this->fleet.RelayInstances();
   if (relays.empty()) return;
   const InstanceRecord* relay = relays[this->next_relay % relays.size()];
   this->next_relay += 1;
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -14,7 +14,7 @@
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
 
@@ -34,44 +34,44 @@
                                          const std::string& address)>;
 
   StoreRelay(boost::asio::io_context& context, FleetState& fleet,
-             StoreNews& sync_state, InstanceRecord self, Metrics& metrics,
+             StoreSyncState& sync_state, InstanceRecord self, Metrics& metrics,
              EventLog& log, Clock clock);
 
   /// Sets the function that sends messages; to be called before all others.
   void OnSend(SendMessage send) { this->send = std::move(send); }
   /// Called after a digest of another instance was applied.
-  void OnTaken(std::function<void()> callback) {
+  void OnDigestApplied(std::function<void()> callback) {
     this->on_digest_applied = std::move(callback);
   }
 
   /// A digest with the urgent changes after a revision.
   /// @param known the revision through which the receiver knows all urgent
   ///   changes
-  wire::StoreDigest DigestFor(std::uint64_t known);
+  wire::StoreDigest DigestSince(std::uint64_t known);
 
   /// Applies the changes and the revisions of another instance's digest.
-  void TakeDigest(const wire::StoreDigest& digest);
+  void ReceiveDigest(const wire::StoreDigest& digest);
 
   /// Responds to a query with a digest and subscribes the sender to changes for
   /// a short time.
-  void TakeQuestion(const wire::StoreQuestion& question);
+  void ReceiveQuestion(const wire::StoreQuestion& question);
 
   /// Sends a digest to each subscriber.
-  void TellAskers();
+  void NotifySubscribers();
 
   /// Sends a digest with the urgent changes after a revision.
   void SendDigest(std::uint64_t known, const std::string& address);
 
   /// The change that made the present leader, packed; serves any number of
   /// DigestOf calls.
-  std::string PackDuty() const;
+  std::string PackLeaderRecord() const;
   /// A digest with packed changes, for receivers whose known revision is not
   /// known here.
   wire::StoreDigest DigestOf(std::string changes) const;
 
   /// Queries the relays while the newest digest is stale; runs until the
   /// process ends.
-  boost::asio::awaitable<void> AskWhileSilent();
+  boost::asio::awaitable<void> QueryRelaysWhileStale();
 
  private:
   /// Changes packed for all receivers that know the same revision.
@@ -92,7 +92,7 @@
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  StoreNews& sync_state;
+  StoreSyncState& sync_state;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
--- a/dragonflyglade/gateway/store_news.cc
+++ b/dragonflyglade/gateway/store_sync_state.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-StoreNews::StoreNews(boost::asio::io_context& context, Clock clock)
+StoreSyncState::StoreSyncState(boost::asio::io_context& context, Clock clock)
     : clock(std::move(clock)), changed(context) {}
 
-void StoreNews::Read(std::uint64_t revision, std::uint64_t urgent) {
+void StoreSyncState::Read(std::uint64_t revision, std::uint64_t urgent) {
   const bool is_new = urgent > this->urgent_revision;
   this->read_through = std::max(this->read_through, revision);
   this->urgent_revision = std::max(this->urgent_revision, urgent);
@@ -34,7 +34,7 @@
   if (is_new && this->on_urgent_change) this->on_urgent_change();
 }
 
-void StoreNews::Told(const StoreWord& digest) {
+void StoreSyncState::Told(const RelayDigest& digest) {
   const bool progress = digest.changes_through > this->known_through;
   this->known_through = std::max(this->known_through, digest.changes_through);
   this->relay_urgent_revision =
@@ -49,7 +49,7 @@
   this->changed.Notify();
 }
 
-void StoreNews::UpdateLag(bool progress) {
+void StoreSyncState::UpdateLag(bool progress) {
   if (this->relay_urgent_revision <= this->known_through) {
     this->behind_since.reset();
   } else if (progress || !this->behind_since.has_value()) {
@@ -57,19 +57,21 @@
   }
 }
 
-absl::Duration StoreNews::WordAge() const {
+absl::Duration StoreSyncState::DigestAge() const {
   return this->clock.Now() - this->relay_confirmed_at;
 }
 
-bool StoreNews::IsLed() const { return this->WordAge() < kDigestMaxAge; }
+bool StoreSyncState::HasLiveRelay() const {
+  return this->DigestAge() < kDigestMaxAge;
+}
 
-bool StoreNews::MustRead() const {
+bool StoreSyncState::MustReadStore() const {
   return this->behind_since.has_value() &&
          this->clock.Now() - *this->behind_since > kMaxLag;
 }
 
-absl::Duration StoreNews::SteadyFor() const {
-  if (!this->IsLed()) return absl::ZeroDuration();
+absl::Duration StoreSyncState::StoreUptime() const {
+  if (!this->HasLiveRelay()) return absl::ZeroDuration();
   return this->clock.Now() - this->store_up_since;
 }
 
--- a/dragonflyglade/gateway/store_news.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace dragonflyglade::gateway {
 
 /// The state of the store as a relay instance reports it in a digest.
-struct StoreWord {
+struct RelayDigest {
   /// The newest revision with an urgent change: of the configuration, of the
   /// set of targets and instances, or of the leader.
   std::uint64_t urgent_revision = 0;
@@ -25,19 +25,19 @@
 
 /// How far this instance's copy of the store is up to date, by its own reads
 /// and by the digests of relay instances. Used by one event loop.
-class StoreNews {
+class StoreSyncState {
  public:
-  StoreNews(boost::asio::io_context& context, Clock clock);
+  StoreSyncState(boost::asio::io_context& context, Clock clock);
 
   /// Records that this instance has read all changes through a revision.
   /// @param urgent the newest revision with an urgent change
   void Read(std::uint64_t revision, std::uint64_t urgent);
 
   /// Records a digest of a relay, after its changes were applied.
-  void Told(const StoreWord& digest);
+  void Told(const RelayDigest& digest);
 
   /// Called when this instance's own read contained an urgent change.
-  void OnUrgent(std::function<void()> callback) {
+  void OnUrgentChange(std::function<void()> callback) {
     this->on_urgent_change = std::move(callback);
   }
 
@@ -54,21 +54,21 @@
 
   /// Whether the newest digest is recent enough to get updates from relays
   /// instead of the store.
-  bool IsLed() const;
+  bool HasLiveRelay() const;
 
   /// Whether relays have announced urgent changes that this instance lacks.
   bool IsBehind() const { return this->behind_since.has_value(); }
 
   /// Whether it has lacked them for so long that it must read the store.
-  bool MustRead() const;
+  bool MustReadStore() const;
 
   /// For how long the store has responded to the relays without a gap; zero if
   /// no relay is live.
-  absl::Duration SteadyFor() const;
+  absl::Duration StoreUptime() const;
 
   /// The time since the store confirmed the newest digest to its sender;
   /// infinite if there is none.
-  absl::Duration WordAge() const;
+  absl::Duration DigestAge() const;
 
   /// Notified at each digest.
   Signal& Changed() { return this->changed; }
@@ -93,4 +93,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
--- a/dragonflyglade/gateway/store_types.h
+++ b/dragonflyglade/gateway/store_types.h
@@ -38,7 +38,7 @@
 };
 
 /// A condition of a transaction.
-struct StoreExpectation {
+struct StorePrecondition {
   std::string key;
   std::uint64_t revision = 0;  ///< 0: the key does not exist
 };
@@ -52,7 +52,7 @@
 
 /// Writes that take effect together, and only if all conditions hold.
 struct StoreTransaction {
-  std::vector<StoreExpectation> expected;
+  std::vector<StorePrecondition> expected;
   std::vector<StorePut> puts;
   std::vector<std::string> deletes;
 };
@@ -69,19 +69,20 @@
   absl::Duration wait;      ///< how long the store holds the call
 };
 /// Requests a new lease.
-struct StoreGrant {
+struct StoreLeaseGrant {
   absl::Duration ttl;
 };
 /// Extends a lease.
-struct StoreRenewal {
+struct StoreLeaseRenewal {
   std::uint64_t lease = 0;
 };
 /// Revokes a lease.
-struct StoreLeaseEnd {
+struct StoreLeaseRevoke {
   std::uint64_t lease = 0;
 };
-using StoreCall = std::variant<StoreList, StoreWatch, StoreTransaction,
-                               StoreGrant, StoreRenewal, StoreLeaseEnd>;
+using StoreCall =
+    std::variant<StoreList, StoreWatch, StoreTransaction, StoreLeaseGrant,
+                 StoreLeaseRenewal, StoreLeaseRevoke>;
 
 /// The transaction was committed.
 struct StoreCommitted {
@@ -95,7 +96,7 @@
 /// A condition did not hold; nothing was written.
 struct StoreConflict {};
 /// The lease does not exist.
-struct StoreNoLease {};
+struct StoreLeaseNotFound {};
 /// The history since the revision has been compacted; the store must be listed
 /// again.
 struct StoreCompacted {};
@@ -105,12 +106,13 @@
   int status = 0;
 };
 /// There is no readable response; the call may have been executed.
-struct StoreUnknown {
+struct StoreOutcomeUnknown {
   std::string detail;
 };
-using StoreReply = std::variant<StorePage, StoreEvents, StoreCommitted,
-                                StoreLease, StoreConflict, StoreNoLease,
-                                StoreCompacted, StoreRefused, StoreUnknown>;
+using StoreResponse =
+    std::variant<StorePage, StoreEvents, StoreCommitted, StoreLease,
+                 StoreConflict, StoreLeaseNotFound, StoreCompacted,
+                 StoreRefused, StoreOutcomeUnknown>;
 
 }  // namespace dragonflyglade::gateway
 
--- a/dragonflyglade/gateway/store_follower.cc
+++ b/dragonflyglade/gateway/store_watcher.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/store_follower.h"
+#include "dragonflyglade/gateway/store_watcher.h"
 
 #include <fmt/format.h>
 
@@ -39,11 +39,11 @@
 // the store counts each call that waits.
 constexpr const char* kAllKeysPrefix = "";
 
-std::string FailureText(const StoreReply& reply) {
+std::string FailureText(const StoreResponse& reply) {
   if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
     return fmt::format("refused with status {}", refused->status);
   }
-  if (const auto* unknown = std::get_if<StoreUnknown>(&reply)) {
+  if (const auto* unknown = std::get_if<StoreOutcomeUnknown>(&reply)) {
     return "no answer: " + unknown->detail;
   }
   return "unexpected answer";
@@ -51,9 +51,9 @@
 
 }  // namespace
 
-StoreFollower::StoreFollower(asio::io_context& context, StoreLink& store,
-                             FleetState& fleet, StoreNews& sync_state,
-                             std::string self, EventLog& log, Clock clock)
+StoreWatcher::StoreWatcher(asio::io_context& context, StoreClient& store,
+                           FleetState& fleet, StoreSyncState& sync_state,
+                           std::string self, EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
@@ -62,14 +62,14 @@
       log(log),
       clock(std::move(clock)) {}
 
-asio::awaitable<void> StoreFollower::Run() {
+asio::awaitable<void> StoreWatcher::Run() {
   while (true) {
     const bool listed = co_await this->List();
     if (!listed) continue;
     bool history_kept = true;
     while (history_kept) {
       history_kept = co_await this->Watch();
-      this->fleet.Sweep();
+      this->fleet.RemoveExpiredTargets();
     }
     this->log.Write("store", "listing anew",
                     {{"revision", this->revision},
@@ -77,14 +77,15 @@
   }
 }
 
-asio::awaitable<bool> StoreFollower::List() {
+asio::awaitable<bool> StoreWatcher::List() {
   std::vector<StoreItem> items;
   std::optional<std::uint64_t> first_revision;
   std::string after;
   bool more_pages = true;
   while (more_pages) {
     StoreCall call = StoreList{kAllKeysPrefix, after};
-    StoreReply reply = co_await this->store.Call(std::move(call), kListTimeout);
+    StoreResponse reply =
+        co_await this->store.Call(std::move(call), kListTimeout);
     auto* page = std::get_if<StorePage>(&reply);
     if (page == nullptr) {
       co_await this->HandleStoreFailure(FailureText(reply));
@@ -110,20 +111,21 @@
 }
 
 // A relay reads the store itself.
-bool StoreFollower::IsLed() const {
-  return this->sync_state.IsLed() && !this->fleet.FollowsStore(this->self);
+bool StoreWatcher::HasLiveRelay() const {
+  return this->sync_state.HasLiveRelay() &&
+         !this->fleet.IsRelayInstance(this->self);
 }
 
-asio::awaitable<void> StoreFollower::WaitWhileRelayLive() {
-  while (this->IsLed() && !this->sync_state.MustRead()) {
+asio::awaitable<void> StoreWatcher::WaitWhileRelayLive() {
+  while (this->HasLiveRelay() && !this->sync_state.MustReadStore()) {
     co_await this->sync_state.Changed().Wait(kRelayCheckInterval);
     // Targets whose grace period ends while nothing is read.
-    this->fleet.Sweep();
+    this->fleet.RemoveExpiredTargets();
   }
 }
 
-absl::Duration StoreFollower::PauseBetweenReads() const {
-  if (this->fleet.FollowsStore(this->self)) return kMinReadPause;
+absl::Duration StoreWatcher::PauseBetweenReads() const {
+  if (this->fleet.IsRelayInstance(this->self)) return kMinReadPause;
   const auto instances = static_cast<double>(this->fleet.Instances().size());
   return std::clamp(kPausePerInstance * instances, kMinReadPause,
                     kMaxReadPause);
@@ -132,24 +134,24 @@
 // Skips what digests contained. They omit changes that are not urgent: adapters
 // and cached weights of targets. A relay does not skip anything, since it may
 // become the leader, which needs these to give orders.
-void StoreFollower::SkipRelayedChanges() {
-  if (this->fleet.FollowsStore(this->self)) return;
+void StoreWatcher::SkipRelayedChanges() {
+  if (this->fleet.IsRelayInstance(this->self)) return;
   if (this->sync_state.KnownThrough() <= this->revision) return;
   this->revision = this->sync_state.KnownThrough();
   this->details_incomplete = true;
 }
 
-asio::awaitable<bool> StoreFollower::Watch() {
+asio::awaitable<bool> StoreWatcher::Watch() {
   co_await this->WaitWhileRelayLive();
-  if (this->details_incomplete && this->fleet.FollowsStore(this->self)) {
+  if (this->details_incomplete && this->fleet.IsRelayInstance(this->self)) {
     co_return false;
   }
   this->SkipRelayedChanges();
-  const absl::Duration wait = this->fleet.FollowsStore(this->self)
+  const absl::Duration wait = this->fleet.IsRelayInstance(this->self)
                                   ? kRelayWatchDuration
                                   : kWatchDuration;
   StoreCall call = StoreWatch{kAllKeysPrefix, this->revision, wait};
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), wait + kResponseTimeout);
   if (std::holds_alternative<StoreCompacted>(reply)) {
     this->HandleStoreResponse();
@@ -176,24 +178,24 @@
   co_return true;
 }
 
-void StoreFollower::HandleStoreResponse() {
+void StoreWatcher::HandleStoreResponse() {
   if (!this->unreachable_since.has_value()) return;
   this->log.Write("store", "regained",
                   {{"away_ms", this->clock.Now() - *this->unreachable_since},
                    {"revision", this->revision}});
   this->unreachable_since.reset();
-  if (!this->StoreStayedAvailable()) this->fleet.StoreReturned();
+  if (!this->StoreStayedAvailable()) this->fleet.HandleStoreRecovery();
 }
 
 // Entries of running targets expire only while the store is unavailable to all.
 // If it failed for this instance only and responded to the relays throughout,
 // targets whose entries are missing have left, and a grace period would send
 // requests to them.
-bool StoreFollower::StoreStayedAvailable() const {
-  return this->sync_state.SteadyFor() > kReregistrationTime;
+bool StoreWatcher::StoreStayedAvailable() const {
+  return this->sync_state.StoreUptime() > kReregistrationTime;
 }
 
-asio::awaitable<void> StoreFollower::HandleStoreFailure(std::string_view why) {
+asio::awaitable<void> StoreWatcher::HandleStoreFailure(std::string_view why) {
   if (!this->unreachable_since.has_value()) {
     this->unreachable_since = this->clock.Now();
     this->log.Write("store", "lost",
--- a/dragonflyglade/gateway/store_follower.h
+++ b/dragonflyglade/gateway/store_watcher.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -11,8 +11,8 @@
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
-#include "dragonflyglade/gateway/store_link.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_client.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 namespace dragonflyglade::gateway {
 
@@ -25,18 +25,18 @@
 /// apart. While a relay is live and its digests contain all urgent changes,
 /// this instance reads nothing, so that the number of calls does not grow with
 /// the number of instances. Used by one event loop.
-class StoreFollower {
+class StoreWatcher {
  public:
   /// @param self the name of this instance
-  StoreFollower(boost::asio::io_context& context, StoreLink& store,
-                FleetState& fleet, StoreNews& sync_state, std::string self,
-                EventLog& log, Clock clock);
+  StoreWatcher(boost::asio::io_context& context, StoreClient& store,
+               FleetState& fleet, StoreSyncState& sync_state, std::string self,
+               EventLog& log, Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
 
   /// Whether the store responded to the last call.
-  bool InContact() const { return !this->unreachable_since.has_value(); }
+  bool IsStoreReachable() const { return !this->unreachable_since.has_value(); }
   /// The revision of the fleet state. Changes that are not urgent may be
   /// missing from it.
   std::uint64_t Revision() const { return this->revision; }
@@ -45,7 +45,7 @@
   boost::asio::awaitable<bool> List();
   boost::asio::awaitable<bool> Watch();
   boost::asio::awaitable<void> WaitWhileRelayLive();
-  bool IsLed() const;
+  bool HasLiveRelay() const;
   void SkipRelayedChanges();
   absl::Duration PauseBetweenReads() const;
   bool StoreStayedAvailable() const;
@@ -53,9 +53,9 @@
   boost::asio::awaitable<void> HandleStoreFailure(std::string_view why);
 
   boost::asio::io_context& context;
-  StoreLink& store;
+  StoreClient& store;
   FleetState& fleet;
-  StoreNews& sync_state;
+  StoreSyncState& sync_state;
   const std::string self;
   EventLog& log;
   const Clock clock;
@@ -67,4 +67,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
--- a/dragonflyglade/gateway/holdings_book.h
+++ b/dragonflyglade/gateway/versioned_holdings.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
-#define DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
+#define DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 /// The residency of the targets with version numbers, so that the leader sends
 /// an instance only what changed since the version that it knows. Used by one
 /// event loop.
-class HoldingsBook {
+class VersionedHoldings {
  public:
   /// Replaces the residency of all targets. Targets that are missing from it
   /// are removed.
@@ -44,4 +44,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "absl/strings/match.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
@@ -58,24 +58,25 @@
     const std::vector<RequestFaultCase> cases = {
         {"before the request is sent",
          [](const InjectedFault& fault, WireFormat& wire) {
-           wire.target_fields = fault.Wrap(wire.target_fields);
+           wire.target_request_fields = fault.Wrap(wire.target_request_fields);
          },
          500},
         {"when its answer is decoded",
          [](const InjectedFault& fault, WireFormat& wire) {
-           wire.decode_answer = fault.Wrap(wire.decode_answer);
+           wire.decode_response_head = fault.Wrap(wire.decode_response_head);
          },
          500},
     };
     for (const RequestFaultCase& item : cases) {
       InjectedFault fault;
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       item.inject(fault, options.wire);
-      GatewayStage stage(std::move(options));
-      stage.first.Next(
-          [&](const RawRequest& request) { return Sound(request); });
+      GatewayHarness stage(std::move(options));
+      stage.first.Next([&](const RawRequest& request) {
+        return SuccessfulResponse(request);
+      });
       fault.Arm();
-      GatewayStage::Reply reply;
+      GatewayHarness::Reply reply;
       // Responses of the store are decoded, too, and may trigger the fault
       // first.
       do {
@@ -83,7 +84,7 @@
         reply = stage.Call("GET", "/any/");
       } while (reply.status == 200);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.status, reply.status);
-      const GatewayStage::Reply metrics =
+      const GatewayHarness::Reply metrics =
           stage.Ask(stage.gateway->Settings().metrics, "/metrics");
       CPPUNIT_ASSERT_MESSAGE(
           item.name, absl::StrContains(metrics.text, "requests_in_flight 0\n"));
@@ -94,10 +95,10 @@
   // an exception in decoding a response of the store ends the watch.
   void WatchesTheStoreAfterAnException() {
     InjectedFault fault;
-    GatewayStage::Options options;
-    options.wire.decode_store_reply =
-        fault.Wrap(options.wire.decode_store_reply);
-    GatewayStage stage(std::move(options));
+    GatewayHarness::Options options;
+    options.wire.decode_store_response =
+        fault.Wrap(options.wire.decode_store_response);
+    GatewayHarness stage(std::move(options));
     constexpr int kFaults = 20;
     for (int i = 0; i < kFaults; ++i) {
       fault.Arm();
--- a/tests/platform/platform-follower.cc
+++ b/tests/platform/platform-follower.cc
@@ -9,9 +9,9 @@
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_follower.h"
-#include "dragonflyglade/gateway/store_link.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_client.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
+#include "dragonflyglade/gateway/store_watcher.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "platform/wire.h"
 #include "tests/platform/store_stand_in.h"
@@ -24,8 +24,8 @@
 
 namespace asio = boost::asio;
 using gateway::FleetState;
-using gateway::StoreFollower;
-using gateway::StoreNews;
+using gateway::StoreSyncState;
+using gateway::StoreWatcher;
 
 std::string TargetEntry() {
   return nlohmann::json{{"service", "letters"}, {"address", "127.0.0.1:1"},
@@ -72,10 +72,10 @@
   Metrics metrics;
   gateway::EventLog log{"follower", this->clock};
   FleetState fleet{this->context, this->wire, this->clock, this->log};
-  StoreNews sync_state{this->context, this->clock};
-  gateway::StoreLink client{this->context, this->store.Address(), this->wire,
-                            this->metrics, this->clock};
-  StoreFollower watcher;
+  StoreSyncState sync_state{this->context, this->clock};
+  gateway::StoreClient client{this->context, this->store.Address(), this->wire,
+                              this->metrics, this->clock};
+  StoreWatcher watcher;
   bool leader_is_live = true;
   /// The revision through which the leader's digests contain all urgent
   /// changes.
@@ -98,7 +98,7 @@
     WatcherHarness harness;
     CPPUNIT_ASSERT(harness.RunUntil([&] { return harness.Knows("i-1"); },
                                     absl::Seconds(10)));
-    harness.fleet.StoreReturned();
+    harness.fleet.HandleStoreRecovery();
     constexpr std::uint64_t kLater = 1000;
     harness.fleet.ApplyDeleted("servers/i-1", kLater);
     CPPUNIT_ASSERT(harness.Knows("i-1"));
@@ -131,7 +131,7 @@
     constexpr std::uint64_t kLater = 2000;
     harness.fleet.Apply({FleetState::InstanceKey("i"), record, kLater, 1});
     harness.fleet.Apply(
-        {std::string(FleetState::kDutyKey), record, kLater + 1, 1});
+        {std::string(FleetState::kLeaderKey), record, kLater + 1, 1});
     CPPUNIT_ASSERT(listings(2));
     harness.leader_is_live = true;
     harness.digest_through = kLater + 2;
--- a/tests/unit/unit-fleet-news.cc
+++ b/tests/unit/unit-fleet-news.cc
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/holdings_book.h"
 #include "dragonflyglade/gateway/recent_changes.h"
+#include "dragonflyglade/gateway/versioned_holdings.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -93,7 +93,7 @@
   // of 10 Mbit/s. Each instance gets only what changed after the version that
   // it knows, and one that missed a message gets those changes again.
   void ReturnsOnlyChangedHoldings() {
-    HoldingsBook holdings;
+    VersionedHoldings holdings;
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, holdings.Version());
     holdings.Set({MakeHoldings("t1", {"m/a1"}), MakeHoldings("t2", {})});
     const std::int64_t first = holdings.Version();
--- a/tests/unit/unit-report-hub.cc
+++ b/tests/unit/unit-report-hub.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -123,12 +123,12 @@
     };
     for (const SpendCase& item : cases) {
       ManualClock manual;
-      QuotaOwners participants(kWindow, Clock(&manual));
+      QuotaParticipants participants(kWindow, Clock(&manual));
       participants.Follow(std::vector<std::string_view>{"a", "b"});
-      ReportHub aggregator(participants, kWindow, Clock(&manual));
+      ReportAggregator aggregator(participants, kWindow, Clock(&manual));
       for (const wire::InstanceReport& report : item.reports)
         aggregator.Take(report);
-      const FleetSpend spend = aggregator.SpendOf("w");
+      const FleetSpending spend = aggregator.SpendingOf("w");
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.name, item.missing_part,
                                            spend.missing_part, 1e-9);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.total, spend.total);
@@ -144,38 +144,39 @@
   // previous leader's record of each process's spending.
   void MergesTheSpendRecord() {
     ManualClock manual;
-    const QuotaOwners participants(kWindow, Clock(&manual));
-    ReportHub previous(participants, kWindow, Clock(&manual));
+    const QuotaParticipants participants(kWindow, Clock(&manual));
+    ReportAggregator previous(participants, kWindow, Clock(&manual));
     previous.Take(Spent(Report("a"), 800));
     previous.Take(Spent(Report("b"), 400));
     SpendRecord record;
-    record.processes = previous.SpendsByProcess();
+    record.processes = previous.SpendingByProcess();
     const std::string written = EncodeSpendRecord(record);
 
-    ReportHub aggregator(participants, kWindow, Clock(&manual));
+    ReportAggregator aggregator(participants, kWindow, Clock(&manual));
     aggregator.Take(Aged(Report("a", "2"), 0, kUnlimitedAgeMs));
     aggregator.Take(Spent(Report("b"), 500));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, aggregator.SpendOf("w").unknown_shares,
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, aggregator.SpendingOf("w").unknown_shares,
                                  1e-9);
     aggregator.TakeOver(DecodeSpendRecord(written).Value());
-    const FleetSpend spend = aggregator.SpendOf("w");
-    CPPUNIT_ASSERT_EQUAL(800 * (1 + kSpentAfterRecord) + 500, spend.total);
+    const FleetSpending spend = aggregator.SpendingOf("w");
+    CPPUNIT_ASSERT_EQUAL(800 * (1 + kUnrecordedSpendingShare) + 500,
+                         spend.total);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, spend.unknown_shares, 1e-9);
     CPPUNIT_ASSERT_EQUAL(2, spend.instances);
     manual.Advance(kWindow + absl::Milliseconds(1));
-    CPPUNIT_ASSERT_EQUAL(0.0, aggregator.SpendOf("w").total);
+    CPPUNIT_ASSERT_EQUAL(0.0, aggregator.SpendingOf("w").total);
   }
 
   // Failure: spending is never recorded again after a report with an instance
   // name that is not UTF-8, which any process can send.
   void RecordsSpendingDespiteNamesThatAreNotUtf8() {
     ManualClock manual;
-    const QuotaOwners participants(kWindow, Clock(&manual));
-    ReportHub aggregator(participants, kWindow, Clock(&manual));
+    const QuotaParticipants participants(kWindow, Clock(&manual));
+    ReportAggregator aggregator(participants, kWindow, Clock(&manual));
     aggregator.Take(Spent(Report("a"), 800));
     aggregator.Take(Spent(Report("b\xff"), 400));
     SpendRecord record;
-    record.processes = aggregator.SpendsByProcess();
+    record.processes = aggregator.SpendingByProcess();
     const Result<SpendRecord> read =
         DecodeSpendRecord(EncodeSpendRecord(record));
     CPPUNIT_ASSERT(read.Ok());
@@ -186,8 +187,8 @@
 
   void SummarizesTheRequestsOfOtherInstances() {
     ManualClock manual;
-    const QuotaOwners participants(kWindow, Clock(&manual));
-    ReportHub aggregator(participants, kWindow, Clock(&manual));
+    const QuotaParticipants participants(kWindow, Clock(&manual));
+    ReportAggregator aggregator(participants, kWindow, Clock(&manual));
     std::vector<wire::InstanceReport> reports;
     for (const int requests : {3, 4}) {
       wire::InstanceReport report = Report(std::to_string(requests));
@@ -213,8 +214,8 @@
   // its first second.
   void EstimatesDemandInTheFirstSecond() {
     ManualClock manual;
-    const QuotaOwners participants(kWindow, Clock(&manual));
-    ReportHub aggregator(participants, kWindow, Clock(&manual));
+    const QuotaParticipants participants(kWindow, Clock(&manual));
+    ReportAggregator aggregator(participants, kWindow, Clock(&manual));
     wire::InstanceReport report = Report("a");
     wire::ModelWish wish;
     wish.service_name = "s";
--- a/tests/unit/unit-store-news.cc
+++ b/tests/unit/unit-store-news.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -119,7 +119,7 @@
     for (const Case& item : cases) {
       ManualClock clock;
       boost::asio::io_context context;
-      StoreNews sync_state(context, Clock(&clock));
+      StoreSyncState sync_state(context, Clock(&clock));
       for (const Step& step : item.steps) {
         clock.Advance(step.after);
         if (step.read > 0) sync_state.Read(step.read, step.read);
@@ -128,9 +128,9 @@
         }
       }
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.has_live_relay,
-                                   sync_state.IsLed());
+                                   sync_state.HasLiveRelay());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.must_read,
-                                   sync_state.MustRead());
+                                   sync_state.MustReadStore());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.known_through,
                                    sync_state.KnownThrough());
     }
@@ -143,17 +143,17 @@
   void MeasuresTheUptimeOfTheStore() {
     ManualClock clock;
     boost::asio::io_context context;
-    StoreNews sync_state(context, Clock(&clock));
-    CPPUNIT_ASSERT(sync_state.SteadyFor() == absl::ZeroDuration());
+    StoreSyncState sync_state(context, Clock(&clock));
+    CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
     for (int i = 0; i < 10; ++i) {
       clock.Advance(absl::Milliseconds(500));
       sync_state.Told({1, 1, clock.Now()});
     }
-    CPPUNIT_ASSERT(sync_state.SteadyFor() == absl::Milliseconds(4500));
+    CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::Milliseconds(4500));
     clock.Advance(absl::Seconds(2));
-    CPPUNIT_ASSERT(sync_state.SteadyFor() == absl::ZeroDuration());
+    CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
     sync_state.Told({1, 1, clock.Now()});
-    CPPUNIT_ASSERT(sync_state.SteadyFor() == absl::ZeroDuration());
+    CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
   }
 };
 
--- a/tests/unit/unit-store-relay.cc
+++ b/tests/unit/unit-store-relay.cc
@@ -75,7 +75,7 @@
           });
     }
     FleetState state;
-    StoreNews sync_state;
+    StoreSyncState sync_state;
     StoreRelay relay;
   };
 
@@ -114,7 +114,8 @@
     std::uint64_t known = 0;
     do {
       known = receiver.sync_state.KnownThrough();
-      receiver.relay.TakeDigest(this->instances[from]->relay.DigestFor(known));
+      receiver.relay.ReceiveDigest(
+          this->instances[from]->relay.DigestSince(known));
       digests += 1;
     } while (receiver.sync_state.KnownThrough() > known &&
              receiver.sync_state.IsBehind());
@@ -206,7 +207,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.caught_up,
                                    receiver.sync_state.KnownThrough() == last);
       CPPUNIT_ASSERT_MESSAGE(item.name, digests <= item.max_digests);
-      CPPUNIT_ASSERT_MESSAGE(item.name, receiver.sync_state.IsLed());
+      CPPUNIT_ASSERT_MESSAGE(item.name, receiver.sync_state.HasLiveRelay());
       if (!item.items.empty() && item.items.back().key == kConfigKey) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
             item.name, std::uint64_t{item.items.back().value.size()},
@@ -225,17 +226,17 @@
     wire::StoreQuestion question;
     question.address = "asker";
     question.known = 1;
-    relay.TakeQuestion(question);
+    relay.ReceiveQuestion(question);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.sent.size());
     CPPUNIT_ASSERT_EQUAL(std::string("asker"), fleet.sent[0].address);
     CPPUNIT_ASSERT(fleet.sent[0].message.store.changes.empty());
     fleet.ApplyRead(0, {Item("k", 2, "v")}, 2);
-    relay.TellAskers();
+    relay.NotifySubscribers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.sent.size());
     CPPUNIT_ASSERT_EQUAL(std::int64_t{2},
                          fleet.sent[1].message.store.changes_through);
     fleet.time.Advance(absl::Seconds(2));
-    relay.TellAskers();
+    relay.NotifySubscribers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.sent.size());
   }
 
@@ -256,7 +257,7 @@
       Fleet fleet(1);
       Fleet::Instance& instance = *fleet.instances[0];
       std::vector<StoreItem> items = {
-          Item(std::string(FleetState::kDutyKey), 1,
+          Item(std::string(FleetState::kLeaderKey), 1,
                EncodeInstanceRecord(Fleet::Record("i1")))};
       for (std::uint64_t i = 0; i < 80; ++i) {
         // The first one's capacity is too low for a relay.
@@ -267,7 +268,8 @@
       }
       fleet.ApplyRead(0, items, 100);
       fleet.time.Advance(absl::Seconds(10));
-      boost::asio::co_spawn(fleet.context, instance.relay.AskWhileSilent(),
+      boost::asio::co_spawn(fleet.context,
+                            instance.relay.QueryRelaysWhileStale(),
                             boost::asio::detached);
       instance.sync_state.Told({1, 100, fleet.clock.Now() - item.age});
       const int attempts = item.queries ? kMaxRunAttempts : 1;
@@ -278,7 +280,7 @@
                                    !fleet.sent.empty());
       if (!item.queries) continue;
       CPPUNIT_ASSERT(fleet.sent[0].message.__isset.store_question);
-      CPPUNIT_ASSERT(instance.state.FollowsStore(fleet.sent[0].address));
+      CPPUNIT_ASSERT(instance.state.IsRelayInstance(fleet.sent[0].address));
     }
   }
 
@@ -291,15 +293,16 @@
     fleet.ApplyRead(1, {}, 1);
     fleet.ApplyRead(
         0,
-        {Item("k", 2, "v"), Item(std::string(FleetState::kDutyKey), 3,
+        {Item("k", 2, "v"), Item(std::string(FleetState::kLeaderKey), 3,
                                  EncodeInstanceRecord(Fleet::Record("i0")))},
         3);
     const Fleet::Instance& receiver = *fleet.instances[1];
     const StoreRelay& leader = fleet.instances[0]->relay;
-    fleet.instances[1]->relay.TakeDigest(leader.DigestOf(leader.PackDuty()));
-    CPPUNIT_ASSERT(receiver.state.Duty().has_value());
+    fleet.instances[1]->relay.ReceiveDigest(
+        leader.DigestOf(leader.PackLeaderRecord()));
+    CPPUNIT_ASSERT(receiver.state.Leader().has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("i0"),
-                         receiver.state.Duty()->instance.name);
+                         receiver.state.Leader()->instance.name);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, receiver.sync_state.KnownThrough());
     CPPUNIT_ASSERT(receiver.sync_state.IsBehind());
   }
@@ -318,10 +321,10 @@
       digest.urgent_revision = 9;
       digest.changes_through = 9;
       digest.changes = bytes;
-      fleet.instances[0]->relay.TakeDigest(digest);
+      fleet.instances[0]->relay.ReceiveDigest(digest);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
                            fleet.instances[0]->sync_state.KnownThrough());
-      CPPUNIT_ASSERT(!fleet.instances[0]->sync_state.IsLed());
+      CPPUNIT_ASSERT(!fleet.instances[0]->sync_state.HasLiveRelay());
     }
   }
 
