--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -143,7 +143,7 @@
       if (leader->instance.incarnation == this->self.incarnation) {
         this->ReceiveReport(message.report);
       } else {
-        this->Send(message, leader->instance.peers);
+        this->Send(message, leader->instance.peer_address);
       }
     }
     co_await this->wake.Wait(interval);
@@ -154,7 +154,7 @@
   wire::InstanceReport report;
   report.instance = this->self.name;
   report.incarnation = this->self.incarnation;
-  report.address = this->self.peers;
+  report.address = this->self.peer_address;
   report.sequence = ++this->sequence;
   // Nothing can have been spent before the fleet's first start, so that the
   // process's age imposes no limit then.
@@ -176,7 +176,7 @@
     }
     report.targets.push_back(std::move(use));
   });
-  for (const auto& [name, count] : this->demand.Take()) {
+  for (const auto& [name, count] : this->demand.DrainCounts()) {
     wire::ModelWish wish;
     wish.service_name = name.service;
     wish.model = name.model;
@@ -215,8 +215,8 @@
 
 void FleetChannel::ReceiveReport(const wire::InstanceReport& report) {
   if (!this->leader_lease.Held()) return;
-  this->aggregator.Take(report);
-  this->quota_admission.Reported(report);
+  this->aggregator.AddReport(report);
+  this->quota_admission.RemoveReportedGrants(report);
   bool has_waiting_requests = false;
   for (const wire::ModelWish& wish : report.wishes) {
     has_waiting_requests = has_waiting_requests || wish.waiting > 0;
@@ -288,13 +288,13 @@
 asio::awaitable<void> FleetChannel::AnnounceLeadership() {
   std::vector<std::string> addresses;
   for (const auto& [name, record] : this->fleet.Instances()) {
-    if (name != this->self.name) addresses.push_back(record.peers);
+    if (name != this->self.name) addresses.push_back(record.peer_address);
   }
   const std::string leader_record = this->relay.PackLeaderRecord();
   const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
     if (!this->IsLeader()) return;
     wire::FleetMessage message;
-    message.__set_store(this->relay.DigestOf(leader_record));
+    message.__set_store(this->relay.DigestWithChanges(leader_record));
     this->Send(message, addresses[index]);
   };
   co_await this->ForEachPaced(addresses.size(), send_to);
@@ -463,7 +463,7 @@
   message.__set_note(std::move(note));
   for (const InstanceRecord* other : this->fleet.ListedInstances()) {
     if (other->name == this->self.name) continue;
-    this->Send(message, other->peers);
+    this->Send(message, other->peer_address);
   }
 }
 
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -55,7 +55,7 @@
 
 void FleetState::Apply(const StoreItem& item) {
   if (!this->IsNewer(item.key, item.revision)) return;
-  if (item.key == kSpendsKey) {
+  if (item.key == kSpendRecordKey) {
     this->ApplySpends(item);
     return;
   }
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -51,7 +51,7 @@
                     std::uint64_t store_revision);
 
   /// Whether a listing was applied since the start of the process.
-  bool WasListed() const { return this->listed_before; }
+  bool HasListing() const { return this->listed_before; }
 
   /// Begins a grace period after the store was unreachable and responds again.
   /// Targets whose entries are removed in it are kept until it ends: leases
@@ -113,7 +113,7 @@
   static constexpr std::string_view kLeaderKey =
       "dragonflyglade/duty/placement";
   /// Key of the SpendRecord, read by a new leader and at the process's start.
-  static constexpr std::string_view kSpendsKey = "dragonflyglade/spends";
+  static constexpr std::string_view kSpendRecordKey = "dragonflyglade/spends";
 
  private:
   bool IsNewer(std::string_view key, std::uint64_t revision);
--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -87,8 +87,8 @@
   InstanceRecord self;
   self.name = this->settings.instance;
   self.zone = this->settings.zone;
-  self.callers = this->settings.callers.ToString();
-  self.peers = this->settings.peers.ToString();
+  self.caller_address = this->settings.callers.ToString();
+  self.peer_address = this->settings.peers.ToString();
   self.incarnation = RandomHex(kIncarnationBytes);
   self.capacity =
       InstanceCapacity(this->settings.cores, this->settings.link_mbps);
@@ -289,8 +289,8 @@
   const std::string own = this->settings.callers.ToString();
   std::vector<std::string> addresses;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
-    if (record->callers == own && this->stopping) continue;
-    addresses.push_back(record->callers);
+    if (record->caller_address == own && this->stopping) continue;
+    addresses.push_back(record->caller_address);
   }
   // With nobody in the store, e.g. before its first answer, callers can do no
   // better than the instance that they reached.
--- a/dragonflyglade/gateway/instance_record.cc
+++ b/dragonflyglade/gateway/instance_record.cc
@@ -9,8 +9,8 @@
 std::string EncodeInstanceRecord(const InstanceRecord& record) {
   return json{{"name", record.name},
               {"zone", record.zone},
-              {"callers", record.callers},
-              {"peers", record.peers},
+              {"callers", record.caller_address},
+              {"peers", record.peer_address},
               {"incarnation", record.incarnation},
               {"capacity", record.capacity}}
       .dump();
@@ -22,8 +22,8 @@
     InstanceRecord record;
     record.name = document.at("name").get<std::string>();
     record.zone = document.at("zone").get<std::string>();
-    record.callers = document.at("callers").get<std::string>();
-    record.peers = document.at("peers").get<std::string>();
+    record.caller_address = document.at("callers").get<std::string>();
+    record.peer_address = document.at("peers").get<std::string>();
     record.incarnation = document.at("incarnation").get<std::string>();
     // Instances of an earlier version do not write it.
     record.capacity = document.value("capacity", 0.0);
--- a/dragonflyglade/gateway/instance_record.h
+++ b/dragonflyglade/gateway/instance_record.h
@@ -11,11 +11,11 @@
 /// An instance's entry in the store, attached to the instance's lease.
 struct InstanceRecord {
   std::string name;
-  std::string zone;         ///< availability zone
-  std::string callers;      ///< address for callers
-  std::string peers;        ///< address for other instances
-  std::string incarnation;  ///< differs for each start of the process
-  double capacity = 0;      ///< see InstanceCapacity
+  std::string zone;            ///< availability zone
+  std::string caller_address;  ///< address for callers
+  std::string peer_address;    ///< address for other instances
+  std::string incarnation;     ///< differs for each start of the process
+  double capacity = 0;         ///< see InstanceCapacity
 };
 
 std::string EncodeInstanceRecord(const InstanceRecord& record);
--- a/dragonflyglade/gateway/model_demand.cc
+++ b/dragonflyglade/gateway/model_demand.cc
@@ -2,7 +2,7 @@
 
 namespace dragonflyglade::gateway {
 
-void ModelDemand::Asked(const ModelName& name, double work_ms) {
+void ModelDemand::AddRequest(const ModelName& name, double work_ms) {
   DemandCount& count = this->counts[name];
   count.requests += 1;
   count.work_ms += work_ms;
@@ -18,7 +18,7 @@
   this->counts[name].waiting -= 1;
 }
 
-ModelDemand::Counts ModelDemand::Take() {
+ModelDemand::Counts ModelDemand::DrainCounts() {
   Counts taken = this->counts;
   for (auto item = this->counts.begin(); item != this->counts.end();) {
     item->second.requests = 0;
--- a/dragonflyglade/gateway/model_demand.h
+++ b/dragonflyglade/gateway/model_demand.h
@@ -31,7 +31,7 @@
   using Counts = std::map<ModelName, DemandCount>;
 
   /// Counts a request for the model or adapter.
-  void Asked(const ModelName& name, double work_ms);
+  void AddRequest(const ModelName& name, double work_ms);
 
   /// Counts a request that starts to wait for the model or adapter. When the
   /// count rises from zero, the OnFirstWait callback is called, so that the
@@ -45,7 +45,7 @@
 
   /// Returns the counts since the last call and resets them, except for the
   /// numbers of waiting requests.
-  Counts Take();
+  Counts DrainCounts();
 
  private:
   Counts counts;
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -160,7 +160,7 @@
 
 asio::awaitable<std::optional<Refusal>> Pipeline::TakeQuota(RequestJob& job) {
   if (job.workspace == nullptr) co_return std::nullopt;
-  const QuotaVerdict verdict = co_await this->quotas.Take(
+  const QuotaVerdict verdict = co_await this->quotas.AdmitRequest(
       job.request.id, job.workspace->name, job.workspace->quota, job.cost);
   if (verdict.admitted) co_return std::nullopt;
   co_return MakeRefusal(RefusalCode::kOverRate,
@@ -172,9 +172,10 @@
   if (job.IsEngineWork()) {
     const double work_ms =
         EngineWorkMs(use.prompt_tokens, job.SharedTokens(), use.output_tokens);
-    this->demand.Asked({job.service->name, use.model, ""}, work_ms);
+    this->demand.AddRequest({job.service->name, use.model, ""}, work_ms);
     if (!use.adapter.empty()) {
-      this->demand.Asked({job.service->name, use.model, use.adapter}, work_ms);
+      this->demand.AddRequest({job.service->name, use.model, use.adapter},
+                              work_ms);
     }
   }
   Next next = Next::kTryAnother;
@@ -327,7 +328,7 @@
   const RefusalRule& rule = RefusalRuleFor(refusal.code);
   if (rule.ran == Ran::kNo && job.workspace != nullptr &&
       refusal.code != RefusalCode::kOverRate) {
-    this->quotas.GiveBack(job.workspace->name, job.cost);
+    this->quotas.RefundRequest(job.workspace->name, job.cost);
   }
   HeaderFields fields = this->wire.response_fields(job.request);
   fields.emplace_back("Content-Type", "application/json");
--- a/dragonflyglade/gateway/placement_controller.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -83,8 +83,8 @@
                                             ResidencyChange change);
   boost::asio::awaitable<void> DeliverOrder(Engine& engine,
                                             const ResidencyChange& change);
-  boost::asio::awaitable<ExchangeOutcome> Call(TargetState& target,
-                                               OutgoingHttpRequest call);
+  boost::asio::awaitable<ExchangeOutcome> CallEngine(TargetState& target,
+                                                     OutgoingHttpRequest call);
   boost::asio::awaitable<std::optional<OrderResponse>> SendOrder(
       const Engine& engine, const ResidencyChange& change);
   void ApplyOrderResponse(Engine& engine, const ResidencyChange& change,
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -66,7 +66,7 @@
   return true;
 }
 
-asio::awaitable<ExchangeOutcome> PlacementController::Call(
+asio::awaitable<ExchangeOutcome> PlacementController::CallEngine(
     TargetState& target, OutgoingHttpRequest call) {
   const std::string address = target.Record().address;
   std::string head = RequestHeadText(call, address);
@@ -89,7 +89,8 @@
   order.holder = this->settings.instance;
   order.fence = this->leader_lease.Fence();
   OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
-  const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
+  const ExchangeOutcome outcome =
+      co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("orders");
   if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
     co_return this->wire.decode_order_response(whole->head.status);
@@ -199,7 +200,8 @@
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
   if (target == nullptr || !this->leader_lease.MayIssueOrders()) co_return;
   OutgoingHttpRequest call = this->wire.encode_report_call(engine.id);
-  const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
+  const ExchangeOutcome outcome =
+      co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("engine_reports");
   const auto* whole = std::get_if<WholeAnswer>(&outcome);
   const bool is_known =
--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -61,7 +61,7 @@
   const bool recent = IsRecent(*record, now);
   if (recent) {
     this->quotas.SetPriorSpending(SpendingByWorkspace(*record),
-                                  WasListed(*record, this->self.name));
+                                  WasInstanceListed(*record, this->self.name));
   }
   this->log.Write("quota", recent ? "spending read" : "record too old",
                   {{"age_ms", now - record->written}});
@@ -81,10 +81,9 @@
   this->quotas.SetListed(listed == 0 || this->fleet.IsListed(this->self.name));
 }
 
-asio::awaitable<QuotaVerdict> QuotaAdmission::Take(std::string_view request_id,
-                                                   std::string workspace,
-                                                   QuotaLimit limit,
-                                                   double tokens) {
+asio::awaitable<QuotaVerdict> QuotaAdmission::AdmitRequest(
+    std::string_view request_id, std::string workspace, QuotaLimit limit,
+    double tokens) {
   this->UpdateParticipants();
   QuotaVerdict verdict =
       this->quotas.AdmitWithoutGrant(workspace, limit, tokens);
@@ -153,7 +152,7 @@
 asio::awaitable<std::optional<QuotaVerdict>> QuotaAdmission::QueryLeader(
     std::string workspace, double tokens) {
   const std::int64_t number = ++this->last_number;
-  const std::string address = this->fleet.Leader()->instance.peers;
+  const std::string address = this->fleet.Leader()->instance.peer_address;
   if (this->fleet.Leader()->instance.incarnation == this->self.incarnation) {
     if (!this->leader_lease.Held()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
@@ -166,7 +165,7 @@
   wire::QuotaAsk ask;
   ask.number = number;
   ask.incarnation = this->self.incarnation;
-  ask.address = this->self.peers;
+  ask.address = this->self.peer_address;
   ask.workspace = workspace;
   ask.tokens = static_cast<std::int64_t>(tokens);
   message.__set_ask(std::move(ask));
@@ -275,7 +274,7 @@
   found->second.decided.Notify();
 }
 
-void QuotaAdmission::Reported(const wire::InstanceReport& report) {
+void QuotaAdmission::RemoveReportedGrants(const wire::InstanceReport& report) {
   this->unreported_grants.Reported(report.incarnation, report.grants_through);
 }
 
--- a/dragonflyglade/gateway/quota_admission.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -42,16 +42,17 @@
   void OnSend(SendMessage send) { this->send = std::move(send); }
 
   /// Reserves the tokens of a request, or returns when to retry.
-  boost::asio::awaitable<QuotaVerdict> Take(std::string_view request_id,
-                                            std::string workspace,
-                                            QuotaLimit limit, double tokens);
+  boost::asio::awaitable<QuotaVerdict> AdmitRequest(std::string_view request_id,
+                                                    std::string workspace,
+                                                    QuotaLimit limit,
+                                                    double tokens);
 
   /// Updates which instances share the quotas, namely those that callers are
   /// sent to, and whether this one is among them.
   void UpdateParticipants();
 
   /// Returns the tokens of a request that was admitted but did not run.
-  void GiveBack(std::string_view workspace, double tokens) {
+  void RefundRequest(std::string_view workspace, double tokens) {
     this->quotas.GiveBack(workspace, tokens);
   }
 
@@ -61,7 +62,7 @@
   void ReceiveGrant(const wire::QuotaGrant& grant);
 
   /// As leader: removes the grants that a process's report counts as spent.
-  void Reported(const wire::InstanceReport& report);
+  void RemoveReportedGrants(const wire::InstanceReport& report);
   /// As leader: tokens granted and not yet reported as spent.
   double UnreportedGrantTokens(std::string_view workspace) {
     return this->unreported_grants.Open(workspace);
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -53,7 +53,7 @@
 // immediately after that.
 asio::awaitable<void> Registration::WaitForListing() {
   const Instant started_at = this->clock.Now();
-  while (!this->fleet.WasListed() && !this->leaving &&
+  while (!this->fleet.HasListing() && !this->leaving &&
          this->clock.Now() - started_at < kListingTimeout) {
     co_await Sleep(this->context, kListingPollInterval);
   }
@@ -204,7 +204,7 @@
   if (now - *this->leaderless_since < this->CandidacyDelay()) co_return;
   StoreTransaction transaction;
   const std::string key(FleetState::kLeaderKey);
-  transaction.expected.push_back({key, 0});
+  transaction.preconditions.push_back({key, 0});
   transaction.puts.push_back(
       {key, EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
@@ -229,7 +229,7 @@
     // The fleet state is not used here: right after the entry was written, this
     // instance's own watch may not have returned it yet.
     const std::string key(FleetState::kLeaderKey);
-    transaction.expected.push_back({key, this->leader_lease.Fence()});
+    transaction.preconditions.push_back({key, this->leader_lease.Fence()});
     transaction.deletes.push_back(key);
   }
   // Retries until the outcome is known. Leases may not expire while the store
@@ -244,7 +244,7 @@
     is_confirmed = std::holds_alternative<StoreCommitted>(reply);
     if (std::holds_alternative<StoreConflict>(reply)) {
       // Another instance is leader; only this instance's own entry is removed.
-      transaction.expected.clear();
+      transaction.preconditions.clear();
       transaction.deletes.resize(1);
     }
     if (!is_confirmed) co_await Sleep(this->context, kRetryPause);
--- a/dragonflyglade/gateway/report_aggregator.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -40,7 +40,7 @@
   average.updated_at = now;
 }
 
-void ReportAggregator::Take(const wire::InstanceReport& report) {
+void ReportAggregator::AddReport(const wire::InstanceReport& report) {
   ProcessReport& entry = this->entries[report.incarnation];
   if (report.sequence <= entry.report.sequence) return;
   entry.report = report;
@@ -162,7 +162,7 @@
   return all;
 }
 
-void ReportAggregator::TakeOver(const SpendRecord& record) {
+void ReportAggregator::MergeSpendRecord(const SpendRecord& record) {
   for (const ProcessSpend& process : record.processes) {
     ProcessReport entry;
     entry.report.instance = process.instance;
--- a/dragonflyglade/gateway/report_aggregator.h
+++ b/dragonflyglade/gateway/report_aggregator.h
@@ -36,7 +36,7 @@
                    absl::Duration spend_window, Clock clock);
 
   /// Stores a report. One that is not newer than the process's last is ignored.
-  void Take(const wire::InstanceReport& report);
+  void AddReport(const wire::InstanceReport& report);
 
   /// A summary for one instance: the requests of all others at each target, and
   /// the spending of all.
@@ -53,7 +53,7 @@
 
   /// Adds the spending from the previous leader's record, for processes that
   /// have not reported to this leader and may have terminated.
-  void TakeOver(const SpendRecord& record);
+  void MergeSpendRecord(const SpendRecord& record);
 
   /// The demand, averaged over the last seconds.
   std::map<ModelName, FleetDemand> Demand();
--- a/dragonflyglade/gateway/spend_record.cc
+++ b/dragonflyglade/gateway/spend_record.cc
@@ -35,7 +35,7 @@
   return spent;
 }
 
-bool WasListed(const SpendRecord& record, std::string_view instance) {
+bool WasInstanceListed(const SpendRecord& record, std::string_view instance) {
   return std::any_of(record.processes.begin(), record.processes.end(),
                      [&](const ProcessSpend& process) {
                        return process.listed && process.instance == instance;
--- a/dragonflyglade/gateway/spend_record.h
+++ b/dragonflyglade/gateway/spend_record.h
@@ -39,7 +39,7 @@
     const SpendRecord& record);
 
 /// Whether callers were sent to the instance when the record was written.
-bool WasListed(const SpendRecord& record, std::string_view instance);
+bool WasInstanceListed(const SpendRecord& record, std::string_view instance);
 
 /// Fraction of the recorded tokens that is added for spending after the record.
 inline constexpr double kUnrecordedSpendingShare = 0.3;
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -37,14 +37,14 @@
       time_of_day(std::move(time_of_day)) {}
 
 asio::awaitable<void> SpendRecorder::Run() {
-  bool taken_over = false;
+  bool has_read_record = false;
   while (true) {
     co_await Sleep(this->context,
-                   taken_over ? kCheckInterval : kLeaseCheckInterval);
+                   has_read_record ? kCheckInterval : kLeaseCheckInterval);
     if (!this->leader_lease.Held()) {
-      taken_over = false;
-    } else if (!taken_over) {
-      taken_over = co_await this->TakeOver();
+      has_read_record = false;
+    } else if (!has_read_record) {
+      has_read_record = co_await this->ReadPreviousRecord();
     } else {
       co_await this->Record();
     }
@@ -54,8 +54,8 @@
 // No report contains the spending of processes that have terminated since.
 // Without the record, their shares of the quotas would be unusable for a whole
 // window.
-asio::awaitable<bool> SpendRecorder::TakeOver() {
-  const std::string key(FleetState::kSpendsKey);
+asio::awaitable<bool> SpendRecorder::ReadPreviousRecord() {
+  const std::string key(FleetState::kSpendRecordKey);
   StoreCall call = StoreList{key, ""};
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
@@ -72,7 +72,7 @@
   const bool usable =
       record.Ok() && IsRecent(record.Value(), this->time_of_day());
   if (usable && this->leader_lease.Held())
-    this->aggregator.TakeOver(record.Value());
+    this->aggregator.MergeSpendRecord(record.Value());
   this->log.Write("quota", usable ? "spending taken over" : "record too old",
                   {{"revision", item->revision},
                    {"age_ms", age},
@@ -101,10 +101,10 @@
   StoreTransaction transaction;
   // The precondition keeps a leader that was replaced, and does not know it
   // yet, from writing.
-  transaction.expected.push_back(
+  transaction.preconditions.push_back(
       {std::string(FleetState::kLeaderKey), this->leader_lease.Fence()});
   transaction.puts.push_back(
-      {std::string(FleetState::kSpendsKey), EncodeSpendRecord(record), 0});
+      {std::string(FleetState::kSpendRecordKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
--- a/dragonflyglade/gateway/spend_recorder.h
+++ b/dragonflyglade/gateway/spend_recorder.h
@@ -28,7 +28,7 @@
   boost::asio::awaitable<void> Run();
 
  private:
-  boost::asio::awaitable<bool> TakeOver();
+  boost::asio::awaitable<bool> ReadPreviousRecord();
   bool IsStillAccurate(const SpendRecord& newer) const;
   boost::asio::awaitable<void> Record();
 
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -60,8 +60,8 @@
 
 wire::StoreDigest StoreRelay::DigestSince(std::uint64_t known) {
   const PackedDigestChanges* changes = this->PackedChangesSince(known);
-  if (changes == nullptr) return this->DigestOf("");
-  wire::StoreDigest digest = this->DigestOf(changes->bytes);
+  if (changes == nullptr) return this->DigestWithChanges("");
+  wire::StoreDigest digest = this->DigestWithChanges(changes->bytes);
   digest.changes_through = static_cast<std::int64_t>(
       changes->complete ? this->sync_state.ReadThrough() : changes->last);
   return digest;
@@ -90,7 +90,7 @@
     }
   }
   const std::uint64_t known = this->sync_state.KnownThrough();
-  this->sync_state.Told(relay_digest);
+  this->sync_state.ApplyDigest(relay_digest);
   // The changes did not all fit into one datagram; the next query gets more.
   const bool more_available =
       this->sync_state.IsBehind() && this->sync_state.KnownThrough() > known;
@@ -109,7 +109,7 @@
 }
 
 // changes_through stays 0, since the receiver may lack other changes.
-wire::StoreDigest StoreRelay::DigestOf(std::string changes) const {
+wire::StoreDigest StoreRelay::DigestWithChanges(std::string changes) const {
   wire::StoreDigest digest;
   digest.urgent_revision =
       static_cast<std::int64_t>(this->sync_state.UrgentRevision());
@@ -171,10 +171,10 @@
   this->next_relay += 1;
   wire::FleetMessage message;
   wire::StoreQuestion question;
-  question.address = this->self.peers;
+  question.address = this->self.peer_address;
   question.known = static_cast<std::int64_t>(this->sync_state.KnownThrough());
   message.__set_store_question(std::move(question));
-  this->send(message, relay->peers);
+  this->send(message, relay->peer_address);
   this->metrics.Count("store_questions");
 }
 
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -63,11 +63,11 @@
   void SendDigest(std::uint64_t known, const std::string& address);
 
   /// The change that made the present leader, packed; serves any number of
-  /// DigestOf calls.
+  /// DigestWithChanges calls.
   std::string PackLeaderRecord() const;
   /// A digest with packed changes, for receivers whose known revision is not
   /// known here.
-  wire::StoreDigest DigestOf(std::string changes) const;
+  wire::StoreDigest DigestWithChanges(std::string changes) const;
 
   /// Queries the relays while the newest digest is stale; runs until the
   /// process ends.
--- a/dragonflyglade/gateway/store_sync_state.cc
+++ b/dragonflyglade/gateway/store_sync_state.cc
@@ -24,7 +24,7 @@
 StoreSyncState::StoreSyncState(boost::asio::io_context& context, Clock clock)
     : clock(std::move(clock)), changed(context) {}
 
-void StoreSyncState::Read(std::uint64_t revision, std::uint64_t urgent) {
+void StoreSyncState::RecordRead(std::uint64_t revision, std::uint64_t urgent) {
   const bool is_new = urgent > this->urgent_revision;
   this->read_through = std::max(this->read_through, revision);
   this->urgent_revision = std::max(this->urgent_revision, urgent);
@@ -34,7 +34,7 @@
   if (is_new && this->on_urgent_change) this->on_urgent_change();
 }
 
-void StoreSyncState::Told(const RelayDigest& digest) {
+void StoreSyncState::ApplyDigest(const RelayDigest& digest) {
   const bool progress = digest.changes_through > this->known_through;
   this->known_through = std::max(this->known_through, digest.changes_through);
   this->relay_urgent_revision =
--- a/dragonflyglade/gateway/store_sync_state.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -31,10 +31,10 @@
 
   /// Records that this instance has read all changes through a revision.
   /// @param urgent the newest revision with an urgent change
-  void Read(std::uint64_t revision, std::uint64_t urgent);
+  void RecordRead(std::uint64_t revision, std::uint64_t urgent);
 
   /// Records a digest of a relay, after its changes were applied.
-  void Told(const RelayDigest& digest);
+  void ApplyDigest(const RelayDigest& digest);
 
   /// Called when this instance's own read contained an urgent change.
   void OnUrgentChange(std::function<void()> callback) {
--- a/dragonflyglade/gateway/store_types.h
+++ b/dragonflyglade/gateway/store_types.h
@@ -52,7 +52,7 @@
 
 /// Writes that take effect together, and only if all conditions hold.
 struct StoreTransaction {
-  std::vector<StorePrecondition> expected;
+  std::vector<StorePrecondition> preconditions;
   std::vector<StorePut> puts;
   std::vector<std::string> deletes;
 };
--- a/dragonflyglade/gateway/store_watcher.cc
+++ b/dragonflyglade/gateway/store_watcher.cc
@@ -103,7 +103,7 @@
   this->revision = *first_revision;
   this->details_incomplete = false;
   this->fleet.ApplyListing(items, this->revision);
-  this->sync_state.Read(this->revision, this->fleet.UrgentRevision());
+  this->sync_state.RecordRead(this->revision, this->fleet.UrgentRevision());
   this->log.Write("store", "listed",
                   {{"revision", this->revision},
                    {"items", static_cast<int>(items.size())}});
@@ -111,13 +111,13 @@
 }
 
 // A relay reads the store itself.
-bool StoreWatcher::HasLiveRelay() const {
+bool StoreWatcher::ReliesOnRelay() const {
   return this->sync_state.HasLiveRelay() &&
          !this->fleet.IsRelayInstance(this->self);
 }
 
 asio::awaitable<void> StoreWatcher::WaitWhileRelayLive() {
-  while (this->HasLiveRelay() && !this->sync_state.MustReadStore()) {
+  while (this->ReliesOnRelay() && !this->sync_state.MustReadStore()) {
     co_await this->sync_state.Changed().Wait(kRelayCheckInterval);
     // Targets whose grace period ends while nothing is read.
     this->fleet.RemoveExpiredTargets();
@@ -171,7 +171,7 @@
     }
   }
   this->revision = std::max(this->revision, events->store_revision);
-  this->sync_state.Read(this->revision, this->fleet.UrgentRevision());
+  this->sync_state.RecordRead(this->revision, this->fleet.UrgentRevision());
   if (!events->events.empty()) {
     co_await Sleep(this->context, this->PauseBetweenReads());
   }
--- a/dragonflyglade/gateway/store_watcher.h
+++ b/dragonflyglade/gateway/store_watcher.h
@@ -45,7 +45,7 @@
   boost::asio::awaitable<bool> List();
   boost::asio::awaitable<bool> Watch();
   boost::asio::awaitable<void> WaitWhileRelayLive();
-  bool HasLiveRelay() const;
+  bool ReliesOnRelay() const;
   void SkipRelayedChanges();
   absl::Duration PauseBetweenReads() const;
   bool StoreStayedAvailable() const;
--- a/tests/platform/platform-codecs.cc
+++ b/tests/platform/platform-codecs.cc
@@ -333,7 +333,7 @@
 
   void WritesStoreCalls() {
     StoreTransaction transaction;
-    transaction.expected.push_back({"a", 3});
+    transaction.preconditions.push_back({"a", 3});
     transaction.puts.push_back({"a", "hi", 9});
     transaction.deletes.push_back("b");
     const std::vector<CallCase> cases = {
--- a/tests/platform/platform-follower.cc
+++ b/tests/platform/platform-follower.cc
@@ -54,7 +54,8 @@
     const Instant deadline = this->clock.Now() + timeout;
     while (!condition() && this->clock.Now() < deadline) {
       if (this->leader_is_live) {
-        this->sync_state.Told({0, this->digest_through, this->clock.Now()});
+        this->sync_state.ApplyDigest(
+            {0, this->digest_through, this->clock.Now()});
       }
       this->context.run_for(std::chrono::milliseconds(20));
     }
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -268,7 +268,7 @@
   // their workspace spent stands in the store by then.
   void KeepsInTheStoreWhatWasSpent() {
     Stage stage;
-    const std::string key(gateway::FleetState::kSpendsKey);
+    const std::string key(gateway::FleetState::kSpendRecordKey);
     stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/", "k3").status);
     stage.WaitFor([&] { return !stage.store.Get(key).empty(); });
@@ -277,7 +277,7 @@
     CPPUNIT_ASSERT(record.Ok());
     const auto spent = gateway::SpendingByWorkspace(record.Value());
     CPPUNIT_ASSERT(spent.at("large") >= 100);
-    CPPUNIT_ASSERT(gateway::WasListed(record.Value(), "one"));
+    CPPUNIT_ASSERT(gateway::WasInstanceListed(record.Value(), "one"));
   }
 
   // The holder is told to stop while the store turns it away. Its entries
--- a/tests/unit/unit-report-hub.cc
+++ b/tests/unit/unit-report-hub.cc
@@ -127,7 +127,7 @@
       participants.Follow(std::vector<std::string_view>{"a", "b"});
       ReportAggregator aggregator(participants, kWindow, Clock(&manual));
       for (const wire::InstanceReport& report : item.reports)
-        aggregator.Take(report);
+        aggregator.AddReport(report);
       const FleetSpending spend = aggregator.SpendingOf("w");
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.name, item.missing_part,
                                            spend.missing_part, 1e-9);
@@ -146,18 +146,18 @@
     ManualClock manual;
     const QuotaParticipants participants(kWindow, Clock(&manual));
     ReportAggregator previous(participants, kWindow, Clock(&manual));
-    previous.Take(Spent(Report("a"), 800));
-    previous.Take(Spent(Report("b"), 400));
+    previous.AddReport(Spent(Report("a"), 800));
+    previous.AddReport(Spent(Report("b"), 400));
     SpendRecord record;
     record.processes = previous.SpendingByProcess();
     const std::string written = EncodeSpendRecord(record);
 
     ReportAggregator aggregator(participants, kWindow, Clock(&manual));
-    aggregator.Take(Aged(Report("a", "2"), 0, kUnlimitedAgeMs));
-    aggregator.Take(Spent(Report("b"), 500));
+    aggregator.AddReport(Aged(Report("a", "2"), 0, kUnlimitedAgeMs));
+    aggregator.AddReport(Spent(Report("b"), 500));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1, aggregator.SpendingOf("w").unknown_shares,
                                  1e-9);
-    aggregator.TakeOver(DecodeSpendRecord(written).Value());
+    aggregator.MergeSpendRecord(DecodeSpendRecord(written).Value());
     const FleetSpending spend = aggregator.SpendingOf("w");
     CPPUNIT_ASSERT_EQUAL(800 * (1 + kUnrecordedSpendingShare) + 500,
                          spend.total);
@@ -173,8 +173,8 @@
     ManualClock manual;
     const QuotaParticipants participants(kWindow, Clock(&manual));
     ReportAggregator aggregator(participants, kWindow, Clock(&manual));
-    aggregator.Take(Spent(Report("a"), 800));
-    aggregator.Take(Spent(Report("b\xff"), 400));
+    aggregator.AddReport(Spent(Report("a"), 800));
+    aggregator.AddReport(Spent(Report("b\xff"), 400));
     SpendRecord record;
     record.processes = aggregator.SpendingByProcess();
     const Result<SpendRecord> read =
@@ -198,7 +198,7 @@
       use.unread_tokens = std::int64_t{100} * requests;
       report.targets.push_back(use);
       reports.push_back(report);
-      aggregator.Take(report);
+      aggregator.AddReport(report);
     }
     const wire::FleetSummary first = aggregator.SummaryFor(reports[0]);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, first.targets.size());
@@ -223,7 +223,7 @@
     wish.work_ms = 100;  // half an engine over the interval of 200 ms
     report.wishes.push_back(wish);
     for (int i = 0; i < 10; ++i) {
-      aggregator.Take(report);
+      aggregator.AddReport(report);
       report.sequence += 1;
       manual.Advance(absl::Milliseconds(200));
     }
--- a/tests/unit/unit-store-news.cc
+++ b/tests/unit/unit-store-news.cc
@@ -122,9 +122,10 @@
       StoreSyncState sync_state(context, Clock(&clock));
       for (const Step& step : item.steps) {
         clock.Advance(step.after);
-        if (step.read > 0) sync_state.Read(step.read, step.read);
+        if (step.read > 0) sync_state.RecordRead(step.read, step.read);
         if (step.urgent > 0) {
-          sync_state.Told({step.urgent, step.through, clock.Now() - step.age});
+          sync_state.ApplyDigest(
+              {step.urgent, step.through, clock.Now() - step.age});
         }
       }
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.has_live_relay,
@@ -147,12 +148,12 @@
     CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
     for (int i = 0; i < 10; ++i) {
       clock.Advance(absl::Milliseconds(500));
-      sync_state.Told({1, 1, clock.Now()});
+      sync_state.ApplyDigest({1, 1, clock.Now()});
     }
     CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::Milliseconds(4500));
     clock.Advance(absl::Seconds(2));
     CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
-    sync_state.Told({1, 1, clock.Now()});
+    sync_state.ApplyDigest({1, 1, clock.Now()});
     CPPUNIT_ASSERT(sync_state.StoreUptime() == absl::ZeroDuration());
   }
 };
--- a/tests/unit/unit-store-relay.cc
+++ b/tests/unit/unit-store-relay.cc
@@ -90,7 +90,7 @@
     InstanceRecord record;
     record.name = name;
     record.zone = "a";
-    record.peers = name;
+    record.peer_address = name;
     record.incarnation = name;
     record.capacity = 1;
     return record;
@@ -102,7 +102,7 @@
     Instance& reader = *this->instances[instance];
     if (!this->listed) reader.state.ApplyListing({}, 0);
     for (const StoreItem& item : items) reader.state.Apply(item);
-    reader.sync_state.Read(revision, reader.state.UrgentRevision());
+    reader.sync_state.RecordRead(revision, reader.state.UrgentRevision());
   }
 
   /// Passes digests from one instance to another until the receiver is up to
@@ -271,7 +271,7 @@
       boost::asio::co_spawn(fleet.context,
                             instance.relay.QueryRelaysWhileStale(),
                             boost::asio::detached);
-      instance.sync_state.Told({1, 100, fleet.clock.Now() - item.age});
+      instance.sync_state.ApplyDigest({1, 100, fleet.clock.Now() - item.age});
       const int attempts = item.queries ? kMaxRunAttempts : 1;
       for (int i = 0; i < attempts && fleet.sent.empty(); ++i) {
         fleet.context.run_for(std::chrono::milliseconds(400));
@@ -299,7 +299,7 @@
     const Fleet::Instance& receiver = *fleet.instances[1];
     const StoreRelay& leader = fleet.instances[0]->relay;
     fleet.instances[1]->relay.ReceiveDigest(
-        leader.DigestOf(leader.PackLeaderRecord()));
+        leader.DigestWithChanges(leader.PackLeaderRecord()));
     CPPUNIT_ASSERT(receiver.state.Leader().has_value());
     CPPUNIT_ASSERT_EQUAL(std::string("i0"),
                          receiver.state.Leader()->instance.name);
