--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -177,14 +177,14 @@
     report.targets.push_back(std::move(use));
   });
   for (const auto& [name, count] : this->demand.DrainCounts()) {
-    wire::ModelWish wish;
-    wish.service_name = name.service;
-    wish.model = name.model;
-    wish.adapter = name.adapter;
-    wish.requests = count.requests;
-    wish.work_ms = count.work_ms;
-    wish.waiting = count.waiting;
-    report.wishes.push_back(std::move(wish));
+    wire::ModelWish model_demand;
+    model_demand.service_name = name.service;
+    model_demand.model = name.model;
+    model_demand.adapter = name.adapter;
+    model_demand.requests = count.requests;
+    model_demand.work_ms = count.work_ms;
+    model_demand.waiting = count.waiting;
+    report.wishes.push_back(std::move(model_demand));
   }
   const std::map<std::string, double> spent = this->quotas.Spent();
   for (const auto& [workspace, tokens] : spent) {
@@ -218,8 +218,8 @@
   this->aggregator.AddReport(report);
   this->quota_admission.RemoveReportedGrants(report);
   bool has_waiting_requests = false;
-  for (const wire::ModelWish& wish : report.wishes) {
-    has_waiting_requests = has_waiting_requests || wish.waiting > 0;
+  for (const wire::ModelWish& model_demand : report.wishes) {
+    has_waiting_requests = has_waiting_requests || model_demand.waiting > 0;
   }
   if (has_waiting_requests && this->on_waiting_requests)
     this->on_waiting_requests();
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -158,7 +158,7 @@
 // Only the record found by the first listing is used; after that the leader's
 // summaries are newer.
 void FleetState::ApplySpends(const StoreItem& item) {
-  if (this->listed_before) return;
+  if (this->has_listing) return;
   Result<SpendRecord> record = DecodeSpendRecord(item.value);
   if (!record.Ok()) {
     this->log.Write(
@@ -210,7 +210,7 @@
     this->ApplyDeleted(key, store_revision);
   }
   for (const StoreItem& item : items) this->Apply(item);
-  this->listed_before = true;
+  this->has_listing = true;
 }
 
 void FleetState::HandleStoreRecovery() {
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -51,7 +51,7 @@
                     std::uint64_t store_revision);
 
   /// Whether a listing was applied since the start of the process.
-  bool HasListing() const { return this->listed_before; }
+  bool HasListing() const { return this->has_listing; }
 
   /// Begins a grace period after the store was unreachable and responds again.
   /// Targets whose entries are removed in it are kept until it ends: leases
@@ -153,7 +153,7 @@
   /// Reset when the instances or the leader change.
   mutable std::optional<Choice> choice;
   std::optional<SpendRecord> initial_spend_record;
-  bool listed_before = false;  ///< whether a listing was applied
+  bool has_listing = false;  ///< whether a listing was applied
   std::optional<LeaderRecord> leader;
   std::uint64_t leader_revision = 0;
   std::optional<Instant> recovered_at;
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -138,9 +138,9 @@
 }
 
 bool Registration::HoldsLeaderEntry() const {
-  const auto& holder = this->fleet.Leader();
-  return holder.has_value() && holder->lease == this->lease &&
-         holder->instance.incarnation == this->self.incarnation;
+  const auto& leader = this->fleet.Leader();
+  return leader.has_value() && leader->lease == this->lease &&
+         leader->instance.incarnation == this->self.incarnation;
 }
 
 // The store's state takes precedence over this instance's own view of its
--- a/dragonflyglade/gateway/report_aggregator.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -48,13 +48,14 @@
   entry.from_record = false;
   const bool first = !report.wishes.empty() && !this->demand_since.has_value();
   if (first) this->demand_since = entry.received_at;
-  for (const wire::ModelWish& wish : report.wishes) {
-    const ModelName name{wish.service_name, wish.model, wish.adapter};
+  for (const wire::ModelWish& model_demand : report.wishes) {
+    const ModelName name{model_demand.service_name, model_demand.model,
+                         model_demand.adapter};
     const auto found =
         this->demand.try_emplace(name, DemandAverage{0, entry.received_at})
             .first;
     this->Decay(found->second);
-    found->second.weighted_work_ms += wish.work_ms;
+    found->second.weighted_work_ms += model_demand.work_ms;
   }
 }
 
@@ -88,11 +89,11 @@
 }
 
 double ReportAggregator::MissingPart() const {
-  std::set<std::string_view> heard;
+  std::set<std::string_view> reporting;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (this->IsCurrent(entry)) heard.insert(entry.report.instance);
+    if (this->IsCurrent(entry)) reporting.insert(entry.report.instance);
   }
-  return this->participants.MissingPart(heard);
+  return this->participants.MissingPart(reporting);
 }
 
 // Whether the spending of the instance's previous process is known.
@@ -254,9 +255,10 @@
   }
   for (const auto& [incarnation, entry] : this->entries) {
     if (!this->IsCurrent(entry)) continue;
-    for (const wire::ModelWish& wish : entry.report.wishes) {
-      result[{wish.service_name, wish.model, wish.adapter}].waiting +=
-          wish.waiting;
+    for (const wire::ModelWish& model_demand : entry.report.wishes) {
+      result[{model_demand.service_name, model_demand.model,
+              model_demand.adapter}]
+          .waiting += model_demand.waiting;
     }
   }
   return result;
--- a/dragonflyglade/gateway/store_client.cc
+++ b/dragonflyglade/gateway/store_client.cc
@@ -52,11 +52,11 @@
   const OutgoingHttpRequest text = this->wire.encode_store_call(call);
   TargetExchange exchange(this->context, this->connections, this->wire,
                           this->clock);
-  const Instant begun = this->clock.Now();
+  const Instant started_at = this->clock.Now();
   std::string head = RequestHeadText(text, this->address);
   exchange.SetStallTimeout(kStallTimeout);
   const ExchangeOutcome outcome = co_await exchange.Run(
-      this->address, "", std::move(head), text.body, begun + timeout);
+      this->address, "", std::move(head), text.body, started_at + timeout);
   StoreResponse response = StoreOutcomeUnknown{};
   std::string_view result = "unknown";
   std::size_t bytes = 0;
--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -71,8 +71,8 @@
       InjectedFault fault;
       GatewayHarness::Options options;
       item.inject(fault, options.wire);
-      GatewayHarness stage(std::move(options));
-      stage.first.Next([&](const RawRequest& request) {
+      GatewayHarness harness(std::move(options));
+      harness.first.Next([&](const RawRequest& request) {
         return SuccessfulResponse(request);
       });
       fault.Arm();
@@ -81,11 +81,11 @@
       // first.
       do {
         if (fault.HasThrown()) fault.Arm();
-        reply = stage.Call("GET", "/any/");
+        reply = harness.Call("GET", "/any/");
       } while (reply.status == 200);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.status, reply.status);
       const GatewayHarness::Reply metrics =
-          stage.Ask(stage.gateway->Settings().metrics, "/metrics");
+          harness.Ask(harness.gateway->Settings().metrics, "/metrics");
       CPPUNIT_ASSERT_MESSAGE(
           item.name, absl::StrContains(metrics.text, "requests_in_flight 0\n"));
     }
@@ -98,14 +98,14 @@
     GatewayHarness::Options options;
     options.wire.decode_store_response =
         fault.Wrap(options.wire.decode_store_response);
-    GatewayHarness stage(std::move(options));
+    GatewayHarness harness(std::move(options));
     constexpr int kFaults = 20;
     for (int i = 0; i < kFaults; ++i) {
       fault.Arm();
-      stage.WaitFor([&] { return fault.HasThrown(); });
+      harness.WaitFor([&] { return fault.HasThrown(); });
     }
-    stage.PutConfig(stage.Config(2, "new"));
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/new/").status);
+    harness.PutConfig(harness.Config(2, "new"));
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/new/").status);
   }
 };
 
--- a/tests/platform/platform-placement.cc
+++ b/tests/platform/platform-placement.cc
@@ -16,7 +16,7 @@
 namespace dragonflyglade {
 namespace {
 
-using Stage = GatewayHarness;
+using Harness = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
@@ -47,16 +47,16 @@
   void LoadsARequestedAdapter() {
     std::string order;
     absl::Mutex mutex;
-    Stage stage([&](const RawRequest& request) {
+    Harness harness([&](const RawRequest& request) {
       if (absl::StrContains(request.Line(), "/-/order")) {
         absl::MutexLock lock(&mutex);
         order = request.body;
       }
       return Engine(request);
     });
-    stage.PutTarget("i-1", stage.first, "ready",
-                    {{{"name", "m"}, {"adapters", json::array()}}});
-    stage.WaitFor([&] { return stage.CallModel("m/a7").status == 200; });
+    harness.PutTarget("i-1", harness.first, "ready",
+                      {{{"name", "m"}, {"adapters", json::array()}}});
+    harness.WaitFor([&] { return harness.CallModel("m/a7").status == 200; });
     absl::MutexLock lock(&mutex);
     const json sent = json::parse(order);
     CPPUNIT_ASSERT_EQUAL(std::string("a7"),
@@ -70,7 +70,7 @@
   // attempts at that engine within milliseconds.
   void LoadsModelsOfATerminatedTargetElsewhere() {
     std::atomic<bool> ordered = false;
-    Stage stage([&](const RawRequest& request) -> Script {
+    Harness harness([&](const RawRequest& request) -> Script {
       if (absl::StrContains(request.Line(), "/-/report")) {
         return {
             ResponseBytes(request, "200 OK",
@@ -81,24 +81,24 @@
       if (loads) ordered = true;
       return Engine(request);
     });
-    stage.store.Put("servers/i-dead", json{{"service", "s"},
-                                           {"address", "127.0.0.1:1"},
-                                           {"zone", "z"},
-                                           {"slots", 4},
-                                           {"state", "ready"},
-                                           {"born", 1},
-                                           {"models", {{{"name", "m"}}}}}
-                                          .dump());
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    stage.WaitFor([&] {
-      return stage.Read<bool>(
-          [&] { return stage.gateway->Fleet().Target("i-dead") != nullptr; });
+    harness.store.Put("servers/i-dead", json{{"service", "s"},
+                                             {"address", "127.0.0.1:1"},
+                                             {"zone", "z"},
+                                             {"slots", 4},
+                                             {"state", "ready"},
+                                             {"born", 1},
+                                             {"models", {{{"name", "m"}}}}}
+                                            .dump());
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    harness.WaitFor([&] {
+      return harness.Read<bool>(
+          [&] { return harness.gateway->Fleet().Target("i-dead") != nullptr; });
     });
-    const Stage::Reply reply = stage.CallModel("m");
+    const Harness::Reply reply = harness.CallModel("m");
     CPPUNIT_ASSERT_EQUAL(503, reply.status);
     CPPUNIT_ASSERT(absl::StrContains(reply.Body(), "model_not_resident"));
-    stage.WaitFor([&] {
-      stage.CallModel("m");
+    harness.WaitFor([&] {
+      harness.CallModel("m");
       return ordered.load();
     });
   }
@@ -125,15 +125,15 @@
          platform::MakeWireFormat(), "m/a\xff"},
     };
     for (const OrderCase& item : cases) {
-      Stage::Options options;
+      Harness::Options options;
       options.answer = Engine;
       options.wire = item.wire;
-      Stage stage(std::move(options));
-      stage.PutTarget("i-1", stage.first, "ready",
-                      {{{"name", "m"}, {"adapters", json::array()}}});
-      stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-      stage.CallModel(item.first_model);
-      stage.WaitFor([&] { return stage.CallModel("m/a7").status == 200; });
+      Harness harness(std::move(options));
+      harness.PutTarget("i-1", harness.first, "ready",
+                        {{{"name", "m"}, {"adapters", json::array()}}});
+      harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+      harness.CallModel(item.first_model);
+      harness.WaitFor([&] { return harness.CallModel("m/a7").status == 200; });
     }
   }
 
@@ -142,35 +142,35 @@
   // it still finds its old entry as leader in the store, and goes on with the
   // old fencing token.
   void DoesNotResumeLeadershipOfAnEndedLease() {
-    Stage stage;
+    Harness harness;
     const std::string key(gateway::FleetState::kLeaderKey);
     const std::string own = gateway::FleetState::InstanceKey("one");
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    const std::uint64_t lease = stage.store.LeaseOf(key);
-    stage.store.RejectRenewals();
-    stage.WaitFor([&] { return stage.store.LeaseOf(own) > lease; });
-    const int renewals = stage.store.Renewals();
-    stage.WaitFor([&] { return stage.store.Renewals() > renewals; });
-    CPPUNIT_ASSERT_EQUAL(lease, stage.store.LeaseOf(key));
-    CPPUNIT_ASSERT(!stage.HoldsLeaderLease());
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    const std::uint64_t lease = harness.store.LeaseOf(key);
+    harness.store.RejectRenewals();
+    harness.WaitFor([&] { return harness.store.LeaseOf(own) > lease; });
+    const int renewals = harness.store.Renewals();
+    harness.WaitFor([&] { return harness.store.Renewals() > renewals; });
+    CPPUNIT_ASSERT_EQUAL(lease, harness.store.LeaseOf(key));
+    CPPUNIT_ASSERT(!harness.HoldsLeaderLease());
     // The store removes the old entry, and the instance can become leader
     // again.
-    stage.store.Delete(key);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT(stage.store.LeaseOf(key) > lease);
+    harness.store.Delete(key);
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT(harness.store.LeaseOf(key) > lease);
   }
 
   // Failure: a replaced leader sends an order. When the store shows another
   // leader, the instance must not send any, whatever it knows of its own lease.
   void StepsDownIfAnotherInstanceIsLeader() {
-    Stage stage;
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
+    Harness harness;
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
     gateway::InstanceRecord other;
     other.name = "two";
     other.incarnation = "x";
-    stage.store.Put(std::string(gateway::FleetState::kLeaderKey),
-                    gateway::EncodeInstanceRecord(other));
-    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
+    harness.store.Put(std::string(gateway::FleetState::kLeaderKey),
+                      gateway::EncodeInstanceRecord(other));
+    harness.WaitFor([&] { return !harness.HoldsLeaderLease(); });
   }
 };
 
--- a/tests/unit/unit-report-hub.cc
+++ b/tests/unit/unit-report-hub.cc
@@ -217,11 +217,11 @@
     const QuotaParticipants participants(kWindow, Clock(&manual));
     ReportAggregator aggregator(participants, kWindow, Clock(&manual));
     wire::InstanceReport report = Report("a");
-    wire::ModelWish wish;
-    wish.service_name = "s";
-    wish.model = "m";
-    wish.work_ms = 100;  // half an engine over the interval of 200 ms
-    report.wishes.push_back(wish);
+    wire::ModelWish model_demand;
+    model_demand.service_name = "s";
+    model_demand.model = "m";
+    model_demand.work_ms = 100;  // half an engine over the interval of 200 ms
+    report.wishes.push_back(model_demand);
     for (int i = 0; i < 10; ++i) {
       aggregator.AddReport(report);
       report.sequence += 1;
