--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -54,7 +54,7 @@
   bool HasListing() const { return this->has_listing; }
 
   /// Begins a grace period after the store was unreachable and responds again.
-  /// Targets whose entries are removed in it are kept until it ends: leases
+  /// Targets whose entries are removed during it are kept until it ends: leases
   /// expire while the store is unavailable, and running targets register again.
   void HandleStoreRecovery();
 
--- a/dragonflyglade/gateway/placement_controller.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -69,7 +69,7 @@
     }
     if (!this->acting) {
       this->acting = true;
-      this->ceilings.clear();
+      this->load_limiters.clear();
       this->log.Write("placement", "acting",
                       {{"fence", this->leader_lease.Fence()}});
     }
@@ -242,23 +242,23 @@
 
 ModelLoadLimiter& PlacementController::LoadLimiterOf(
     const ServiceSpec& service) {
-  const auto found = this->ceilings.find(service.name);
-  if (found != this->ceilings.end()) return found->second;
+  const auto found = this->load_limiters.find(service.name);
+  if (found != this->load_limiters.end()) return found->second;
   const ModelLoadLimiterOptions options{this->settings.load_window,
                                         this->settings.load_overage,
                                         this->settings.leader_handover_delay};
-  ModelLoadLimiter& ceiling =
-      this->ceilings
+  ModelLoadLimiter& limiter =
+      this->load_limiters
           .emplace(service.name, ModelLoadLimiter(options, this->clock))
           .first->second;
-  ceiling.OnLeadershipAcquired(service.engine->loads_per_second);
-  return ceiling;
+  limiter.OnLeadershipAcquired(service.engine->loads_per_second);
+  return limiter;
 }
 
 void PlacementController::PlanService(
     const ServiceSpec& service,
     const std::map<ModelName, FleetDemand>& demand) {
-  ModelLoadLimiter& ceiling = this->LoadLimiterOf(service);
+  ModelLoadLimiter& limiter = this->LoadLimiterOf(service);
   std::vector<DemandedModel> models;
   for (const ServedModel& served : service.engine->models) {
     DemandedModel model;
@@ -312,7 +312,7 @@
   }
   const std::vector<ResidencyChange> changes =
       this->planner.Plan(models, adapters, holdings,
-                         ceiling.Left(service.engine->loads_per_second));
+                         limiter.Left(service.engine->loads_per_second));
   for (const ResidencyChange& change : changes)
     this->ScheduleOrder(service, change);
   for (const auto& [id, engine] : this->engines) {
--- a/dragonflyglade/gateway/placement_controller.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -58,11 +58,10 @@
     /// ResidentKey of adapters that are being loaded or unloaded.
     std::set<std::string> changing_adapters;
     std::optional<std::string> loading;  ///< model that is being loaded
-    Instant loading_deadline;            ///< when the engine is inspected
+    Instant loading_deadline;            ///< after it, the engine is inspected
     bool is_busy = false;  ///< an order or an inspection is in progress
-    bool needs_inspection =
-        false;  ///< its residency is not known and must be read
-    Instant last_order_ended_at;  ///< when the last order or inspection ended
+    bool needs_inspection = false;  ///< its residency is unknown
+    Instant last_order_ended_at;    ///< when the last order or inspection ended
     /// When an instance's connection was last refused.
     std::optional<Instant> connection_refused_at;
   };
@@ -112,8 +111,8 @@
   bool acting = false;
   bool plan_requested = false;
   std::map<std::string, std::shared_ptr<Engine>> engines;
-  std::map<std::string, ModelLoadLimiter, std::less<>>
-      ceilings;  ///< by service
+  /// By service.
+  std::map<std::string, ModelLoadLimiter, std::less<>> load_limiters;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_client.h
+++ b/dragonflyglade/gateway/store_client.h
@@ -23,9 +23,8 @@
 
   /// @param timeout until the response begins; after that, the call continues
   ///   while bytes arrive
-  /// @return StoreOutcomeUnknown if there is no response although the store may
-  /// have
-  ///   executed the call
+  /// @return StoreOutcomeUnknown if there is no response although the store
+  ///   may have executed the call
   boost::asio::awaitable<StoreResponse> Call(StoreCall call,
                                              absl::Duration timeout);
 
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -78,7 +78,7 @@
   struct PackedDigestChanges {
     std::string bytes;
     std::uint64_t last = 0;  ///< revision of the last packed change
-    bool complete = true;    ///< whether all changes fitted
+    bool complete = true;    ///< whether all changes fit
   };
   /// An instance that queried this one recently.
   struct Subscriber {
@@ -100,8 +100,8 @@
   SendMessage send;
   std::function<void()> on_digest_applied;
   std::uint64_t packed_version = 0;
-  std::map<std::uint64_t, PackedDigestChanges>
-      packed;                                     ///< by the known revision
+  /// By the known revision.
+  std::map<std::uint64_t, PackedDigestChanges> packed;
   std::map<std::string, Subscriber> subscribers;  ///< by address
   std::size_t next_relay = 0;   ///< index of the next relay to query
   bool had_live_relay = false;  ///< as last logged
--- a/dragonflyglade/gateway/store_sync_state.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -66,8 +66,8 @@
   /// no relay is live.
   absl::Duration StoreUptime() const;
 
-  /// The time since the store confirmed the newest digest to its sender;
-  /// infinite if there is none.
+  /// The age of the newest digest, counted from the store's response to its
+  /// sender; infinite if there is none.
   absl::Duration DigestAge() const;
 
   /// Notified at each digest.
