--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -26,7 +26,7 @@
 constexpr absl::Duration kReportsCollectionTime = absl::Seconds(1);
 // While the leader cannot be queried, callers that retry sooner are refused
 // again, and most retry only once. A leader is replaced within about a second.
-constexpr absl::Duration kLeaderReplacementTime = absl::Milliseconds(800);
+constexpr absl::Duration kMinRetryWithoutLeader = absl::Milliseconds(800);
 
 }  // namespace
 
@@ -123,7 +123,7 @@
                                                 double tokens) {
   QuotaVerdict verdict = this->quotas.Take(workspace, limit, tokens);
   if (!verdict.admitted) {
-    verdict.retry_after = std::max(verdict.retry_after, kLeaderReplacementTime);
+    verdict.retry_after = std::max(verdict.retry_after, kMinRetryWithoutLeader);
   }
   return verdict;
 }
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -232,10 +232,10 @@
     transaction.preconditions.push_back({key, this->leader_lease.Fence()});
     transaction.deletes.push_back(key);
   }
-  // Retries until the outcome is known. Leases may not expire while the store
-  // is unavailable, so that the leader's entry would stay with a terminated
-  // process until its lease runs out afterwards. No instance would place models
-  // in the meantime.
+  // Retries until the outcome is known. If leases do not expire while the store
+  // is unavailable, the leader's entry would stay with a terminated process
+  // until its lease runs out afterwards, and no instance would place models in
+  // the meantime.
   bool is_confirmed = false;
   while (!is_confirmed) {
     StoreCall call = transaction;
