--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -216,8 +216,8 @@
 // that are available, and callers that retry at once would be refused again.
 bool QuotaAdmission::HasEnoughReports(const FleetSpending& spend) {
   const Instant now = this->clock.Now();
-  if (this->leader_fencing_token != this->leader_lease.Fence()) {
-    this->leader_fencing_token = this->leader_lease.Fence();
+  if (this->last_leader_token != this->leader_lease.Fence()) {
+    this->last_leader_token = this->leader_lease.Fence();
     this->leader_since = now;
   }
   const auto listed = static_cast<int>(this->fleet.ListedInstances().size());
--- a/dragonflyglade/gateway/quota_admission.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -127,8 +127,8 @@
   std::map<std::int64_t, PendingQuery> pending_queries;
   std::map<std::string, Denial, std::less<>> denials;
   std::optional<Instant> leader_unresponsive_since;
-  bool spend_record_checked = false;       ///< whether the initial one was read
-  std::uint64_t leader_fencing_token = 0;  ///< of the last leader lease held
+  bool spend_record_checked = false;    ///< whether the initial one was read
+  std::uint64_t last_leader_token = 0;  ///< fencing token of the last lease
   Instant leader_since;
 };
 
