--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -20,63 +20,67 @@
 
 namespace {
 
-// Requests move in and out of targets within some hundred milliseconds, so
-// older news says little; faster reports cost processor time for each pair of
-// messages.
-constexpr absl::Duration kReportEvery = absl::Milliseconds(200);
-// An instance without requests has nothing to tell, but must hear of changes.
-// In a fleet of 82 instances most are idle, and the holder's work is reports.
-constexpr absl::Duration kIdleReportEvery = absl::Milliseconds(500);
-// Several orders are mostly answered within some milliseconds of one another;
-// a request that waits for an adapter loses no more than this.
-constexpr absl::Duration kPushGather = absl::Milliseconds(8);
-// Sends of this time are told in one message. Engines read a prompt in some ten
-// milliseconds, so older news would send several instances to the same engine.
-constexpr absl::Duration kSendsGather = absl::Milliseconds(3);
-// Each instance tells all others, so the messages grow with the square of the
-// instances that callers are sent to. Larger fleets go by the summaries.
-constexpr std::size_t kMostToldOfSends = 24;
-constexpr std::size_t kLargestDatagram = 65000;
-// How many instances are told of a change in one go, and the pause after that:
-// with a configuration of 8 KB, a link of 200 Mbit/s is then half full.
-constexpr std::size_t kToldAtOnce = 16;
-constexpr absl::Duration kToldPause = absl::Milliseconds(10);
-// Reports whose summary is still awaited.
-constexpr std::size_t kMostUnanswered = 32;
-// News of targets that lack something; more are told in later reports.
-constexpr std::size_t kMostLacks = 32;
-constexpr absl::Duration kAgeless = absl::Hours(24);
+// Requests start and end at targets within some hundred milliseconds, so that
+// older reports are of little use. A shorter interval costs CPU time for each
+// report and its summary.
+constexpr absl::Duration kReportInterval = absl::Milliseconds(200);
+// An instance without requests has nothing to report but must receive changes.
+// In a fleet of 82 instances most are idle, and the leader spends its time on
+// their reports.
+constexpr absl::Duration kIdleReportInterval = absl::Milliseconds(500);
+// Engines mostly respond to several orders within a few milliseconds of one
+// another, and one push covers them all. A request that waits for an adapter is
+// delayed by at most this long.
+constexpr absl::Duration kPushDelay = absl::Milliseconds(8);
+// Prompts sent within this time go into one message. Engines prefill a prompt
+// in some ten milliseconds, so with a longer delay several instances would
+// choose the same engine.
+constexpr absl::Duration kSentPromptsDelay = absl::Milliseconds(3);
+// Each instance notifies all others, so the messages grow with the square of
+// the number of instances that callers are sent to. Larger fleets rely on the
+// summaries.
+constexpr std::size_t kMaxSentPromptRecipients = 24;
+constexpr std::size_t kMaxDatagramBytes = 65000;
+// A change is sent to this many instances, with a pause after each batch: with
+// a configuration of 8 KB, this uses half of a link of 200 Mbit/s.
+constexpr std::size_t kRecipientsPerBatch = 16;
+constexpr absl::Duration kBatchPause = absl::Milliseconds(10);
+// Bound on the reports that are remembered until a summary answers them.
+constexpr std::size_t kMaxPendingReports = 32;
+// Further ones are left to later reports.
+constexpr std::size_t kMaxMissingModelsPerReport = 32;
+// Stands for an unlimited age in reports.
+constexpr absl::Duration kUnlimitedAge = absl::Hours(24);
 
 bool IsIdle(const wire::InstanceReport& report) {
   return report.targets.empty() && report.wishes.empty();
 }
 
-// Callers are not sent there and it has none: it needs the store's changes and
-// nothing else, and so do most instances of a large fleet.
-bool StandsBy(const wire::InstanceReport& report) {
+// A standby instance has no requests and gets no callers. It needs the store's
+// changes and nothing else, as do most instances of a large fleet.
+bool IsStandby(const wire::InstanceReport& report) {
   return IsIdle(report) && !report.listed;
 }
 
 }  // namespace
 
-FleetChannel::FleetChannel(asio::io_context& context, udp::socket& socket,
-                           FleetState& fleet, ModelDemand& demand,
-                           QuotaWindows& quotas, QuotaAdmission& desk,
-                           ReportAggregator& hub, const LeaderLease& duty,
-                           InstanceRecord self, bool first_start,
-                           StoreSyncState& news, StoreRelay& relay,
-                           Metrics& metrics, Tasks& tasks, Clock clock)
+FleetChannel::FleetChannel(
+    asio::io_context& context, udp::socket& socket, FleetState& fleet,
+    ModelDemand& demand, QuotaWindows& quotas, QuotaAdmission& quota_admission,
+    ReportAggregator& aggregator, const LeaderLease& leader_lease,
+    InstanceRecord self, bool first_start, StoreSyncState& sync_state,
+    StoreRelay& relay, Metrics& metrics, Tasks& tasks, Clock clock)
     : context(context),
       socket(socket),
       fleet(fleet),
       demand(demand),
       quotas(quotas),
-      desk(desk),
-      hub(hub),
-      duty(duty),
+      quota_admission(quota_admission),
+      aggregator(aggregator),
+      leader_lease(leader_lease),
       self(std::move(self)),
       first_start(first_start),
-      news(news),
+      sync_state(sync_state),
       relay(relay),
       metrics(metrics),
       tasks(tasks),
@@ -88,39 +92,40 @@
                            const std::string& address) {
     this->Send(message, address);
   };
-  this->desk.OnSend(send);
+  this->quota_admission.OnSend(send);
   this->relay.OnSend(send);
-  this->relay.OnDigestApplied([this] { this->FollowDuty(); });
-  this->news.OnUrgentChange([this] { this->TellUrgent(); });
+  this->relay.OnDigestApplied([this] { this->CheckLeaderChange(); });
+  this->sync_state.OnUrgentChange([this] { this->SendUrgentChanges(); });
 }
 
 asio::awaitable<void> FleetChannel::Receive() {
-  std::string space(kLargestDatagram, '\0');
+  std::string buffer(kMaxDatagramBytes, '\0');
   while (true) {
     udp::endpoint sender;
     error_code error;
-    const std::size_t got = co_await this->socket.async_receive_from(
-        asio::buffer(space), sender,
+    const std::size_t received_bytes = co_await this->socket.async_receive_from(
+        asio::buffer(buffer), sender,
         asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-      co_await Sleep(this->context, kReportEvery);
+      co_await Sleep(this->context, kReportInterval);
       continue;
     }
-    this->Take(std::string_view(space.data(), got));
+    this->ReceiveDatagram(std::string_view(buffer.data(), received_bytes));
   }
 }
 
-void FleetChannel::Take(std::string_view datagram) {
+void FleetChannel::ReceiveDatagram(std::string_view datagram) {
   const auto message = DecodeThrift<wire::FleetMessage>(datagram);
   if (!message.has_value()) {
     this->metrics.Count("unreadable_datagrams");
     return;
   }
-  if (message->__isset.report) this->TakeReport(message->report);
-  if (message->__isset.summary) this->TakeSummary(message->summary);
-  if (message->__isset.ask) this->desk.ReceiveAsk(message->ask);
-  if (message->__isset.grant) this->desk.ReceiveGrant(message->grant);
-  if (message->__isset.note) this->TakeNote(message->note);
+  if (message->__isset.report) this->ReceiveReport(message->report);
+  if (message->__isset.summary) this->ReceiveSummary(message->summary);
+  if (message->__isset.ask) this->quota_admission.ReceiveAsk(message->ask);
+  if (message->__isset.grant)
+    this->quota_admission.ReceiveGrant(message->grant);
+  if (message->__isset.note) this->ReceiveSendNote(message->note);
   if (message->__isset.store) this->relay.ReceiveDigest(message->store);
   if (message->__isset.store_question) {
     this->relay.ReceiveQuestion(message->store_question);
@@ -133,12 +138,12 @@
     message.__set_report(this->MakeReport());
     const absl::Duration interval =
         absl::Milliseconds(message.report.interval_ms);
-    const std::optional<LeaderRecord> holder = this->fleet.Leader();
-    if (holder.has_value()) {
-      if (holder->instance.incarnation == this->self.incarnation) {
-        this->TakeReport(message.report);
+    const std::optional<LeaderRecord> leader = this->fleet.Leader();
+    if (leader.has_value()) {
+      if (leader->instance.incarnation == this->self.incarnation) {
+        this->ReceiveReport(message.report);
       } else {
-        this->Send(message, holder->instance.peers);
+        this->Send(message, leader->instance.peer_address);
       }
     }
     co_await this->wake.Wait(interval);
@@ -149,14 +154,17 @@
   wire::InstanceReport report;
   report.instance = this->self.name;
   report.incarnation = this->self.incarnation;
-  report.address = this->self.peers;
+  report.address = this->self.peer_address;
   report.sequence = ++this->sequence;
-  // Before the first start of all nothing was spent, so no age matters.
+  // Nothing can have been spent before the fleet's first start, so that the
+  // process's age imposes no limit then.
   const absl::Duration age = this->clock.Now() - this->started;
-  report.age_ms = absl::ToInt64Milliseconds(this->first_start ? kAgeless : age);
-  report.lacks.swap(this->lacks);
-  report.refusing.assign(this->refusing.begin(), this->refusing.end());
-  this->refusing.clear();
+  report.age_ms =
+      absl::ToInt64Milliseconds(this->first_start ? kUnlimitedAge : age);
+  report.lacks.swap(this->missing_models);
+  report.refusing.assign(this->refusing_targets.begin(),
+                         this->refusing_targets.end());
+  this->refusing_targets.clear();
   this->fleet.ForEachTarget([&](const TargetState& target) {
     if (target.InFlight() == 0) return;
     wire::TargetUse use;
@@ -168,15 +176,15 @@
     }
     report.targets.push_back(std::move(use));
   });
-  for (const auto& [name, count] : this->demand.Take()) {
-    wire::ModelWish wish;
-    wish.service_name = name.service;
-    wish.model = name.model;
-    wish.adapter = name.adapter;
-    wish.requests = count.requests;
-    wish.work_ms = count.work_ms;
-    wish.waiting = count.waiting;
-    report.wishes.push_back(std::move(wish));
+  for (const auto& [name, count] : this->demand.DrainCounts()) {
+    wire::ModelWish model_demand;
+    model_demand.service_name = name.service;
+    model_demand.model = name.model;
+    model_demand.adapter = name.adapter;
+    model_demand.requests = count.requests;
+    model_demand.work_ms = count.work_ms;
+    model_demand.waiting = count.waiting;
+    report.wishes.push_back(std::move(model_demand));
   }
   const std::map<std::string, double> spent = this->quotas.Spent();
   for (const auto& [workspace, tokens] : spent) {
@@ -185,45 +193,49 @@
     spend.tokens = static_cast<std::int64_t>(tokens);
     report.spends.push_back(std::move(spend));
   }
-  report.store_revision = static_cast<std::int64_t>(this->news.KnownThrough());
-  // An instance without requests must know since when it is listed, too: its
-  // part counts by that at the holder.
-  this->desk.UpdateParticipants();
+  report.store_revision =
+      static_cast<std::int64_t>(this->sync_state.KnownThrough());
+  // An instance without requests must know for how long it has been listed,
+  // too: the leader computes its share from that.
+  this->quota_admission.UpdateParticipants();
   report.listed = this->fleet.IsListed(this->self.name);
-  report.listed_ms =
-      absl::ToInt64Milliseconds(std::min(kAgeless, this->quotas.ListedFor()));
-  report.grants_through = this->desk.SettledThrough();
-  report.holdings_of = this->told_by;
-  report.holdings_version = this->told_version;
+  report.listed_ms = absl::ToInt64Milliseconds(
+      std::min(kUnlimitedAge, this->quotas.ListedFor()));
+  report.grants_through = this->quota_admission.SettledThrough();
+  report.holdings_of = this->holdings_leader;
+  report.holdings_version = this->known_holdings_version;
   report.interval_ms = absl::ToInt64Milliseconds(
-      IsIdle(report) ? kIdleReportEvery : kReportEvery);
-  this->spent_at[this->sequence] = spent;
-  if (this->spent_at.size() > kMostUnanswered) {
-    this->spent_at.erase(this->spent_at.begin());
+      IsIdle(report) ? kIdleReportInterval : kReportInterval);
+  this->spent_by_report[this->sequence] = spent;
+  if (this->spent_by_report.size() > kMaxPendingReports) {
+    this->spent_by_report.erase(this->spent_by_report.begin());
   }
   return report;
 }
 
-void FleetChannel::TakeReport(const wire::InstanceReport& report) {
-  if (!this->duty.IsLeader()) return;
-  this->hub.Take(report);
-  this->desk.Reported(report);
-  bool anyone_waits = false;
-  for (const wire::ModelWish& wish : report.wishes) {
-    anyone_waits = anyone_waits || wish.waiting > 0;
+void FleetChannel::ReceiveReport(const wire::InstanceReport& report) {
+  if (!this->leader_lease.IsLeader()) return;
+  this->aggregator.AddReport(report);
+  this->quota_admission.RemoveReportedGrants(report);
+  bool has_waiting_requests = false;
+  for (const wire::ModelWish& model_demand : report.wishes) {
+    has_waiting_requests = has_waiting_requests || model_demand.waiting > 0;
   }
-  if (anyone_waits && this->waiting) this->waiting();
-  if (this->on_lack) {
-    for (const wire::TargetLack& lack : report.lacks) this->on_lack(lack);
+  if (has_waiting_requests && this->on_waiting_requests)
+    this->on_waiting_requests();
+  if (this->on_missing_model) {
+    for (const wire::TargetLack& lack : report.lacks)
+      this->on_missing_model(lack);
   }
-  if (this->on_refusing) {
-    for (const std::string& target : report.refusing) this->on_refusing(target);
+  if (this->on_connection_refused) {
+    for (const std::string& target : report.refusing)
+      this->on_connection_refused(target);
   }
-  this->Answer(report);
+  this->RespondToReport(report);
 }
 
-void FleetChannel::Answer(const wire::InstanceReport& report) {
-  if (!StandsBy(report)) {
+void FleetChannel::RespondToReport(const wire::InstanceReport& report) {
+  if (!IsStandby(report)) {
     this->SendSummary(report);
     return;
   }
@@ -234,13 +246,13 @@
 
 void FleetChannel::SendSummary(const wire::InstanceReport& report) {
   wire::FleetMessage message;
-  wire::FleetSummary summary = this->hub.SummaryFor(report);
+  wire::FleetSummary summary = this->aggregator.SummaryFor(report);
   for (wire::WorkspaceSpend& spend : summary.spends) {
     spend.tokens += static_cast<std::int64_t>(
-        this->desk.UnreportedGrantTokens(spend.workspace));
+        this->quota_admission.UnreportedGrantTokens(spend.workspace));
   }
   summary.holder = this->self.incarnation;
-  summary.fence = static_cast<std::int64_t>(this->duty.FencingToken());
+  summary.fence = static_cast<std::int64_t>(this->leader_lease.FencingToken());
   summary.store = this->relay.DigestSince(
       static_cast<std::uint64_t>(report.store_revision));
   summary.holdings_version = this->holdings.Version();
@@ -249,119 +261,123 @@
                                                    : 0);
   message.__set_summary(std::move(summary));
   if (report.incarnation == this->self.incarnation) {
-    this->TakeSummary(message.summary);
+    this->ReceiveSummary(message.summary);
   } else {
     this->Send(message, report.address);
   }
 }
 
-bool FleetChannel::IsHolder() const {
-  const std::optional<LeaderRecord>& holder = this->fleet.Leader();
-  return this->duty.IsLeader() && holder.has_value() &&
-         holder->instance.incarnation == this->self.incarnation;
+bool FleetChannel::IsLeader() const {
+  const std::optional<LeaderRecord>& leader = this->fleet.Leader();
+  return this->leader_lease.IsLeader() && leader.has_value() &&
+         leader->instance.incarnation == this->self.incarnation;
 }
 
-// A new holder knows nothing until it has everybody's report.
-void FleetChannel::FollowDuty() {
-  if (this->fleet.LeaderRevision() == this->duty_revision) return;
-  this->duty_revision = this->fleet.LeaderRevision();
+// Sends a report as soon as the leader changes: a new leader has no data until
+// all instances have reported.
+void FleetChannel::CheckLeaderChange() {
+  if (this->fleet.LeaderRevision() == this->leader_revision) return;
+  this->leader_revision = this->fleet.LeaderRevision();
   this->wake.Notify();
-  if (!this->IsHolder()) return;
-  this->tasks.Spawn("announce duty", this->AnnounceDuty());
+  if (!this->IsLeader()) return;
+  this->tasks.Spawn("announce duty", this->AnnounceLeadership());
 }
 
-// Instances that were led by the holder before would hear of this one only
-// when its word has grown old.
-asio::awaitable<void> FleetChannel::AnnounceDuty() {
+// Without the announcement, instances that get their updates from the previous
+// leader learn of this one only when the previous leader's digests are stale.
+asio::awaitable<void> FleetChannel::AnnounceLeadership() {
   std::vector<std::string> addresses;
   for (const auto& [name, record] : this->fleet.Instances()) {
-    if (name != this->self.name) addresses.push_back(record.peers);
+    if (name != this->self.name) addresses.push_back(record.peer_address);
   }
-  const std::string duty = this->relay.PackLeaderRecord();
-  const std::function<void(std::size_t)> tell = [&](std::size_t index) {
-    if (!this->IsHolder()) return;
+  const std::string leader_record = this->relay.PackLeaderRecord();
+  const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
+    if (!this->IsLeader()) return;
     wire::FleetMessage message;
-    message.__set_store(this->relay.DigestOf(duty));
+    message.__set_store(this->relay.DigestWithChanges(leader_record));
     this->Send(message, addresses[index]);
   };
-  co_await this->InParts(addresses.size(), tell);
+  co_await this->ForEachPaced(addresses.size(), send_to);
 }
 
-// So that a fleet of hundreds does not keep this instance's requests waiting,
-// and a large change does not fill its link, where datagrams are lost. What is
-// lost all the same comes with the answer to the next report.
-asio::awaitable<void> FleetChannel::InParts(
-    std::size_t count, const std::function<void(std::size_t)>& tell) {
+// The pauses keep sends to hundreds of instances from delaying this instance's
+// requests, and a large change from saturating its link, which loses datagrams.
+// What is lost nevertheless is sent again in response to the next report.
+asio::awaitable<void> FleetChannel::ForEachPaced(
+    std::size_t count, const std::function<void(std::size_t)>& send_to) {
   for (std::size_t i = 0; i < count; ++i) {
-    tell(i);
-    if ((i + 1) % kToldAtOnce == 0) co_await Sleep(this->context, kToldPause);
+    send_to(i);
+    if ((i + 1) % kRecipientsPerBatch == 0)
+      co_await Sleep(this->context, kBatchPause);
   }
 }
 
-void FleetChannel::TellUrgent() {
-  this->FollowDuty();
-  if (!this->duty.IsLeader()) {
+void FleetChannel::SendUrgentChanges() {
+  this->CheckLeaderChange();
+  if (!this->leader_lease.IsLeader()) {
     this->relay.NotifySubscribers();
     return;
   }
-  this->tell_again = true;
-  if (this->telling_everyone) return;
-  this->telling_everyone = true;
-  this->tasks.Spawn("tell everyone", this->TellEveryone());
+  this->notify_again = true;
+  if (this->notifying_reporters) return;
+  this->notifying_reporters = true;
+  this->tasks.Spawn("tell everyone", this->NotifyReporters());
 }
 
-asio::awaitable<void> FleetChannel::TellEveryone() {
-  const std::exception_ptr fault =
-      co_await CatchException(this->TellReporters());
-  this->telling_everyone = false;
-  if (fault) std::rethrow_exception(fault);
+asio::awaitable<void> FleetChannel::NotifyReporters() {
+  const std::exception_ptr exception =
+      co_await CatchException(this->SendToReporters());
+  this->notifying_reporters = false;
+  if (exception) std::rethrow_exception(exception);
 }
 
-asio::awaitable<void> FleetChannel::TellReporters() {
-  while (this->tell_again && this->duty.IsLeader()) {
-    this->tell_again = false;
-    std::vector<wire::InstanceReport> reporters = this->hub.RecentReports();
+asio::awaitable<void> FleetChannel::SendToReporters() {
+  while (this->notify_again && this->leader_lease.IsLeader()) {
+    this->notify_again = false;
+    std::vector<wire::InstanceReport> reporters =
+        this->aggregator.RecentReports();
     std::stable_partition(
         reporters.begin(), reporters.end(),
-        [](const wire::InstanceReport& one) { return !StandsBy(one); });
-    const std::function<void(std::size_t)> tell = [&](std::size_t index) {
-      this->Answer(reporters[index]);
+        [](const wire::InstanceReport& one) { return !IsStandby(one); });
+    const std::function<void(std::size_t)> send_to = [&](std::size_t index) {
+      this->RespondToReport(reporters[index]);
     };
-    co_await this->InParts(reporters.size(), tell);
+    co_await this->ForEachPaced(reporters.size(), send_to);
   }
 }
 
 void FleetChannel::SchedulePush() {
   if (this->push_pending) return;
   this->push_pending = true;
-  this->tasks.Spawn("push summaries", this->PushGathered());
+  this->tasks.Spawn("push summaries", this->PushSummaries());
 }
 
-asio::awaitable<void> FleetChannel::PushGathered() {
-  co_await Sleep(this->context, kPushGather);
+asio::awaitable<void> FleetChannel::PushSummaries() {
+  co_await Sleep(this->context, kPushDelay);
   this->push_pending = false;
-  if (!this->duty.IsLeader()) co_return;
-  for (const wire::InstanceReport& report : this->hub.RecentReports()) {
+  if (!this->leader_lease.IsLeader()) co_return;
+  for (const wire::InstanceReport& report : this->aggregator.RecentReports()) {
     if (!IsIdle(report)) this->SendSummary(report);
   }
 }
 
-void FleetChannel::TakeSummary(const wire::FleetSummary& summary) {
-  const std::optional<LeaderRecord>& holder = this->fleet.Leader();
-  // A holder that was replaced may not know it yet.
-  if (!holder.has_value() || holder->instance.incarnation != summary.holder) {
+void FleetChannel::ReceiveSummary(const wire::FleetSummary& summary) {
+  const std::optional<LeaderRecord>& leader = this->fleet.Leader();
+  // A leader that has been replaced may not know it yet.
+  if (!leader.has_value() || leader->instance.incarnation != summary.holder) {
     return;
   }
-  // The changes may be of the duty itself, so the holder is not used below.
+  // The digest may change the leader's entry, so that the reference leader is
+  // not used below.
   const bool own = summary.holder == this->self.incarnation;
-  this->TakeUses(summary);
-  this->TakeHoldings(summary);
-  this->TakeSpends(summary);
+  this->ApplyTargetUses(summary);
+  this->ApplyHoldings(summary);
+  this->ApplyFleetSpends(summary);
   if (!own) this->relay.ReceiveDigest(summary.store);
   this->fleet.Changed().Notify();
 }
 
-void FleetChannel::TakeUses(const wire::FleetSummary& summary) {
+void FleetChannel::ApplyTargetUses(const wire::FleetSummary& summary) {
   const Instant now = this->clock.Now();
   std::map<std::string_view, const wire::TargetUse*> uses;
   for (const wire::TargetUse& use : summary.targets) uses[use.target] = &use;
@@ -372,25 +388,26 @@
     } else {
       const auto unread = static_cast<double>(use->second->unread_tokens);
       target.SetOtherInstancesLoad(use->second->requests,
-                                   this->TellsSends() ? 0 : unread, now);
+                                   this->BroadcastsSentPrompts() ? 0 : unread,
+                                   now);
     }
   });
 }
 
-void FleetChannel::TakeHoldings(const wire::FleetSummary& summary) {
-  if (this->told_by != summary.holder) this->told_holdings.clear();
-  this->told_by = summary.holder;
-  this->told_version = summary.holdings_version;
+void FleetChannel::ApplyHoldings(const wire::FleetSummary& summary) {
+  if (this->holdings_leader != summary.holder) this->known_holdings.clear();
+  this->holdings_leader = summary.holder;
+  this->known_holdings_version = summary.holdings_version;
   std::set<std::string_view> changed;
   for (const wire::TargetHoldings& item : summary.holdings) {
-    this->told_holdings[item.target] = item;
+    this->known_holdings[item.target] = item;
     changed.insert(item.target);
   }
   if (summary.holdings_version == 0) return;
   const Instant now = this->clock.Now();
-  for (const auto& [id, item] : this->told_holdings) {
+  for (const auto& [id, item] : this->known_holdings) {
     const std::shared_ptr<TargetState> target = this->fleet.Target(id);
-    // What was told of a process before this one is of no use.
+    // Holdings of an earlier process of the target are obsolete.
     if (target == nullptr || target->Record().born_ms != item.born_ms) continue;
     if (changed.count(id) == 0 && target->RefreshPlacement(now)) continue;
     target->SetPlacement(
@@ -401,13 +418,13 @@
   }
 }
 
-void FleetChannel::TakeSpends(const wire::FleetSummary& summary) {
-  const auto own = this->spent_at.find(summary.answers);
+void FleetChannel::ApplyFleetSpends(const wire::FleetSummary& summary) {
+  const auto own = this->spent_by_report.find(summary.answers);
   for (const wire::WorkspaceSpend& spend : summary.spends) {
     FleetSpending fleet_spend;
     fleet_spend.total = static_cast<double>(spend.tokens);
     fleet_spend.instances = summary.instances;
-    if (own != this->spent_at.end()) {
+    if (own != this->spent_by_report.end()) {
       const auto mine = own->second.find(spend.workspace);
       if (mine != own->second.end()) fleet_spend.own = mine->second;
     }
@@ -417,40 +434,40 @@
   }
 }
 
-bool FleetChannel::TellsSends() const {
-  return this->fleet.ListedInstances().size() <= kMostToldOfSends;
+bool FleetChannel::BroadcastsSentPrompts() const {
+  return this->fleet.ListedInstances().size() <= kMaxSentPromptRecipients;
 }
 
-// The summaries of reports are some hundred milliseconds old. Instances that
-// choose by them send their prompts to the same engine until the next one
-// comes, and its running streams pause for as long as it reads.
+// Summaries are some hundred milliseconds old. Instances that chose targets by
+// them alone would send their prompts to the same engine until the next summary
+// arrives, and the engine's running streams stall while it prefills.
 void FleetChannel::BroadcastSentPrompt(const std::string& target,
                                        double prompt_tokens) {
-  if (!this->TellsSends()) return;
-  const bool first = this->sends.empty();
-  this->sends[target] += prompt_tokens;
-  if (first) this->tasks.Spawn("tell sends", this->TellSends());
+  if (!this->BroadcastsSentPrompts()) return;
+  const bool is_first = this->pending_prompts.empty();
+  this->pending_prompts[target] += prompt_tokens;
+  if (is_first) this->tasks.Spawn("tell sends", this->SendPromptNote());
 }
 
-asio::awaitable<void> FleetChannel::TellSends() {
-  co_await Sleep(this->context, kSendsGather);
+asio::awaitable<void> FleetChannel::SendPromptNote() {
+  co_await Sleep(this->context, kSentPromptsDelay);
   wire::SendNote note;
-  for (const auto& [target, tokens] : this->sends) {
+  for (const auto& [target, tokens] : this->pending_prompts) {
     wire::SentPrompts prompts;
     prompts.target = target;
     prompts.tokens = static_cast<std::int64_t>(tokens);
     note.prompts.push_back(std::move(prompts));
   }
-  this->sends.clear();
+  this->pending_prompts.clear();
   wire::FleetMessage message;
   message.__set_note(std::move(note));
   for (const InstanceRecord* other : this->fleet.ListedInstances()) {
     if (other->name == this->self.name) continue;
-    this->Send(message, other->peers);
+    this->Send(message, other->peer_address);
   }
 }
 
-void FleetChannel::TakeNote(const wire::SendNote& note) {
+void FleetChannel::ReceiveSendNote(const wire::SendNote& note) {
   const Instant now = this->clock.Now();
   for (const wire::SentPrompts& prompts : note.prompts) {
     const std::shared_ptr<TargetState> target =
@@ -460,21 +477,22 @@
   }
 }
 
-// Told at once: until the target's entry lapses, seconds later, models that are
-// there only look served, and nobody loads them elsewhere.
+// Sends a report immediately: the target's entry expires only seconds later,
+// and until then models that only this target holds look available, so that the
+// leader loads them nowhere else.
 void FleetChannel::ReportConnectionRefused(const std::string& target) {
-  const bool first = this->refusing.insert(target).second;
-  if (first) this->wake.Notify();
+  const bool is_first = this->refusing_targets.insert(target).second;
+  if (is_first) this->wake.Notify();
 }
 
 void FleetChannel::ReportMissingModel(std::string_view target,
                                       const ModelName& name) {
-  if (this->lacks.size() >= kMostLacks) return;
+  if (this->missing_models.size() >= kMaxMissingModelsPerReport) return;
   wire::TargetLack lack;
   lack.target = std::string(target);
   lack.model = name.model;
   lack.adapter = name.adapter;
-  this->lacks.push_back(std::move(lack));
+  this->missing_models.push_back(std::move(lack));
 }
 
 void FleetChannel::Send(const wire::FleetMessage& message,
@@ -482,12 +500,12 @@
   const Result<Endpoint> endpoint = ParseEndpoint(address);
   if (!endpoint.Ok()) return;
   error_code error;
-  const udp::endpoint place(
+  const udp::endpoint destination(
       asio::ip::make_address(endpoint.Value().address, error),
       static_cast<unsigned short>(endpoint.Value().port));
   if (error) return;
   const std::string datagram = EncodeThrift(message);
-  this->socket.send_to(asio::buffer(datagram), place, 0, error);
+  this->socket.send_to(asio::buffer(datagram), destination, 0, error);
   this->metrics.Count("peer_datagrams",
                       error ? "result=\"failed\"" : "result=\"sent\"");
   this->metrics.Count("peer_bytes", {}, static_cast<double>(datagram.size()));
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -31,76 +31,84 @@
 
 namespace dragonflyglade::gateway {
 
-/// Tells the placing instance what this one has and wants, and takes its
-/// summary of the fleet, in datagrams. A lost one is made good by the next.
-/// One event loop.
+/// Exchanges datagrams with other instances: sends this instance's reports to
+/// the leader, receives the leader's summaries of the fleet, and sends them
+/// while this instance is the leader. The next datagram makes up for a lost
+/// one. Used by one event loop.
 class FleetChannel {
  public:
   FleetChannel(boost::asio::io_context& context,
                boost::asio::ip::udp::socket& socket, FleetState& fleet,
-               ModelDemand& demand, QuotaWindows& quotas, QuotaAdmission& desk,
-               ReportAggregator& hub, const LeaderLease& duty,
-               InstanceRecord self, bool first_start, StoreSyncState& news,
-               StoreRelay& relay, Metrics& metrics, Tasks& tasks, Clock clock);
+               ModelDemand& demand, QuotaWindows& quotas,
+               QuotaAdmission& quota_admission, ReportAggregator& aggregator,
+               const LeaderLease& leader_lease, InstanceRecord self,
+               bool first_start, StoreSyncState& sync_state, StoreRelay& relay,
+               Metrics& metrics, Tasks& tasks, Clock clock);
 
-  /// Run until the process ends.
+  /// Receives datagrams; runs until the process ends.
   boost::asio::awaitable<void> Receive();
+  /// Sends reports; runs until the process ends.
   boost::asio::awaitable<void> Report();
 
-  /// As holder: gives the summary to every reporter that has requests, a few
-  /// milliseconds from now, once for all that happens until then.
+  /// As leader: sends the summary to each reporting instance that has requests,
+  /// a few milliseconds from now. Calls until then are merged into one push.
   void SchedulePush();
 
-  /// As holder: what is at the targets, for the summaries.
+  /// As leader: the residency of the targets, for the summaries.
   VersionedHoldings& Holdings() { return this->holdings; }
-  /// As holder: called when a report came with waiting requests.
-  void OnWaitingRequests(std::function<void()> wake) {
-    this->waiting = std::move(wake);
+  /// As leader: called when a report with waiting requests arrives.
+  void OnWaitingRequests(std::function<void()> callback) {
+    this->on_waiting_requests = std::move(callback);
   }
-  /// As holder: a target was seen to lack what it should hold.
-  void OnMissingModel(std::function<void(const wire::TargetLack&)> act) {
-    this->on_lack = std::move(act);
+  /// As leader: called when an instance reports that a target lacks a model or
+  /// adapter which should be resident there.
+  void OnMissingModel(std::function<void(const wire::TargetLack&)> callback) {
+    this->on_missing_model = std::move(callback);
   }
 
-  /// The duty ended: what was granted as holder is not counted here any more.
-  void ClearGrants() { this->desk.Clear(); }
+  /// Forgets the quota granted as leader, after the leader lease ended.
+  void ClearGrants() { this->quota_admission.Clear(); }
 
-  /// Prompts were sent to a target: tells the other instances.
+  /// Notifies the other instances of a prompt that was sent to a target.
   void BroadcastSentPrompt(const std::string& target, double prompt_tokens);
 
-  /// As holder: called for a target that refused a connection somewhere.
-  void OnConnectionRefused(std::function<void(const std::string& target)> act) {
-    this->on_refusing = std::move(act);
+  /// As leader: called when an instance reports a target that refused its
+  /// connection.
+  void OnConnectionRefused(
+      std::function<void(const std::string& target)> callback) {
+    this->on_connection_refused = std::move(callback);
   }
 
-  /// A target refused a connection: nobody listens there any more.
+  /// Reports to the leader that a target refused a connection, which means that
+  /// no process listens there any more.
   void ReportConnectionRefused(const std::string& target);
 
-  /// A target said that it lacks this.
+  /// Reports to the leader that a target responded that it lacks the model or
+  /// adapter.
   void ReportMissingModel(std::string_view target, const ModelName& name);
 
  private:
-  boost::asio::awaitable<void> PushGathered();
-  void TellUrgent();
-  void FollowDuty();
-  bool IsHolder() const;
-  boost::asio::awaitable<void> AnnounceDuty();
-  boost::asio::awaitable<void> TellEveryone();
-  boost::asio::awaitable<void> TellReporters();
-  boost::asio::awaitable<void> InParts(
-      std::size_t count, const std::function<void(std::size_t)>& tell);
-  void Answer(const wire::InstanceReport& report);
+  boost::asio::awaitable<void> PushSummaries();
+  void SendUrgentChanges();
+  void CheckLeaderChange();
+  bool IsLeader() const;
+  boost::asio::awaitable<void> AnnounceLeadership();
+  boost::asio::awaitable<void> NotifyReporters();
+  boost::asio::awaitable<void> SendToReporters();
+  boost::asio::awaitable<void> ForEachPaced(
+      std::size_t count, const std::function<void(std::size_t)>& send_to);
+  void RespondToReport(const wire::InstanceReport& report);
   wire::InstanceReport MakeReport();
-  bool TellsSends() const;
-  boost::asio::awaitable<void> TellSends();
-  void TakeNote(const wire::SendNote& note);
-  void Take(std::string_view datagram);
-  void TakeReport(const wire::InstanceReport& report);
-  void TakeSummary(const wire::FleetSummary& summary);
+  bool BroadcastsSentPrompts() const;
+  boost::asio::awaitable<void> SendPromptNote();
+  void ReceiveSendNote(const wire::SendNote& note);
+  void ReceiveDatagram(std::string_view datagram);
+  void ReceiveReport(const wire::InstanceReport& report);
+  void ReceiveSummary(const wire::FleetSummary& summary);
   void SendSummary(const wire::InstanceReport& report);
-  void TakeUses(const wire::FleetSummary& summary);
-  void TakeHoldings(const wire::FleetSummary& summary);
-  void TakeSpends(const wire::FleetSummary& summary);
+  void ApplyTargetUses(const wire::FleetSummary& summary);
+  void ApplyHoldings(const wire::FleetSummary& summary);
+  void ApplyFleetSpends(const wire::FleetSummary& summary);
   void Send(const wire::FleetMessage& message, const std::string& address);
 
   boost::asio::io_context& context;
@@ -108,12 +116,12 @@
   FleetState& fleet;
   ModelDemand& demand;
   QuotaWindows& quotas;
-  QuotaAdmission& desk;
-  ReportAggregator& hub;
-  const LeaderLease& duty;
+  QuotaAdmission& quota_admission;
+  ReportAggregator& aggregator;
+  const LeaderLease& leader_lease;
   const InstanceRecord self;
   const bool first_start;
-  StoreSyncState& news;
+  StoreSyncState& sync_state;
   StoreRelay& relay;
   Metrics& metrics;
   Tasks& tasks;
@@ -121,23 +129,25 @@
   const Instant started;
   Signal wake;
   std::int64_t sequence = 0;
-  /// What this instance had spent when it made a report, by its sequence.
-  std::map<std::int64_t, std::map<std::string, double>> spent_at;
+  /// This instance's spending at the time of each report, by report sequence.
+  std::map<std::int64_t, std::map<std::string, double>> spent_by_report;
   VersionedHoldings holdings;
-  /// What the holder said is at the targets, and its version of it.
-  std::map<std::string, wire::TargetHoldings> told_holdings;
-  std::string told_by;
-  std::int64_t told_version = 0;
-  std::function<void()> waiting;
-  std::function<void(const wire::TargetLack&)> on_lack;
-  std::function<void(const std::string&)> on_refusing;
-  std::vector<wire::TargetLack> lacks;
-  std::set<std::string> refusing;   ///< not reported yet
-  std::uint64_t duty_revision = 0;  ///< that was followed
+  /// The residency of the targets as received from the leader, the leader's
+  /// incarnation, and its version of the data.
+  std::map<std::string, wire::TargetHoldings> known_holdings;
+  std::string holdings_leader;
+  std::int64_t known_holdings_version = 0;
+  std::function<void()> on_waiting_requests;
+  std::function<void(const wire::TargetLack&)> on_missing_model;
+  std::function<void(const std::string&)> on_connection_refused;
+  std::vector<wire::TargetLack> missing_models;
+  std::set<std::string> refusing_targets;  ///< not reported yet
+  std::uint64_t leader_revision = 0;       ///< of the last handled change
   bool push_pending = false;
-  bool telling_everyone = false;
-  bool tell_again = false;  ///< something came while everyone was told
-  std::map<std::string, double> sends;  ///< not told yet, by target
+  bool notifying_reporters = false;
+  bool notify_again = false;  ///< a change is not sent to all reporters yet
+  /// Tokens of prompts that other instances are not notified of yet, by target.
+  std::map<std::string, double> pending_prompts;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -7,14 +7,14 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-constexpr std::string_view kInstancesPrefix = "dragonflyglade/instances/";
-// Living targets are back in the store within this time of its return.
-constexpr absl::Duration kGraceAfterReturn = absl::Seconds(2);
-// A follower beside the holder costs some calls a second throughout. It saves
-// some calls of each other instance whenever the holder is lost, so that it
-// pays from some tens of instances on. A second one covers the first.
-constexpr std::size_t kInstancesPerFollower = 40;
-constexpr std::size_t kMostFollowers = 2;  // beside the holder
+constexpr std::string_view kInstanceKeyPrefix = "dragonflyglade/instances/";
+// Running targets register again within this time after the store recovers.
+constexpr absl::Duration kStoreRecoveryGrace = absl::Seconds(2);
+// A relay beside the leader always costs the store some calls a second. It
+// saves some calls of each other instance whenever the leader fails, which
+// pays off from some tens of instances on. A second relay covers the first.
+constexpr std::size_t kInstancesPerRelay = 40;
+constexpr std::size_t kMaxExtraRelays = 2;  // beside the leader
 
 bool HasName(const std::vector<const InstanceRecord*>& records,
              std::string_view name) {
@@ -30,7 +30,7 @@
     : wire(wire), clock(std::move(clock)), log(log), changed(context) {}
 
 std::string FleetState::InstanceKey(std::string_view name) {
-  std::string key(kInstancesPrefix);
+  std::string key(kInstanceKeyPrefix);
   key.append(name);
   return key;
 }
@@ -40,7 +40,8 @@
   return key.substr(0, prefix.size()) == prefix;
 }
 
-// A late answer of the store must not bring back what was overwritten.
+// Without this check, a delayed response of the store would restore values that
+// have been overwritten since.
 bool FleetState::IsNewer(std::string_view key, std::uint64_t revision) {
   const auto found = this->revisions.find(key);
   if (found == this->revisions.end()) {
@@ -54,16 +55,16 @@
 
 void FleetState::Apply(const StoreItem& item) {
   if (!this->IsNewer(item.key, item.revision)) return;
-  if (item.key == kSpendsKey) {
+  if (item.key == kSpendRecordKey) {
     this->ApplySpends(item);
     return;
   }
   const bool of_target = this->HasPrefix(item.key, this->wire.targets_prefix);
   const bool urgent = !of_target || this->ApplyTarget(item);
   if (item.key == this->wire.config_key) this->ApplyConfig(item);
-  if (this->HasPrefix(item.key, kInstancesPrefix)) this->ApplyInstance(item);
-  if (item.key == kLeaderKey) this->ApplyDuty(item);
-  if (urgent) this->NoteUrgent({item, false});
+  if (this->HasPrefix(item.key, kInstanceKeyPrefix)) this->ApplyInstance(item);
+  if (item.key == kLeaderKey) this->ApplyLeader(item);
+  if (urgent) this->AddUrgentChange({item, false});
   this->changed.Notify();
 }
 
@@ -98,12 +99,12 @@
          names(old) != names(record);
 }
 
-void FleetState::NoteUrgent(StoreEvent event) {
+void FleetState::AddUrgentChange(StoreEvent event) {
   this->urgent_revision = std::max(this->urgent_revision, event.item.revision);
   this->recent.Add(std::move(event));
 }
 
-// Returns whether the change must be followed at once.
+// Returns whether the change is urgent.
 bool FleetState::ApplyTarget(const StoreItem& item) {
   Result<TargetRecord> decoded = this->wire.decode_target(item.key, item.value);
   if (!decoded.Ok()) {
@@ -137,48 +138,49 @@
   this->log.Write(
       "instances", "entry",
       {{"peer", decoded.Value().name}, {"revision", item.revision}});
-  this->instances[item.key.substr(kInstancesPrefix.size())] =
+  this->instances[item.key.substr(kInstanceKeyPrefix.size())] =
       std::move(decoded.Value());
   this->choice.reset();
 }
 
-void FleetState::ApplyDuty(const StoreItem& item) {
+void FleetState::ApplyLeader(const StoreItem& item) {
   Result<InstanceRecord> decoded = DecodeInstanceRecord(item.value);
   if (!decoded.Ok()) return;
-  this->duty =
+  this->leader =
       LeaderRecord{std::move(decoded.Value()), item.lease, item.revision};
-  this->duty_revision = item.revision;
+  this->leader_revision = item.revision;
   this->choice.reset();
   this->log.Write(
       "duty", "holder",
-      {{"peer", this->duty->instance.name}, {"revision", item.revision}});
+      {{"peer", this->leader->instance.name}, {"revision", item.revision}});
 }
 
-// Only what stood there at the start counts: later, summaries tell more.
+// Only the record found by the first listing is used; after that the leader's
+// summaries are newer.
 void FleetState::ApplySpends(const StoreItem& item) {
-  if (this->listed_before) return;
+  if (this->has_listing) return;
   Result<SpendRecord> record = DecodeSpendRecord(item.value);
   if (!record.Ok()) {
     this->log.Write(
-        "quota", "record invalid",
+        "quota", "spend record invalid",
         {{"revision", item.revision}, {"why", record.Error().ToString()}});
     return;
   }
-  this->spent_before = std::move(record.Value());
+  this->initial_spend_record = std::move(record.Value());
 }
 
 void FleetState::ApplyDeleted(std::string_view key, std::uint64_t revision) {
   if (!this->IsNewer(key, revision)) return;
-  StoreItem gone;
-  gone.key = std::string(key);
-  gone.revision = revision;
-  this->NoteUrgent({std::move(gone), true});
+  StoreItem removed;
+  removed.key = std::string(key);
+  removed.revision = revision;
+  this->AddUrgentChange({std::move(removed), true});
   if (this->HasPrefix(key, this->wire.targets_prefix)) {
     this->DropTarget(key.substr(this->wire.targets_prefix.size()),
                      "entry removed");
   }
-  if (this->HasPrefix(key, kInstancesPrefix)) {
-    const std::string_view name = key.substr(kInstancesPrefix.size());
+  if (this->HasPrefix(key, kInstanceKeyPrefix)) {
+    const std::string_view name = key.substr(kInstanceKeyPrefix.size());
     this->log.Write("instances", "gone",
                     {{"peer", name}, {"revision", revision}});
     const auto found = this->instances.find(name);
@@ -186,8 +188,8 @@
     this->choice.reset();
   }
   if (key == kLeaderKey) {
-    this->duty.reset();
-    this->duty_revision = revision;
+    this->leader.reset();
+    this->leader_revision = revision;
     this->choice.reset();
     this->log.Write("duty", "no holder", {{"revision", revision}});
   }
@@ -208,19 +210,19 @@
     this->ApplyDeleted(key, store_revision);
   }
   for (const StoreItem& item : items) this->Apply(item);
-  this->listed_before = true;
+  this->has_listing = true;
 }
 
 void FleetState::HandleStoreRecovery() {
-  this->returned_at = this->clock.Now();
+  this->recovered_at = this->clock.Now();
 }
 
 void FleetState::DropTarget(std::string_view id, std::string_view why) {
   const std::shared_ptr<TargetState> target = this->Target(id);
   if (target == nullptr) return;
   const Instant now = this->clock.Now();
-  const bool in_grace = this->returned_at.has_value() &&
-                        now - *this->returned_at < kGraceAfterReturn;
+  const bool in_grace = this->recovered_at.has_value() &&
+                        now - *this->recovered_at < kStoreRecoveryGrace;
   this->log.Write("targets", in_grace ? "missing" : "gone",
                   {{"target", id}, {"why", why}});
   if (in_grace && !target->Record().leaving) {
@@ -240,19 +242,19 @@
 }
 
 void FleetState::RemoveExpiredTargets() {
-  if (!this->returned_at.has_value()) return;
-  if (this->clock.Now() - *this->returned_at < kGraceAfterReturn) return;
-  this->returned_at.reset();
-  std::vector<std::string> gone;
+  if (!this->recovered_at.has_value()) return;
+  if (this->clock.Now() - *this->recovered_at < kStoreRecoveryGrace) return;
+  this->recovered_at.reset();
+  std::vector<std::string> expired;
   for (const auto& [id, target] : this->targets) {
-    if (target->missing_since.has_value()) gone.push_back(id);
+    if (target->missing_since.has_value()) expired.push_back(id);
   }
-  for (const std::string& id : gone) {
+  for (const std::string& id : expired) {
     this->log.Write("targets", "gone",
                     {{"target", id}, {"why", "not back in the store"}});
     this->RemoveTarget(id);
   }
-  if (!gone.empty()) this->changed.Notify();
+  if (!expired.empty()) this->changed.Notify();
 }
 
 absl::Span<const std::shared_ptr<TargetState>> FleetState::Targets(
@@ -272,7 +274,7 @@
   return found == this->targets.end() ? nullptr : found->second;
 }
 
-std::vector<InstanceCandidate> FleetState::Offers() const {
+std::vector<InstanceCandidate> FleetState::InstanceOffers() const {
   std::vector<InstanceCandidate> offers;
   for (const auto& [name, record] : this->instances) {
     offers.push_back({name, record.zone, record.capacity});
@@ -289,28 +291,29 @@
   return result;
 }
 
-const FleetState::Choice& FleetState::Chosen() const {
+const FleetState::Choice& FleetState::ChosenInstances() const {
   if (!this->choice.has_value()) {
-    this->choice = Choice{this->Records(ChooseInstances(this->Offers())),
-                          this->ChooseFollowers()};
+    this->choice =
+        Choice{this->Records(ChooseInstances(this->InstanceOffers())),
+               this->ChooseRelays()};
   }
   return *this->choice;
 }
 
-std::vector<const InstanceRecord*> FleetState::ChooseFollowers() const {
-  std::vector<const InstanceRecord*> followers;
-  const std::string holder =
-      this->duty.has_value() ? this->duty->instance.name : std::string();
-  const auto known = this->instances.find(holder);
-  if (known != this->instances.end()) followers.push_back(&known->second);
+std::vector<const InstanceRecord*> FleetState::ChooseRelays() const {
+  std::vector<const InstanceRecord*> relays;
+  const std::string leader_name =
+      this->leader.has_value() ? this->leader->instance.name : std::string();
+  const auto known = this->instances.find(leader_name);
+  if (known != this->instances.end()) relays.push_back(&known->second);
   const std::size_t others =
-      std::min(kMostFollowers, this->instances.size() / kInstancesPerFollower);
-  const std::size_t most = followers.size() + others;
+      std::min(kMaxExtraRelays, this->instances.size() / kInstancesPerRelay);
+  const std::size_t most = relays.size() + others;
   for (const InstanceRecord* record : this->InstancesByStrength(kLeaderKey)) {
-    if (followers.size() >= most) break;
-    if (record->name != holder) followers.push_back(record);
+    if (relays.size() >= most) break;
+    if (record->name != leader_name) relays.push_back(record);
   }
-  return followers;
+  return relays;
 }
 
 bool FleetState::IsRelayInstance(std::string_view instance) const {
@@ -323,7 +326,7 @@
 
 std::vector<const InstanceRecord*> FleetState::InstancesByStrength(
     std::string_view key) const {
-  return this->Records(OrderByCapacity(this->Offers(), key));
+  return this->Records(OrderByCapacity(this->InstanceOffers(), key));
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -1,5 +1,5 @@
-// The part of PlacementController that gives engines their orders, and asks
-// them what they hold when an order's outcome is not known.
+// The part of PlacementController that sends orders to engines and reads their
+// residency when the outcome of an order is unknown.
 #include <algorithm>
 #include <utility>
 
@@ -13,66 +13,68 @@
 
 namespace {
 
-// An engine answers an order in milliseconds.
+// An engine responds to an order within milliseconds.
 constexpr absl::Duration kOrderTimeout = absl::Milliseconds(400);
-// An order without an answer may be carried out late; the same one again with
-// the same expected count makes the late one void.
-constexpr int kOrderTries = 3;
-constexpr absl::Duration kOrderPause = absl::Milliseconds(50);
-// An adapter is there some ten milliseconds after the order was taken.
-constexpr absl::Duration kAdapterLoads = absl::Milliseconds(15);
-// Before a model is unloaded, instances are told to send nothing more for it;
-// the news is there within a message's time.
-constexpr absl::Duration kClosingNews = absl::Milliseconds(60);
-// Reports tell of some hundred milliseconds ago.
+// An order without a response may be executed late. A retry with the same
+// expected order count makes the late one void.
+constexpr int kOrderAttempts = 3;
+constexpr absl::Duration kOrderRetryDelay = absl::Milliseconds(50);
+// An adapter is resident some ten milliseconds after its order was accepted.
+constexpr absl::Duration kAdapterLoadTime = absl::Milliseconds(15);
+// Before a model is unloaded, instances are notified to send no more requests
+// for it. The notice takes one message to reach them.
+constexpr absl::Duration kUnloadNoticeDelay = absl::Milliseconds(60);
+// Engine reports show the state of some hundred milliseconds ago.
 constexpr absl::Duration kReportLag = absl::Milliseconds(600);
-// A load that is not seen to end by this many times its usual time is looked
-// into: loads slow down in proportion to how many run.
-constexpr int kLoadPatience = 4;
+// An engine is inspected when a load has not ended after this many times its
+// usual time: loads slow down in proportion to the number that run at once.
+constexpr int kLoadTimeoutFactor = 4;
 
-std::string PlaceOf(const ResidencyChange& change) {
+std::string ResidentKeyOf(const ResidencyChange& change) {
   return ResidentKey(change.model, change.adapter);
 }
 
 }  // namespace
 
-bool PlacementController::Book(const ServiceSpec& service,
-                               const ResidencyChange& change) {
+bool PlacementController::ScheduleOrder(const ServiceSpec& service,
+                                        const ResidencyChange& change) {
   const auto found = this->engines.find(change.target);
-  if (found == this->engines.end() || found->second->ordering) return false;
+  if (found == this->engines.end() || found->second->is_busy) return false;
   Engine& engine = *found->second;
-  engine.ordering = true;
-  const bool loads = change.kind == ResidencyChange::Kind::kLoad;
-  if (loads && change.adapter.empty()) {
+  engine.is_busy = true;
+  const bool is_load = change.kind == ResidencyChange::Kind::kLoad;
+  if (is_load && change.adapter.empty()) {
     engine.models[change.model];
     engine.loading = change.model;
     const auto& served = service.engine->models;
     const auto model = std::find_if(
         served.begin(), served.end(),
         [&](const ServedModel& item) { return item.name == change.model; });
-    engine.loading_until = this->clock.Now() + kLoadPatience * model->load_time;
+    engine.loading_deadline =
+        this->clock.Now() + kLoadTimeoutFactor * model->load_time;
     if (change.uses_store) this->LoadLimiterOf(service).RecordLoadStart();
-  } else if (loads) {
+  } else if (is_load) {
     engine.models[change.model].insert(change.adapter);
-    engine.unready.insert(PlaceOf(change));
+    engine.changing_adapters.insert(ResidentKeyOf(change));
   } else if (change.adapter.empty()) {
-    engine.closing.insert(change.model);
+    engine.unloading.insert(change.model);
   } else {
-    engine.unready.insert(PlaceOf(change));
+    engine.changing_adapters.insert(ResidentKeyOf(change));
   }
-  this->tasks.Spawn("carry out order", this->CarryOut(found->second, change));
+  this->tasks.Spawn("carry out order",
+                    this->ExecuteOrder(found->second, change));
   return true;
 }
 
-asio::awaitable<ExchangeOutcome> PlacementController::Call(
+asio::awaitable<ExchangeOutcome> PlacementController::CallEngine(
     TargetState& target, OutgoingHttpRequest call) {
   const std::string address = target.Record().address;
   std::string head = RequestHeadText(call, address);
   TargetExchange exchange(this->context, target.connections, this->wire,
                           this->clock);
-  const Instant give_up = this->clock.Now() + kOrderTimeout;
+  const Instant deadline = this->clock.Now() + kOrderTimeout;
   co_return co_await exchange.Run(address, "", std::move(head), call.body,
-                                  give_up);
+                                  deadline);
 }
 
 asio::awaitable<std::optional<OrderResponse>> PlacementController::SendOrder(
@@ -85,9 +87,10 @@
   order.adapter = change.adapter;
   order.orders_taken = engine.orders_taken;
   order.holder = this->settings.instance;
-  order.fence = this->duty.FencingToken();
+  order.fence = this->leader_lease.FencingToken();
   OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
-  const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
+  const ExchangeOutcome outcome =
+      co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("orders");
   if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
     co_return this->wire.decode_order_response(whole->head.status);
@@ -98,120 +101,126 @@
   co_return std::nullopt;
 }
 
-// However the order ends, the engine takes others after it.
-asio::awaitable<void> PlacementController::CarryOut(
+// Clears the engine's ordering state on every outcome, including exceptions, so
+// that the engine gets further orders.
+asio::awaitable<void> PlacementController::ExecuteOrder(
     std::shared_ptr<Engine> engine, ResidencyChange change) {
-  const std::exception_ptr fault =
-      co_await CatchException(this->GiveOrder(*engine, change));
-  if (fault) engine->inspect = true;
-  engine->unready.erase(PlaceOf(change));
-  engine->settled_at = this->clock.Now();
-  engine->ordering = false;
-  this->TellHoldings();
-  this->WantPlan();
-  if (fault) std::rethrow_exception(fault);
+  const std::exception_ptr exception =
+      co_await CatchException(this->DeliverOrder(*engine, change));
+  if (exception) engine->needs_inspection = true;
+  engine->changing_adapters.erase(ResidentKeyOf(change));
+  engine->last_order_ended_at = this->clock.Now();
+  engine->is_busy = false;
+  this->PublishHoldings();
+  this->RequestPlan();
+  if (exception) std::rethrow_exception(exception);
 }
 
-asio::awaitable<void> PlacementController::GiveOrder(
+asio::awaitable<void> PlacementController::DeliverOrder(
     Engine& engine, const ResidencyChange& change) {
   if (change.kind == ResidencyChange::Kind::kUnload) {
-    this->TellHoldings();
-    co_await Sleep(this->context, kClosingNews);
+    this->PublishHoldings();
+    co_await Sleep(this->context, kUnloadNoticeDelay);
   }
-  std::optional<OrderResponse> answer;
-  for (int attempt = 0; attempt < kOrderTries && !answer.has_value();
+  std::optional<OrderResponse> response;
+  for (int attempt = 0; attempt < kOrderAttempts && !response.has_value();
        ++attempt) {
-    // Checked as late as possible: whoever lost the duty must not send.
-    if (!this->duty.MayIssueOrders()) break;
-    answer = co_await this->SendOrder(engine, change);
-    if (!answer.has_value()) co_await Sleep(this->context, kOrderPause);
+    // Checked immediately before sending: an instance that is no longer leader
+    // must not send orders.
+    if (!this->leader_lease.MayIssueOrders()) break;
+    response = co_await this->SendOrder(engine, change);
+    if (!response.has_value()) co_await Sleep(this->context, kOrderRetryDelay);
   }
   this->log.Write(
       "placement", "order",
       {{"target", engine.id},
        {"load", change.kind == ResidencyChange::Kind::kLoad},
-       {"model", PlaceOf(change)},
+       {"model", ResidentKeyOf(change)},
        {"from_store", change.uses_store},
        {"expected", engine.orders_taken},
-       {"fence", this->duty.FencingToken()},
-       {"answer", answer.has_value() ? static_cast<int>(*answer) : -1}});
-  if (answer.has_value()) {
-    this->Settle(engine, change, *answer);
+       {"fence", this->leader_lease.FencingToken()},
+       {"answer", response.has_value() ? static_cast<int>(*response) : -1}});
+  if (response.has_value()) {
+    this->ApplyOrderResponse(engine, change, *response);
   } else {
-    engine.inspect = true;
+    engine.needs_inspection = true;
   }
-  const bool adapter_loads = answer == OrderResponse::kAccepted &&
-                             !change.adapter.empty() &&
-                             change.kind == ResidencyChange::Kind::kLoad;
-  if (adapter_loads) co_await Sleep(this->context, kAdapterLoads);
+  const bool adapter_load_accepted =
+      response == OrderResponse::kAccepted && !change.adapter.empty() &&
+      change.kind == ResidencyChange::Kind::kLoad;
+  if (adapter_load_accepted) co_await Sleep(this->context, kAdapterLoadTime);
 }
 
-void PlacementController::Settle(Engine& engine, const ResidencyChange& change,
-                                 OrderResponse answer) {
-  const bool loads = change.kind == ResidencyChange::Kind::kLoad;
-  const bool of_adapter = !change.adapter.empty();
-  switch (answer) {
+void PlacementController::ApplyOrderResponse(Engine& engine,
+                                             const ResidencyChange& change,
+                                             OrderResponse response) {
+  const bool is_load = change.kind == ResidencyChange::Kind::kLoad;
+  const bool is_adapter = !change.adapter.empty();
+  switch (response) {
     case OrderResponse::kAccepted:
       engine.orders_taken += 1;
       break;
     case OrderResponse::kAlreadyApplied:
-      // An adapter that nobody uses is dropped at once, which counts as an
-      // order taken.
-      if (of_adapter && !loads) engine.orders_taken += 1;
-      if (!of_adapter && loads) engine.loading.reset();
+      // An engine unloads an unused adapter immediately, which counts as an
+      // accepted order.
+      if (is_adapter && !is_load) engine.orders_taken += 1;
+      if (!is_adapter && is_load) engine.loading.reset();
       break;
     case OrderResponse::kWrongTarget:
     case OrderResponse::kConflict:
     case OrderResponse::kFenced:
     case OrderResponse::kInvalid:
-      engine.inspect = true;
+      engine.needs_inspection = true;
       return;
   }
-  if (!of_adapter || loads) return;
-  if (answer == OrderResponse::kAccepted) {
-    // Requests still use it, and its place is not free until they end.
-    engine.inspect = true;
+  if (!is_adapter || is_load) return;
+  if (response == OrderResponse::kAccepted) {
+    // Requests still use the adapter; its memory is released when they end.
+    engine.needs_inspection = true;
     return;
   }
   engine.models[change.model].erase(change.adapter);
 }
 
-asio::awaitable<void> PlacementController::Inspect(
+asio::awaitable<void> PlacementController::InspectEngine(
     std::shared_ptr<Engine> engine) {
-  const std::exception_ptr fault =
-      co_await CatchException(this->AskForReport(*engine));
-  engine->settled_at = this->clock.Now();
-  engine->ordering = false;
-  this->TellHoldings();
-  if (fault) std::rethrow_exception(fault);
+  const std::exception_ptr exception =
+      co_await CatchException(this->FetchEngineReport(*engine));
+  engine->last_order_ended_at = this->clock.Now();
+  engine->is_busy = false;
+  this->PublishHoldings();
+  if (exception) std::rethrow_exception(exception);
 }
 
-asio::awaitable<void> PlacementController::AskForReport(Engine& engine) {
-  // A report tells of a moment ago: asked too early, it would not yet show
+asio::awaitable<void> PlacementController::FetchEngineReport(Engine& engine) {
+  // Reports lag behind: one that is read too early does not show the effect of
   // the last order.
-  const absl::Duration since = this->clock.Now() - engine.settled_at;
+  const absl::Duration since = this->clock.Now() - engine.last_order_ended_at;
   if (since < kReportLag) co_await Sleep(this->context, kReportLag - since);
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
-  if (target == nullptr || !this->duty.MayIssueOrders()) co_return;
+  if (target == nullptr || !this->leader_lease.MayIssueOrders()) co_return;
   OutgoingHttpRequest call = this->wire.encode_report_call(engine.id);
-  const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
+  const ExchangeOutcome outcome =
+      co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("engine_reports");
   const auto* whole = std::get_if<WholeAnswer>(&outcome);
-  const bool known = whole != nullptr && this->TakeReport(engine, whole->body);
+  const bool is_known =
+      whole != nullptr && this->ApplyEngineReport(engine, whole->body);
   this->log.Write("placement", "inspected",
                   {{"target", engine.id},
                    {"orders_taken", engine.orders_taken},
-                   {"known", known}});
+                   {"known", is_known}});
 }
 
-bool PlacementController::TakeReport(Engine& engine, std::string_view body) {
+bool PlacementController::ApplyEngineReport(Engine& engine,
+                                            std::string_view body) {
   const Result<EngineReport> decoded = this->wire.decode_report(body);
   if (!decoded.Ok() || decoded.Value().busy) return false;
   const EngineReport& report = decoded.Value();
-  engine.inspect = false;
+  engine.needs_inspection = false;
   engine.orders_taken = report.orders_taken;
   engine.models.clear();
-  engine.closing.clear();
+  engine.unloading.clear();
   engine.loading.reset();
   for (const ResidentModel& model : report.models) {
     engine.models[model.name] =
--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -9,99 +9,104 @@
 
 namespace {
 
-// An answer takes a message each way, 1 to 3 ms in a region, and the holder's
-// turn. The second try covers a lost datagram.
-constexpr absl::Duration kAskTimeout = absl::Milliseconds(45);
-constexpr int kAskTries = 2;
-// A holder that did not answer is not asked for this long, so that requests
-// are not held for the timeout one by one while it is replaced.
-constexpr absl::Duration kSilence = absl::Milliseconds(400);
-// A refusal answers for requests of the same size for this long: a workspace
-// that floods would otherwise cost the holder a message each.
-constexpr absl::Duration kDenialHolds = absl::Milliseconds(150);
-// A new holder has the report of whoever is alive within this time: news of it
-// takes some hundred milliseconds, and the next report half a second more.
-constexpr absl::Duration kReportsComeIn = absl::Seconds(1);
-// While nobody sums up, callers that come back sooner meet the same shortage,
-// and most come back once. A holder is replaced within about a second.
-constexpr absl::Duration kHolderReturns = absl::Milliseconds(800);
+// A decision takes one message each way, 1 to 3 ms within a region, plus the
+// leader's processing time. The second attempt covers a lost datagram.
+constexpr absl::Duration kQueryTimeout = absl::Milliseconds(45);
+constexpr int kQueryAttempts = 2;
+// After a timeout the leader is not queried for this long. Otherwise each
+// request would wait for the timeout while the leader is replaced.
+constexpr absl::Duration kLeaderRetryDelay = absl::Milliseconds(400);
+// A denial is reused for requests of at least the same size for this long.
+// Otherwise each request of a workspace that floods would cost the leader a
+// message.
+constexpr absl::Duration kDenialCacheTime = absl::Milliseconds(150);
+// A new leader receives the reports of all running instances within this time:
+// they learn of it within some hundred milliseconds, and their next reports
+// follow within half a second.
+constexpr absl::Duration kReportsCollectionTime = absl::Seconds(1);
+// While the leader cannot be queried, callers that retry sooner are refused
+// again, and most retry only once. A leader is replaced within about a second.
+constexpr absl::Duration kMinRetryWithoutLeader = absl::Milliseconds(800);
 
 }  // namespace
 
 QuotaAdmission::QuotaAdmission(asio::io_context& context, FleetState& fleet,
-                               QuotaParticipants& owners, QuotaWindows& quotas,
-                               ReportAggregator& hub, const LeaderLease& duty,
+                               QuotaParticipants& participants,
+                               QuotaWindows& quotas,
+                               ReportAggregator& aggregator,
+                               const LeaderLease& leader_lease,
                                InstanceRecord self, absl::Duration window,
                                Metrics& metrics, EventLog& log, Clock clock,
                                TimeOfDay time_of_day)
     : context(context),
       fleet(fleet),
-      owners(owners),
+      participants(participants),
       quotas(quotas),
-      hub(hub),
-      duty(duty),
+      aggregator(aggregator),
+      leader_lease(leader_lease),
       self(std::move(self)),
       metrics(metrics),
       log(log),
       clock(clock),
       time_of_day(std::move(time_of_day)),
-      ledger(window, clock) {}
+      unreported_grants(window, clock) {}
 
-// All processes may have been killed a moment ago. By the record, this one need
-// not wait for a holder to spend what is known to be left.
-void QuotaAdmission::TakeOverSpending() {
-  const std::optional<SpendRecord>& before = this->fleet.InitialSpendRecord();
-  if (this->looked_before || !before.has_value()) return;
-  this->looked_before = true;
+// All processes may have been killed a moment ago. With the spend record, this
+// one can spend what is left of the quotas without waiting for a leader.
+void QuotaAdmission::ApplySpendRecord() {
+  const std::optional<SpendRecord>& record = this->fleet.InitialSpendRecord();
+  if (this->spend_record_checked || !record.has_value()) return;
+  this->spend_record_checked = true;
   const absl::Time now = this->time_of_day();
-  const bool recent = IsRecent(*before, now);
+  const bool recent = IsRecent(*record, now);
   if (recent) {
-    this->quotas.SetPriorSpending(SpendingByWorkspace(*before),
-                                  WasListed(*before, this->self.name));
+    this->quotas.SetPriorSpending(SpendingByWorkspace(*record),
+                                  WasInstanceListed(*record, this->self.name));
   }
   this->log.Write("quota", recent ? "spending read" : "record too old",
-                  {{"age_ms", now - before->written}});
+                  {{"age_ms", now - record->written}});
 }
 
 void QuotaAdmission::UpdateParticipants() {
-  this->TakeOverSpending();
+  this->ApplySpendRecord();
   std::vector<std::string_view> names;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
     names.push_back(record->name);
   }
-  this->owners.UpdateListed(names);
+  this->participants.UpdateListed(names);
   const int listed = static_cast<int>(names.size());
   this->quotas.SetParticipantCount(listed);
-  // An instance that sees nobody in the store, itself included, is at its
-  // start; the age of its process limits it then.
+  // An instance that sees no instance in the store, not even itself, has just
+  // started; its process's age limits it then.
   this->quotas.SetListed(listed == 0 || this->fleet.IsListed(this->self.name));
 }
 
-asio::awaitable<QuotaVerdict> QuotaAdmission::Take(std::string_view request_id,
-                                                   std::string workspace,
-                                                   QuotaLimit limit,
-                                                   double tokens) {
+asio::awaitable<QuotaVerdict> QuotaAdmission::AdmitRequest(
+    std::string_view request_id, std::string workspace, QuotaLimit limit,
+    double tokens) {
   this->UpdateParticipants();
   QuotaVerdict verdict =
       this->quotas.AdmitWithoutGrant(workspace, limit, tokens);
   if (verdict.admitted) co_return verdict;
   std::string_view by = "part";
-  const std::optional<QuotaVerdict> before =
-      this->DeniedBefore(workspace, tokens);
-  if (before.has_value()) {
-    verdict = *before;
+  const std::optional<QuotaVerdict> denial =
+      this->RecentDenial(workspace, tokens);
+  if (denial.has_value()) {
+    verdict = *denial;
     by = "holder before";
-  } else if (this->MayAsk()) {
-    const std::optional<QuotaVerdict> answer =
-        co_await this->Ask(workspace, tokens);
-    this->metrics.Count("quota_asks", !answer.has_value() ? "answer=\"none\""
-                                      : answer->admitted  ? "answer=\"granted\""
-                                                         : "answer=\"denied\"");
-    by = answer.has_value() ? "holder" : "part, holder silent";
-    verdict = answer.has_value() ? *answer
-                                 : this->TakeUnheard(workspace, limit, tokens);
+  } else if (this->MayQueryLeader()) {
+    const std::optional<QuotaVerdict> decision =
+        co_await this->QueryLeader(workspace, tokens);
+    this->metrics.Count("quota_asks", !decision.has_value() ? "answer=\"none\""
+                                      : decision->admitted
+                                          ? "answer=\"granted\""
+                                          : "answer=\"denied\"");
+    by = decision.has_value() ? "holder" : "part, holder silent";
+    verdict = decision.has_value()
+                  ? *decision
+                  : this->AdmitWithoutLeader(workspace, limit, tokens);
   } else {
-    verdict = this->TakeUnheard(workspace, limit, tokens);
+    verdict = this->AdmitWithoutLeader(workspace, limit, tokens);
   }
   this->log.Write("quota", verdict.admitted ? "granted" : "short",
                   {{"id", std::string(request_id)},
@@ -113,42 +118,43 @@
   co_return verdict;
 }
 
-QuotaVerdict QuotaAdmission::TakeUnheard(const std::string& workspace,
-                                         const QuotaLimit& limit,
-                                         double tokens) {
+QuotaVerdict QuotaAdmission::AdmitWithoutLeader(const std::string& workspace,
+                                                const QuotaLimit& limit,
+                                                double tokens) {
   QuotaVerdict verdict = this->quotas.AdmitFromShare(workspace, limit, tokens);
   if (!verdict.admitted) {
-    verdict.retry_after = std::max(verdict.retry_after, kHolderReturns);
+    verdict.retry_after = std::max(verdict.retry_after, kMinRetryWithoutLeader);
   }
   return verdict;
 }
 
-bool QuotaAdmission::MayAsk() const {
+bool QuotaAdmission::MayQueryLeader() const {
   if (!this->fleet.Leader().has_value()) return false;
-  return !this->silent_since.has_value() ||
-         this->clock.Now() - *this->silent_since > kSilence;
+  return !this->leader_unresponsive_since.has_value() ||
+         this->clock.Now() - *this->leader_unresponsive_since >
+             kLeaderRetryDelay;
 }
 
-std::optional<QuotaVerdict> QuotaAdmission::DeniedBefore(
+std::optional<QuotaVerdict> QuotaAdmission::RecentDenial(
     std::string_view workspace, double tokens) const {
   const auto found = this->denials.find(workspace);
   if (found == this->denials.end()) return std::nullopt;
-  const absl::Duration rest = found->second.until - this->clock.Now();
-  if (rest <= absl::ZeroDuration() || tokens < found->second.tokens) {
+  const absl::Duration remaining = found->second.until - this->clock.Now();
+  if (remaining <= absl::ZeroDuration() || tokens < found->second.tokens) {
     return std::nullopt;
   }
   QuotaVerdict verdict;
   verdict.admitted = false;
-  verdict.retry_after = rest;
+  verdict.retry_after = remaining;
   return verdict;
 }
 
-asio::awaitable<std::optional<QuotaVerdict>> QuotaAdmission::Ask(
+asio::awaitable<std::optional<QuotaVerdict>> QuotaAdmission::QueryLeader(
     std::string workspace, double tokens) {
   const std::int64_t number = ++this->last_number;
-  const std::string address = this->fleet.Leader()->instance.peers;
+  const std::string address = this->fleet.Leader()->instance.peer_address;
   if (this->fleet.Leader()->instance.incarnation == this->self.incarnation) {
-    if (!this->duty.IsLeader()) co_return std::nullopt;
+    if (!this->leader_lease.IsLeader()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
         this->Decide(this->self.incarnation, number, workspace, tokens);
     const bool granted = verdict.has_value() && verdict->admitted;
@@ -159,36 +165,38 @@
   wire::QuotaAsk ask;
   ask.number = number;
   ask.incarnation = this->self.incarnation;
-  ask.address = this->self.peers;
+  ask.address = this->self.peer_address;
   ask.workspace = workspace;
   ask.tokens = static_cast<std::int64_t>(tokens);
   message.__set_ask(std::move(ask));
-  Open& open = this->open.try_emplace(number, this->context).first->second;
-  for (int i = 0; i < kAskTries && !open.verdict.has_value(); ++i) {
+  PendingQuery& pending_query =
+      this->pending_queries.try_emplace(number, this->context).first->second;
+  for (int i = 0; i < kQueryAttempts && !pending_query.verdict.has_value();
+       ++i) {
     this->send(message, address);
-    co_await open.answered.Wait(kAskTimeout);
+    co_await pending_query.decided.Wait(kQueryTimeout);
   }
-  const std::optional<QuotaVerdict> verdict = open.verdict;
+  const std::optional<QuotaVerdict> verdict = pending_query.verdict;
   if (verdict.has_value() && verdict->admitted) {
     this->quotas.RecordGrant(workspace, tokens);
   }
-  // An answer that comes later finds nobody and is not spent.
-  this->open.erase(number);
+  // A grant that arrives later is ignored, and its tokens are not spent.
+  this->pending_queries.erase(number);
   if (!verdict.has_value()) {
-    this->silent_since = this->clock.Now();
+    this->leader_unresponsive_since = this->clock.Now();
     co_return std::nullopt;
   }
-  this->silent_since.reset();
+  this->leader_unresponsive_since.reset();
   if (!verdict->admitted) {
     const Instant until =
-        this->clock.Now() + std::min(kDenialHolds, verdict->retry_after);
+        this->clock.Now() + std::min(kDenialCacheTime, verdict->retry_after);
     this->denials[workspace] = {until, tokens};
   }
   co_return verdict;
 }
 
 void QuotaAdmission::ReceiveAsk(const wire::QuotaAsk& ask) {
-  if (!this->duty.IsLeader()) return;
+  if (!this->leader_lease.IsLeader()) return;
   const std::optional<QuotaVerdict> verdict =
       this->Decide(ask.incarnation, ask.number, ask.workspace,
                    static_cast<double>(ask.tokens));
@@ -204,16 +212,17 @@
   this->send(message, ask.address);
 }
 
-// A new holder that has heard one of eight instances would deny what is owed,
-// and callers that come back at once would be refused again.
-bool QuotaAdmission::HearsReports(const FleetSpending& spend) {
+// A new leader that has the reports of one of eight instances would deny tokens
+// that are available, and callers that retry at once would be refused again.
+bool QuotaAdmission::HasEnoughReports(const FleetSpending& spend) {
   const Instant now = this->clock.Now();
-  if (this->duty_fence != this->duty.FencingToken()) {
-    this->duty_fence = this->duty.FencingToken();
-    this->duty_since = now;
+  if (this->last_leader_token != this->leader_lease.FencingToken()) {
+    this->last_leader_token = this->leader_lease.FencingToken();
+    this->leader_since = now;
   }
   const auto listed = static_cast<int>(this->fleet.ListedInstances().size());
-  return spend.instances >= listed || now - this->duty_since > kReportsComeIn;
+  return spend.instances >= listed ||
+         now - this->leader_since > kReportsCollectionTime;
 }
 
 std::optional<QuotaVerdict> QuotaAdmission::Decide(const std::string& process,
@@ -222,19 +231,19 @@
                                                    double tokens) {
   QuotaVerdict verdict;
   verdict.admitted = false;
-  verdict.retry_after = kSilence;
+  verdict.retry_after = kLeaderRetryDelay;
   const auto config = this->fleet.Config();
   if (config == nullptr) return verdict;
   const auto known = config->workspaces.find(workspace);
-  // The asking instance follows a version that is not known here yet.
+  // The asking instance has a newer configuration than this one.
   if (known == config->workspaces.end()) return verdict;
   this->UpdateParticipants();
-  FleetSpending spend = this->hub.SpendingOf(workspace);
-  if (!this->HearsReports(spend)) return std::nullopt;
-  spend.total += this->ledger.UnreportedTokens(workspace);
+  FleetSpending spend = this->aggregator.SpendingOf(workspace);
+  if (!this->HasEnoughReports(spend)) return std::nullopt;
+  spend.total += this->unreported_grants.UnreportedTokens(workspace);
   verdict = this->quotas.DecideGrant(known->second.quota, tokens, spend);
   if (verdict.admitted) {
-    this->ledger.Add(process, number, workspace, tokens);
+    this->unreported_grants.Add(process, number, workspace, tokens);
     return verdict;
   }
   this->log.Write("quota", "denied",
@@ -250,27 +259,30 @@
 }
 
 void QuotaAdmission::ReceiveGrant(const wire::QuotaGrant& grant) {
-  const auto& holder = this->fleet.Leader();
-  // What a holder grants that was replaced is in nobody's sums.
-  if (!holder.has_value() || holder->instance.incarnation != grant.holder) {
+  const auto& leader = this->fleet.Leader();
+  // The new leader does not count what a replaced leader grants.
+  if (!leader.has_value() || leader->instance.incarnation != grant.holder) {
     return;
   }
-  const auto found = this->open.find(grant.number);
-  if (found == this->open.end()) return;
+  const auto found = this->pending_queries.find(grant.number);
+  if (found == this->pending_queries.end()) return;
   QuotaVerdict verdict;
   verdict.admitted = grant.granted;
   verdict.retry_after = absl::Milliseconds(grant.retry_after_ms);
   verdict.left = static_cast<double>(grant.left);
   found->second.verdict = verdict;
-  found->second.answered.Notify();
+  found->second.decided.Notify();
 }
 
-void QuotaAdmission::Reported(const wire::InstanceReport& report) {
-  this->ledger.MarkReported(report.incarnation, report.grants_through);
+void QuotaAdmission::RemoveReportedGrants(const wire::InstanceReport& report) {
+  this->unreported_grants.MarkReported(report.incarnation,
+                                       report.grants_through);
 }
 
 std::int64_t QuotaAdmission::SettledThrough() const {
-  return this->open.empty() ? this->last_number : this->open.begin()->first - 1;
+  return this->pending_queries.empty()
+             ? this->last_number
+             : this->pending_queries.begin()->first - 1;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -11,21 +11,21 @@
 
 namespace {
 
-// An answer takes milliseconds; a call that fails is made again well within
+// The store responds within milliseconds. A failed call is retried well within
 // the lease.
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(400);
 constexpr absl::Duration kRetryPause = absl::Milliseconds(200);
-// Renewals in one lease: three may fail before it ends.
-constexpr int kRenewalsInLease = 4;
-// Of the whole store, by a fleet whose processes all start at once.
-constexpr absl::Duration kListingTakes = absl::Seconds(3);
-constexpr absl::Duration kListingLook = absl::Milliseconds(20);
-// Between looks at whether the duty is vacant.
-constexpr absl::Duration kDutyLook = absl::Milliseconds(250);
-// How much later each further candidate tries: one store call more than the
-// first one needs, so that normally only one writes.
-constexpr absl::Duration kTurn = absl::Milliseconds(100);
-constexpr int kMostTurns = 10;
+// Three renewals may fail before the lease ends.
+constexpr int kRenewalsPerLease = 4;
+// Covers a listing of the whole store while all processes of the fleet start.
+constexpr absl::Duration kListingTimeout = absl::Seconds(3);
+constexpr absl::Duration kListingPollInterval = absl::Milliseconds(20);
+// Interval at which this instance checks whether there is a leader.
+constexpr absl::Duration kLeaderCheckInterval = absl::Milliseconds(250);
+// How much later than the one before it each further candidate tries: longer
+// than a store call takes, so that normally only the first one writes.
+constexpr absl::Duration kCandidacyStep = absl::Milliseconds(100);
+constexpr int kMaxCandidacySteps = 10;
 
 }  // namespace
 
@@ -36,25 +36,26 @@
 }
 
 Registration::Registration(asio::io_context& context, StoreClient& store,
-                           FleetState& fleet, LeaderLease& duty,
+                           FleetState& fleet, LeaderLease& leader_lease,
                            InstanceRecord self, LeaseDurations lease_durations,
                            EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
-      duty(duty),
+      leader_lease(leader_lease),
       self(std::move(self)),
       lease_durations(lease_durations),
       log(log),
       clock(std::move(clock)) {}
 
-// Whether callers are sent here shows in the listing. Without it, each instance
-// of a large fleet would ask for a short lease, and for a long one at once.
+// The listing shows whether callers are sent to this instance. Without it, each
+// instance of a large fleet would request a short lease first and a long one
+// immediately after that.
 asio::awaitable<void> Registration::WaitForListing() {
-  const Instant begun = this->clock.Now();
-  while (!this->fleet.WasListed() && !this->leaving &&
-         this->clock.Now() - begun < kListingTakes) {
-    co_await Sleep(this->context, kListingLook);
+  const Instant started_at = this->clock.Now();
+  while (!this->fleet.HasListing() && !this->leaving &&
+         this->clock.Now() - started_at < kListingTimeout) {
+    co_await Sleep(this->context, kListingPollInterval);
   }
 }
 
@@ -63,47 +64,49 @@
   Instant next_renewal = this->clock.Now();
   while (!this->leaving) {
     const Instant now = this->clock.Now();
-    if (this->lease == 0 || this->WantsAnotherLease()) {
-      co_await this->Grant();
-      next_renewal = now + this->granted / kRenewalsInLease;
-    } else if (!this->entered) {
-      co_await this->Enter();
+    if (this->lease == 0 || this->NeedsDifferentTtl()) {
+      co_await this->RequestLease();
+      next_renewal = now + this->granted_ttl / kRenewalsPerLease;
+    } else if (!this->is_registered) {
+      co_await this->WriteEntry();
     } else if (now >= next_renewal) {
-      next_renewal = now + this->granted / kRenewalsInLease;
+      next_renewal = now + this->granted_ttl / kRenewalsPerLease;
       co_await this->Renew();
     }
-    if (this->entered && !this->leaving) co_await this->TakeDuty();
-    co_await Sleep(this->context, this->entered ? kDutyLook : kRetryPause);
+    if (this->is_registered && !this->leaving) co_await this->TryBecomeLeader();
+    co_await Sleep(this->context,
+                   this->is_registered ? kLeaderCheckInterval : kRetryPause);
   }
 }
 
-asio::awaitable<void> Registration::Grant() {
+asio::awaitable<void> Registration::RequestLease() {
   const ClockReadings sent = ReadClocks();
-  const absl::Duration wanted = this->WantedLease();
+  const absl::Duration wanted = this->WantedTtl();
   StoreCall call = StoreLeaseGrant{wanted};
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   const auto* lease = std::get_if<StoreLease>(&reply);
   if (lease == nullptr) co_return;
   this->lease = lease->lease;
-  this->granted = lease->ttl;
-  this->asked_for = wanted;
-  this->renewed = sent;
-  // The entry moves to the new lease; the end of the one before, if there is
-  // one, then removes nothing.
-  co_await this->Enter();
+  this->granted_ttl = lease->ttl;
+  this->requested_ttl = wanted;
+  this->renewed_at = sent;
+  // Attaches the entry to the new lease, so that the end of the previous lease
+  // does not remove it.
+  co_await this->WriteEntry();
 }
 
-asio::awaitable<void> Registration::Enter() {
+asio::awaitable<void> Registration::WriteEntry() {
   StoreTransaction transaction;
   transaction.puts.push_back({FleetState::InstanceKey(this->self.name),
                               EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreLeaseNotFound>(reply)) this->LeaseEnded();
-  this->entered = std::holds_alternative<StoreCommitted>(reply);
-  if (this->entered) {
+  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+    this->HandleLeaseLoss();
+  this->is_registered = std::holds_alternative<StoreCommitted>(reply);
+  if (this->is_registered) {
     this->log.Write("registration", "entered", {{"lease", this->lease}});
   }
 }
@@ -114,127 +117,138 @@
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   if (std::holds_alternative<StoreLeaseNotFound>(reply)) {
-    this->LeaseEnded();
+    this->HandleLeaseLoss();
     co_return;
   }
   const auto* lease = std::get_if<StoreLease>(&reply);
   if (lease == nullptr) co_return;
-  this->granted = lease->ttl;
-  this->renewed = sent;
-  if (this->duty.IsLeader()) this->duty.OnLeaseRenewed(sent, lease->ttl);
+  this->granted_ttl = lease->ttl;
+  this->renewed_at = sent;
+  if (this->leader_lease.IsLeader())
+    this->leader_lease.OnLeaseRenewed(sent, lease->ttl);
 }
 
-void Registration::LeaseEnded() {
+void Registration::HandleLeaseLoss() {
   this->log.Write(
       "registration", "lease ended",
-      {{"lease", this->lease}, {"held_duty", this->duty.IsLeader()}});
+      {{"lease", this->lease}, {"held_duty", this->leader_lease.IsLeader()}});
   this->lease = 0;
-  this->entered = false;
-  this->duty.OnLeaseLost();
+  this->is_registered = false;
+  this->leader_lease.OnLeaseLost();
 }
 
-bool Registration::DutyIsMine() const {
-  const auto& holder = this->fleet.Leader();
-  return holder.has_value() && holder->lease == this->lease &&
-         holder->instance.incarnation == this->self.incarnation;
+bool Registration::HoldsLeaderEntry() const {
+  const auto& leader = this->fleet.Leader();
+  return leader.has_value() && leader->lease == this->lease &&
+         leader->instance.incarnation == this->self.incarnation;
 }
 
-// What the store shows goes before what this instance knows of its lease: a
-// later change of the duty means that somebody else may hold it.
-void Registration::CheckDuty() {
-  if (!this->duty.IsLeader() || this->DutyIsMine()) return;
-  if (this->fleet.LeaderRevision() <= this->duty.FencingToken()) return;
+// The store's state takes precedence over this instance's own view of its
+// lease: a later change of the leader's entry means that another instance may
+// be leader.
+void Registration::CheckLeadership() {
+  if (!this->leader_lease.IsLeader() || this->HoldsLeaderEntry()) return;
+  if (this->fleet.LeaderRevision() <= this->leader_lease.FencingToken()) return;
   this->log.Write("duty", "lost to another",
-                  {{"fence", this->duty.FencingToken()},
+                  {{"fence", this->leader_lease.FencingToken()},
                    {"revision", this->fleet.LeaderRevision()}});
-  this->duty.OnLeaseLost();
+  this->leader_lease.OnLeaseLost();
 }
 
-absl::Duration Registration::WantedLease() const {
+absl::Duration Registration::WantedTtl() const {
   return this->fleet.IsListed(this->self.name) ? this->lease_durations.listed
                                                : this->lease_durations.unlisted;
 }
 
-// The lease that the duty stands under must not change: orders carry it.
-bool Registration::WantsAnotherLease() const {
-  if (!this->entered || this->DutyIsMine()) return false;
+// The lease of the leader's entry must not change while this instance is
+// leader: orders carry the fencing token that belongs to it.
+bool Registration::NeedsDifferentTtl() const {
+  if (!this->is_registered || this->HoldsLeaderEntry()) return false;
   if (this->fleet.Instances().count(this->self.name) == 0) return false;
-  return this->WantedLease() != this->asked_for;
+  return this->WantedTtl() != this->requested_ttl;
 }
 
-absl::Duration Registration::TurnToTake() const {
-  // The holder sends summaries to all instances, so strong ones go first.
+absl::Duration Registration::CandidacyDelay() const {
+  // The leader sends summaries to all instances, so the candidates of highest
+  // capacity go first.
   const auto order = this->fleet.InstancesByStrength(FleetState::kLeaderKey);
-  const auto place = std::find_if(
+  const auto position = std::find_if(
       order.begin(), order.end(),
       [&](const auto* record) { return record->name == this->self.name; });
-  const int turn = static_cast<int>(place - order.begin());
-  return std::min(turn, kMostTurns) * kTurn;
+  const int steps = static_cast<int>(position - order.begin());
+  return std::min(steps, kMaxCandidacySteps) * kCandidacyStep;
 }
 
-asio::awaitable<void> Registration::TakeDuty() {
-  this->CheckDuty();
+asio::awaitable<void> Registration::TryBecomeLeader() {
+  this->CheckLeadership();
   const Instant now = this->clock.Now();
   if (this->fleet.Leader().has_value()) {
-    this->vacant_since.reset();
-    // The answer to the taking write was lost, and the store shows it. An
-    // entry under an earlier lease is about to vanish: going on from it, this
-    // instance would give orders with an old fence beside the next holder.
-    if (this->DutyIsMine() && !this->duty.IsLeader()) {
-      this->duty.OnLeaseAcquired(this->fleet.Leader()->revision, this->renewed,
-                                 this->granted);
+    this->leaderless_since.reset();
+    // The response to the write was lost, but the store shows that it
+    // succeeded. An entry under an earlier lease of this instance does not
+    // count, since it is about to expire: this instance would give orders with
+    // an old fencing token while the next leader gives orders, too.
+    if (this->HoldsLeaderEntry() && !this->leader_lease.IsLeader()) {
+      this->leader_lease.OnLeaseAcquired(this->fleet.Leader()->revision,
+                                         this->renewed_at, this->granted_ttl);
     }
     co_return;
   }
   if (this->fleet.Config() == nullptr) co_return;
-  if (this->duty.IsLeader()) co_return;
-  // The duty stands under this instance's lease, and a long one would keep it
-  // from others for as long after this one's end.
-  if (this->asked_for != this->lease_durations.listed) co_return;
-  if (!this->vacant_since.has_value()) this->vacant_since = now;
-  if (now - *this->vacant_since < this->TurnToTake()) co_return;
+  if (this->leader_lease.IsLeader()) co_return;
+  // The leader's entry is attached to this instance's lease. Under a long
+  // lease, it would keep others from becoming leader for that long after this
+  // process ended.
+  if (this->requested_ttl != this->lease_durations.listed) co_return;
+  if (!this->leaderless_since.has_value()) this->leaderless_since = now;
+  if (now - *this->leaderless_since < this->CandidacyDelay()) co_return;
   StoreTransaction transaction;
   const std::string key(FleetState::kLeaderKey);
-  transaction.expected.push_back({key, 0});
+  transaction.preconditions.push_back({key, 0});
   transaction.puts.push_back(
       {key, EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreLeaseNotFound>(reply)) this->LeaseEnded();
+  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+    this->HandleLeaseLoss();
   const auto* committed = std::get_if<StoreCommitted>(&reply);
   if (committed == nullptr) co_return;
-  this->duty.OnLeaseAcquired(committed->revision, this->renewed, this->granted);
+  this->leader_lease.OnLeaseAcquired(committed->revision, this->renewed_at,
+                                     this->granted_ttl);
   this->log.Write("duty", "taken", {{"fence", committed->revision}});
 }
 
 asio::awaitable<void> Registration::Leave() {
   this->leaving = true;
-  const bool held = this->duty.IsLeader();
-  this->duty.OnLeaseLost();
+  const bool held = this->leader_lease.IsLeader();
+  this->leader_lease.OnLeaseLost();
   StoreTransaction transaction;
   transaction.deletes.push_back(FleetState::InstanceKey(this->self.name));
   if (held) {
-    // Its own watch may not show the duty yet, right after it was taken.
+    // The fleet state is not used here: right after the entry was written, this
+    // instance's own watch may not have returned it yet.
     const std::string key(FleetState::kLeaderKey);
-    transaction.expected.push_back({key, this->duty.FencingToken()});
+    transaction.preconditions.push_back(
+        {key, this->leader_lease.FencingToken()});
     transaction.deletes.push_back(key);
   }
-  // While the store is away, leases may stand still, and the duty would stay
-  // with a process that has ended for as long as its lease runs after that.
-  // Nobody would place models meanwhile.
-  bool known = false;
-  while (!known) {
+  // Retries until the outcome is known. If leases do not expire while the store
+  // is unavailable, the leader's entry would stay with a terminated process
+  // until its lease runs out afterwards, and no instance would place models in
+  // the meantime.
+  bool is_confirmed = false;
+  while (!is_confirmed) {
     StoreCall call = transaction;
     const StoreResponse reply =
         co_await this->store.Call(std::move(call), kCallTimeout);
-    known = std::holds_alternative<StoreCommitted>(reply);
+    is_confirmed = std::holds_alternative<StoreCommitted>(reply);
     if (std::holds_alternative<StoreConflict>(reply)) {
-      // Somebody else holds the duty; only the own entry is taken back.
-      transaction.expected.clear();
+      // Another instance is leader; only this instance's own entry is removed.
+      transaction.preconditions.clear();
       transaction.deletes.resize(1);
     }
-    if (!known) co_await Sleep(this->context, kRetryPause);
+    if (!is_confirmed) co_await Sleep(this->context, kRetryPause);
   }
   this->log.Write("registration", "left", {{"held_duty", held}});
 }
--- a/dragonflyglade/gateway/report_aggregator.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -9,59 +9,66 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// A report is missed when the next one is this late: with reports each 200 ms,
-// three in a row are not lost by chance. Until an instance is missed, others
-// spend quota that it may be spending, too.
-constexpr absl::Duration kReportLate = absl::Milliseconds(500);
-// Demand is averaged over this time: long enough that single large requests
-// do not move models, short against the seconds that a load takes.
-constexpr absl::Duration kDemandMemory = absl::Seconds(3);
-// Reports of one moment are answered from the same sums.
-constexpr absl::Duration kSumsHold = absl::Milliseconds(10);
-// Below a second of reports, single requests would look like demand.
-constexpr double kLeastSeen = 0.3;
-constexpr double kNothing = 1e-3;  // milliseconds of work
+// A report is overdue when it is this late: with a report every 200 ms, three
+// in a row are not lost by chance. Until an instance counts as missing, others
+// may spend quota that it is spending, too.
+constexpr absl::Duration kReportGrace = absl::Milliseconds(500);
+// Time constant of the demand's average: long enough that a single large
+// request does not move models, and short compared with the seconds that a load
+// takes.
+constexpr absl::Duration kDemandTimeConstant = absl::Seconds(3);
+// Summaries within this time are computed from the same sums.
+constexpr absl::Duration kSumsMaxAge = absl::Milliseconds(10);
+// Lower bound on the observed part of the time constant, about a second of
+// reports: below it, single requests would look like steady demand.
+constexpr double kMinObservedFraction = 0.3;
+constexpr double kNegligibleWorkMs = 1e-3;
 
 }  // namespace
 
-ReportAggregator::ReportAggregator(const QuotaParticipants& owners,
+ReportAggregator::ReportAggregator(const QuotaParticipants& participants,
                                    absl::Duration spend_window, Clock clock)
-    : owners(owners), spend_window(spend_window), clock(std::move(clock)) {}
+    : participants(participants),
+      spend_window(spend_window),
+      clock(std::move(clock)) {}
 
-void ReportAggregator::Decay(Average& average) const {
+void ReportAggregator::Decay(DemandAverage& average) const {
   const Instant now = this->clock.Now();
-  const double age = absl::FDivDuration(now - average.at, kDemandMemory);
-  average.sum_ms *= std::exp(-age);
-  average.at = now;
+  const double age =
+      absl::FDivDuration(now - average.updated_at, kDemandTimeConstant);
+  average.weighted_work_ms *= std::exp(-age);
+  average.updated_at = now;
 }
 
-void ReportAggregator::Take(const wire::InstanceReport& report) {
-  Entry& entry = this->entries[report.incarnation];
+void ReportAggregator::AddReport(const wire::InstanceReport& report) {
+  ProcessReport& entry = this->entries[report.incarnation];
   if (report.sequence <= entry.report.sequence) return;
   entry.report = report;
-  entry.at = this->clock.Now();
-  entry.taken_over = false;
+  entry.received_at = this->clock.Now();
+  entry.from_record = false;
   const bool first = !report.wishes.empty() && !this->demand_since.has_value();
-  if (first) this->demand_since = entry.at;
-  for (const wire::ModelWish& wish : report.wishes) {
-    const ModelName name{wish.service_name, wish.model, wish.adapter};
+  if (first) this->demand_since = entry.received_at;
+  for (const wire::ModelWish& model_demand : report.wishes) {
+    const ModelName name{model_demand.service_name, model_demand.model,
+                         model_demand.adapter};
     const auto found =
-        this->demand.try_emplace(name, Average{0, entry.at}).first;
+        this->demand.try_emplace(name, DemandAverage{0, entry.received_at})
+            .first;
     this->Decay(found->second);
-    found->second.sum_ms += wish.work_ms;
+    found->second.weighted_work_ms += model_demand.work_ms;
   }
 }
 
-bool ReportAggregator::IsHeard(const Entry& entry) const {
-  if (entry.taken_over) return false;
+bool ReportAggregator::IsCurrent(const ProcessReport& entry) const {
+  if (entry.from_record) return false;
   const absl::Duration interval = absl::Milliseconds(entry.report.interval_ms);
-  return this->clock.Now() - entry.at <= interval + kReportLate;
+  return this->clock.Now() - entry.received_at <= interval + kReportGrace;
 }
 
-void ReportAggregator::DropOld() {
+void ReportAggregator::RemoveExpired() {
   const Instant now = this->clock.Now();
   for (auto entry = this->entries.begin(); entry != this->entries.end();) {
-    if (now - entry->second.at > this->spend_window) {
+    if (now - entry->second.received_at > this->spend_window) {
       entry = this->entries.erase(entry);
     } else {
       ++entry;
@@ -72,7 +79,7 @@
 double ReportAggregator::UnknownShares() const {
   double shares = 0;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!entry.report.listed || !this->IsHeard(entry)) continue;
+    if (!entry.report.listed || !this->IsCurrent(entry)) continue;
     if (this->IsSuccessor(incarnation, entry)) continue;
     shares +=
         1 - SpendableFractionAfterRestart(
@@ -82,16 +89,16 @@
 }
 
 double ReportAggregator::MissingPart() const {
-  std::set<std::string_view> heard;
+  std::set<std::string_view> reporting;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (this->IsHeard(entry)) heard.insert(entry.report.instance);
+    if (this->IsCurrent(entry)) reporting.insert(entry.report.instance);
   }
-  return this->owners.UnreportedFraction(heard);
+  return this->participants.UnreportedFraction(reporting);
 }
 
-// Whether what the process before it spent is known from its reports.
+// Whether the spending of the instance's previous process is known.
 bool ReportAggregator::IsSuccessor(std::string_view incarnation,
-                                   const Entry& entry) const {
+                                   const ProcessReport& entry) const {
   return std::any_of(
       this->entries.begin(), this->entries.end(), [&](const auto& other) {
         return other.first != incarnation &&
@@ -99,23 +106,25 @@
       });
 }
 
-// Summed up once for many summaries: each instance's summary is the whole less
-// its own part, so the work grows with the instances and not with their square.
-void ReportAggregator::SumUp() {
+// Sums are shared by many summaries: an instance's summary is the total less
+// its own part, so that the work grows with the number of instances and not
+// with its square.
+void ReportAggregator::UpdateSums() {
   const Instant now = this->clock.Now();
-  if (this->sums_at.has_value() && now - *this->sums_at < kSumsHold) return;
+  if (this->sums_at.has_value() && now - *this->sums_at < kSumsMaxAge) return;
   this->sums_at = now;
-  this->DropOld();
+  this->RemoveExpired();
   this->sums = Sums();
   this->sums.unknown_shares = this->UnknownShares();
   this->sums.missing_part = this->MissingPart();
   for (const auto& [incarnation, entry] : this->entries) {
     for (const wire::WorkspaceSpend& spend : entry.report.spends) {
-      this->sums.spends[spend.workspace] += this->Counted(entry, spend.tokens);
+      this->sums.spends[spend.workspace] +=
+          this->CountedTokens(entry, spend.tokens);
     }
-    if (!this->IsHeard(entry)) continue;
+    if (!this->IsCurrent(entry)) continue;
     if (entry.report.listed) this->sums.instances += 1;
-    this->sums.answers[incarnation] = entry.report.sequence;
+    this->sums.counted_reports[incarnation] = entry.report.sequence;
     for (const wire::TargetUse& use : entry.report.targets) {
       wire::TargetUse& sum = this->sums.uses[use.target];
       sum.requests += use.requests;
@@ -124,40 +133,43 @@
   }
 }
 
-// What was taken over leaves the window at an unknown pace.
-std::int64_t ReportAggregator::Counted(const Entry& entry,
-                                       std::int64_t tokens) const {
-  if (!entry.taken_over) return tokens;
+// It is not known when recorded tokens were spent, and so not when they leave
+// the window; they are discounted gradually.
+std::int64_t ReportAggregator::CountedTokens(const ProcessReport& entry,
+                                             std::int64_t tokens) const {
+  if (!entry.from_record) return tokens;
   const double part = CountedFractionOfPriorSpending(
-      this->clock.Now() - entry.at, this->spend_window);
+      this->clock.Now() - entry.received_at, this->spend_window);
   return static_cast<std::int64_t>(part * static_cast<double>(tokens));
 }
 
 std::vector<ProcessSpend> ReportAggregator::SpendingByProcess() {
-  this->DropOld();
+  this->RemoveExpired();
   std::vector<ProcessSpend> all;
   for (const auto& [incarnation, entry] : this->entries) {
-    // Most instances of a large fleet stand by.
+    // Most instances of a large fleet are on standby and have nothing to
+    // record.
     if (entry.report.spends.empty() && !entry.report.listed) continue;
     ProcessSpend process;
     process.instance = entry.report.instance;
     process.incarnation = incarnation;
     process.listed = entry.report.listed;
     for (const wire::WorkspaceSpend& spend : entry.report.spends) {
-      process.tokens[spend.workspace] = this->Counted(entry, spend.tokens);
+      process.tokens[spend.workspace] =
+          this->CountedTokens(entry, spend.tokens);
     }
     all.push_back(std::move(process));
   }
   return all;
 }
 
-void ReportAggregator::TakeOver(const SpendRecord& record) {
+void ReportAggregator::MergeSpendRecord(const SpendRecord& record) {
   for (const ProcessSpend& process : record.processes) {
-    Entry entry;
+    ProcessReport entry;
     entry.report.instance = process.instance;
     entry.report.incarnation = process.incarnation;
-    entry.at = this->clock.Now();
-    entry.taken_over = true;
+    entry.received_at = this->clock.Now();
+    entry.from_record = true;
     for (const auto& [workspace, tokens] : process.tokens) {
       wire::WorkspaceSpend spend;
       spend.workspace = workspace;
@@ -165,14 +177,14 @@
                                                static_cast<double>(tokens));
       entry.report.spends.push_back(std::move(spend));
     }
-    // What the process itself reported is newer.
+    // A report of the process itself is newer than the record.
     this->entries.try_emplace(process.incarnation, std::move(entry));
   }
   this->sums_at.reset();
 }
 
 FleetSpending ReportAggregator::SpendingOf(const std::string& workspace) {
-  this->SumUp();
+  this->UpdateSums();
   FleetSpending spend;
   const auto tokens = this->sums.spends.find(workspace);
   if (tokens != this->sums.spends.end()) {
@@ -186,24 +198,25 @@
 
 wire::FleetSummary ReportAggregator::SummaryFor(
     const wire::InstanceReport& report) {
-  this->SumUp();
+  this->UpdateSums();
   wire::FleetSummary summary;
   summary.instances = this->sums.instances;
   summary.unknown_shares = this->sums.unknown_shares;
   summary.missing_part = this->sums.missing_part;
-  // The sums may be older than the last report: what counts is the part of
-  // this instance that is in them.
-  const auto counted = this->sums.answers.find(report.incarnation);
-  if (counted != this->sums.answers.end()) summary.answers = counted->second;
+  // The sums may be older than the instance's last report; the summary names
+  // the report that they contain.
+  const auto counted = this->sums.counted_reports.find(report.incarnation);
+  if (counted != this->sums.counted_reports.end())
+    summary.answers = counted->second;
   std::map<std::string_view, const wire::TargetUse*> own;
   for (const wire::TargetUse& use : report.targets) own[use.target] = &use;
-  for (const auto& [target, sum] : this->sums.uses) {
-    wire::TargetUse others = sum;
+  for (const auto& [target, total] : this->sums.uses) {
+    wire::TargetUse others = total;
     const auto mine = own.find(target);
     if (mine != own.end()) {
-      others.requests = std::max(0, sum.requests - mine->second->requests);
+      others.requests = std::max(0, total.requests - mine->second->requests);
       others.unread_tokens = std::max<std::int64_t>(
-          0, sum.unread_tokens - mine->second->unread_tokens);
+          0, total.unread_tokens - mine->second->unread_tokens);
     }
     if (others.requests == 0 && others.unread_tokens == 0) continue;
     others.target = target;
@@ -219,29 +232,33 @@
 }
 
 std::map<ModelName, FleetDemand> ReportAggregator::Demand() {
-  this->DropOld();
+  this->RemoveExpired();
   std::map<ModelName, FleetDemand> result;
-  // The average of a new holder begins at nothing; without this, models in
-  // demand look idle in its first seconds and lose their copies.
+  // A new leader's average starts at zero. Without dividing by the observed
+  // part of the time constant, models in demand look idle in the leader's first
+  // seconds and lose their copies.
   const Instant since = this->demand_since.value_or(this->clock.Now());
   const double age =
-      absl::FDivDuration(this->clock.Now() - since, kDemandMemory);
-  const double seen = std::max(kLeastSeen, 1 - std::exp(-age));
-  const double memory_ms = seen * absl::ToDoubleMilliseconds(kDemandMemory);
+      absl::FDivDuration(this->clock.Now() - since, kDemandTimeConstant);
+  const double observed_fraction =
+      std::max(kMinObservedFraction, 1 - std::exp(-age));
+  const double memory_ms =
+      observed_fraction * absl::ToDoubleMilliseconds(kDemandTimeConstant);
   for (auto item = this->demand.begin(); item != this->demand.end();) {
     this->Decay(item->second);
-    if (item->second.sum_ms < kNothing) {
+    if (item->second.weighted_work_ms < kNegligibleWorkMs) {
       item = this->demand.erase(item);
       continue;
     }
-    result[item->first].load = item->second.sum_ms / memory_ms;
+    result[item->first].load = item->second.weighted_work_ms / memory_ms;
     ++item;
   }
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!this->IsHeard(entry)) continue;
-    for (const wire::ModelWish& wish : entry.report.wishes) {
-      result[{wish.service_name, wish.model, wish.adapter}].waiting +=
-          wish.waiting;
+    if (!this->IsCurrent(entry)) continue;
+    for (const wire::ModelWish& model_demand : entry.report.wishes) {
+      result[{model_demand.service_name, model_demand.model,
+              model_demand.adapter}]
+          .waiting += model_demand.waiting;
     }
   }
   return result;
@@ -251,7 +268,7 @@
     const {
   std::map<std::string, std::set<std::string>> in_use;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (!this->IsHeard(entry)) continue;
+    if (!this->IsCurrent(entry)) continue;
     for (const wire::TargetUse& use : entry.report.targets) {
       in_use[use.target].insert(use.residents.begin(), use.residents.end());
     }
@@ -260,10 +277,10 @@
 }
 
 std::vector<wire::InstanceReport> ReportAggregator::RecentReports() {
-  this->DropOld();
+  this->RemoveExpired();
   std::vector<wire::InstanceReport> reporters;
   for (const auto& [incarnation, entry] : this->entries) {
-    if (this->IsHeard(entry)) reporters.push_back(entry.report);
+    if (this->IsCurrent(entry)) reporters.push_back(entry.report);
   }
   return reporters;
 }
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -11,46 +11,51 @@
 
 namespace {
 
-// A flood shows in the record within this time; see kUnrecordedSpendingShare.
-constexpr absl::Duration kLookEvery = absl::Milliseconds(500);
-// Each write is a call, so that a record stands for this long while no
-// workspace spends much more than it says.
-constexpr absl::Duration kRecordStands = absl::Milliseconds(1500);
-constexpr double kMuchMore = 1.05;
-// A new holder reads the record as soon as it has the duty.
-constexpr absl::Duration kDutyLook = absl::Milliseconds(50);
+// The record shows a sudden rise of spending within this time; see
+// kUnrecordedSpendingShare.
+constexpr absl::Duration kCheckInterval = absl::Milliseconds(500);
+// Each write costs a store call. A record is therefore kept for this long while
+// no workspace has spent much more than it shows.
+constexpr absl::Duration kRecordMaxAge = absl::Milliseconds(1500);
+constexpr double kRewriteFactor = 1.05;
+// Interval at which an instance checks whether it has become leader. A new
+// leader reads the record at once.
+constexpr absl::Duration kLeaseCheckInterval = absl::Milliseconds(50);
 constexpr absl::Duration kCallTimeout = absl::Milliseconds(400);
 
 }  // namespace
 
 SpendRecorder::SpendRecorder(asio::io_context& context, StoreClient& store,
-                             ReportAggregator& hub, const LeaderLease& duty,
-                             EventLog& log, TimeOfDay time_of_day)
+                             ReportAggregator& aggregator,
+                             const LeaderLease& leader_lease, EventLog& log,
+                             TimeOfDay time_of_day)
     : context(context),
       store(store),
-      hub(hub),
-      duty(duty),
+      aggregator(aggregator),
+      leader_lease(leader_lease),
       log(log),
       time_of_day(std::move(time_of_day)) {}
 
 asio::awaitable<void> SpendRecorder::Run() {
-  bool taken_over = false;
+  bool has_read_record = false;
   while (true) {
-    co_await Sleep(this->context, taken_over ? kLookEvery : kDutyLook);
-    if (!this->duty.IsLeader()) {
-      taken_over = false;
-    } else if (!taken_over) {
-      taken_over = co_await this->TakeOver();
+    co_await Sleep(this->context,
+                   has_read_record ? kCheckInterval : kLeaseCheckInterval);
+    if (!this->leader_lease.IsLeader()) {
+      has_read_record = false;
+    } else if (!has_read_record) {
+      has_read_record = co_await this->ReadPreviousRecord();
     } else {
       co_await this->Record();
     }
   }
 }
 
-// What processes spent that have ended since is in nobody's report. Without
-// the record, their parts of the quotas would be closed for a whole window.
-asio::awaitable<bool> SpendRecorder::TakeOver() {
-  const std::string key(FleetState::kSpendsKey);
+// No report contains the spending of processes that have terminated since.
+// Without the record, their shares of the quotas would be unusable for a whole
+// window.
+asio::awaitable<bool> SpendRecorder::ReadPreviousRecord() {
+  const std::string key(FleetState::kSpendRecordKey);
   StoreCall call = StoreList{key, ""};
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
@@ -66,36 +71,40 @@
                                  : absl::InfiniteDuration();
   const bool usable =
       record.Ok() && IsRecent(record.Value(), this->time_of_day());
-  if (usable && this->duty.IsLeader()) this->hub.TakeOver(record.Value());
+  if (usable && this->leader_lease.IsLeader())
+    this->aggregator.MergeSpendRecord(record.Value());
   this->log.Write("quota", usable ? "spending taken over" : "record too old",
                   {{"revision", item->revision},
                    {"age_ms", age},
-                   {"fence", this->duty.FencingToken()}});
+                   {"fence", this->leader_lease.FencingToken()}});
   co_return true;
 }
 
-bool SpendRecorder::Stands(const SpendRecord& newer) const {
+bool SpendRecorder::IsStillAccurate(const SpendRecord& newer) const {
   const absl::Duration age = newer.written - this->last.written;
-  if (age < absl::ZeroDuration() || age >= kRecordStands) return false;
+  if (age < absl::ZeroDuration() || age >= kRecordMaxAge) return false;
   const auto known = SpendingByWorkspace(this->last);
   const auto spent = SpendingByWorkspace(newer);
   return std::all_of(spent.begin(), spent.end(), [&](const auto& item) {
     const auto found = known.find(item.first);
-    return found != known.end() && item.second <= kMuchMore * found->second;
+    return found != known.end() &&
+           item.second <= kRewriteFactor * found->second;
   });
 }
 
 asio::awaitable<void> SpendRecorder::Record() {
   SpendRecord record;
   record.written = this->time_of_day();
-  record.processes = this->hub.SpendingByProcess();
-  if (SpendingByWorkspace(record).empty() || this->Stands(record)) co_return;
+  record.processes = this->aggregator.SpendingByProcess();
+  if (SpendingByWorkspace(record).empty() || this->IsStillAccurate(record))
+    co_return;
   StoreTransaction transaction;
-  // A holder that was replaced and does not know it yet writes nothing.
-  transaction.expected.push_back(
-      {std::string(FleetState::kLeaderKey), this->duty.FencingToken()});
+  // The precondition keeps a leader that was replaced, and does not know it
+  // yet, from writing.
+  transaction.preconditions.push_back(
+      {std::string(FleetState::kLeaderKey), this->leader_lease.FencingToken()});
   transaction.puts.push_back(
-      {std::string(FleetState::kSpendsKey), EncodeSpendRecord(record), 0});
+      {std::string(FleetState::kSpendRecordKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
   const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
--- a/dragonflyglade/gateway/spend_recorder.h
+++ b/dragonflyglade/gateway/spend_recorder.h
@@ -14,31 +14,31 @@
 
 namespace dragonflyglade::gateway {
 
-/// As holder of the duty: keeps in the store what workspaces spent, and takes
-/// over what the holder before kept. One event loop.
+/// As leader: writes the fleet's quota spending to the store, and reads the
+/// previous leader's record when it becomes leader. Used by one event loop.
 class SpendRecorder {
  public:
   using TimeOfDay = std::function<absl::Time()>;
 
   SpendRecorder(boost::asio::io_context& context, StoreClient& store,
-                ReportAggregator& hub, const LeaderLease& duty, EventLog& log,
-                TimeOfDay time_of_day);
+                ReportAggregator& aggregator, const LeaderLease& leader_lease,
+                EventLog& log, TimeOfDay time_of_day);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
 
  private:
-  boost::asio::awaitable<bool> TakeOver();
-  bool Stands(const SpendRecord& newer) const;
+  boost::asio::awaitable<bool> ReadPreviousRecord();
+  bool IsStillAccurate(const SpendRecord& newer) const;
   boost::asio::awaitable<void> Record();
 
   boost::asio::io_context& context;
   StoreClient& store;
-  ReportAggregator& hub;
-  const LeaderLease& duty;
+  ReportAggregator& aggregator;
+  const LeaderLease& leader_lease;
   EventLog& log;
   const TimeOfDay time_of_day;
-  SpendRecord last;  ///< as written last
+  SpendRecord last;  ///< the last one written
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_client.cc
+++ b/dragonflyglade/gateway/store_client.cc
@@ -15,13 +15,14 @@
 
 namespace {
 
-// An answer that has begun may be long, and many instances may ask at the same
-// moment: it is waited for while bytes come. With one limit for the whole, an
-// instance on a slow link asked again for ever more, and got nothing.
-constexpr absl::Duration kStalled = absl::Milliseconds(400);
+// A response that has begun may be long, and many instances may call at the
+// same time, so the call continues while bytes arrive. With a single timeout
+// for the whole response, an instance on a slow link repeated its call forever
+// and never received a complete response.
+constexpr absl::Duration kStallTimeout = absl::Milliseconds(400);
 
-/// The calls by kind, as the metrics name them.
-struct KindOfCall {
+/// The value of the metric label kind for each call.
+struct CallKind {
   std::string_view operator()(const StoreList&) const { return "list"; }
   std::string_view operator()(const StoreWatch&) const { return "watch"; }
   std::string_view operator()(const StoreTransaction&) const {
@@ -51,31 +52,31 @@
   const OutgoingHttpRequest text = this->wire.encode_store_call(call);
   TargetExchange exchange(this->context, this->connections, this->wire,
                           this->clock);
-  const Instant begun = this->clock.Now();
+  const Instant started_at = this->clock.Now();
   std::string head = RequestHeadText(text, this->address);
-  exchange.SetStallTimeout(kStalled);
+  exchange.SetStallTimeout(kStallTimeout);
   const ExchangeOutcome outcome = co_await exchange.Run(
-      this->address, "", std::move(head), text.body, begun + timeout);
-  StoreResponse reply = StoreOutcomeUnknown{};
+      this->address, "", std::move(head), text.body, started_at + timeout);
+  StoreResponse response = StoreOutcomeUnknown{};
   std::string_view result = "unknown";
   std::size_t bytes = 0;
-  if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
-    bytes = whole->body.size();
-    reply =
-        this->wire.decode_store_response(call, whole->head.status, whole->body);
+  if (const auto* complete = std::get_if<WholeAnswer>(&outcome)) {
+    bytes = complete->body.size();
+    response = this->wire.decode_store_response(call, complete->head.status,
+                                                complete->body);
     result = "answered";
   } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
-    reply = StoreOutcomeUnknown{lost->why};
+    response = StoreOutcomeUnknown{lost->why};
   } else if (std::holds_alternative<NotSent>(outcome)) {
-    reply = StoreRefused{};
+    response = StoreRefused{};
     result = "not sent";
   }
-  const std::string_view kind = std::visit(KindOfCall(), call);
+  const std::string_view kind = std::visit(CallKind(), call);
   this->metrics.Count("store_calls",
                       fmt::format("kind=\"{}\",result=\"{}\"", kind, result));
   this->metrics.Count("store_bytes", fmt::format("kind=\"{}\"", kind),
                       static_cast<double>(bytes));
-  co_return reply;
+  co_return response;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/store_sync_state.cc
+++ b/dragonflyglade/gateway/store_sync_state.cc
@@ -6,47 +6,51 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// A word counts if its sender heard the store this lately. The sender's own
-// read may be silent for 1.2 s before it notices; with the datagram's way and
-// a read of our own a change is still in force within two seconds.
-constexpr absl::Duration kWordHolds = absl::Milliseconds(1500);
-// Whoever follows the store hears it at least once a second.
-constexpr absl::Duration kSteady = absl::Milliseconds(1500);
-// The next word, each half a second at the latest, brings what is lacking or
-// some of it. If a second one fails to, it may not fit or be lost each time.
-constexpr absl::Duration kBehindAtMost = absl::Milliseconds(800);
+// Age up to which a digest counts, since the store responded to its sender. The
+// sender may take 1.2 s to notice that its own read gets no response. With the
+// time of the datagram and of a read by this instance, a change still takes
+// effect within two seconds.
+constexpr absl::Duration kDigestMaxAge = absl::Milliseconds(1500);
+// The store responds to each relay at least once a second; a longer gap between
+// confirmations means that it was unavailable.
+constexpr absl::Duration kMaxConfirmationGap = absl::Milliseconds(1500);
+// Digests arrive at least every half second, and the next one contains at least
+// some of the missing changes. If the second one does not, either the changes
+// do not fit into a datagram or each datagram is lost.
+constexpr absl::Duration kMaxLag = absl::Milliseconds(800);
 
 }  // namespace
 
 StoreSyncState::StoreSyncState(boost::asio::io_context& context, Clock clock)
     : clock(std::move(clock)), changed(context) {}
 
-void StoreSyncState::Read(std::uint64_t revision, std::uint64_t urgent) {
+void StoreSyncState::RecordRead(std::uint64_t revision, std::uint64_t urgent) {
   const bool is_new = urgent > this->urgent_revision;
   this->read_through = std::max(this->read_through, revision);
   this->urgent_revision = std::max(this->urgent_revision, urgent);
   this->confirmed_at = this->clock.Now();
   this->known_through = std::max(this->known_through, revision);
-  this->LookBehind(true);
-  if (is_new && this->on_urgent) this->on_urgent();
+  this->UpdateLag(true);
+  if (is_new && this->on_urgent_change) this->on_urgent_change();
 }
 
-void StoreSyncState::Told(const RelayDigest& word) {
-  const bool progress = word.changes_through > this->known_through;
-  this->known_through = std::max(this->known_through, word.changes_through);
-  this->told_revision = std::max(this->told_revision, word.urgent_revision);
-  if (word.confirmed_at - this->told_confirmed_at > kSteady) {
-    this->told_steady_since = word.confirmed_at;
+void StoreSyncState::ApplyDigest(const RelayDigest& digest) {
+  const bool progress = digest.changes_through > this->known_through;
+  this->known_through = std::max(this->known_through, digest.changes_through);
+  this->relay_urgent_revision =
+      std::max(this->relay_urgent_revision, digest.urgent_revision);
+  if (digest.confirmed_at - this->relay_confirmed_at > kMaxConfirmationGap) {
+    this->store_up_since = digest.confirmed_at;
   }
-  // Several speak, and some heard the store earlier than others.
-  this->told_confirmed_at =
-      std::max(this->told_confirmed_at, word.confirmed_at);
-  this->LookBehind(progress);
+  // Digests of several relays arrive, and their confirmations differ in age.
+  this->relay_confirmed_at =
+      std::max(this->relay_confirmed_at, digest.confirmed_at);
+  this->UpdateLag(progress);
   this->changed.Notify();
 }
 
-void StoreSyncState::LookBehind(bool progress) {
-  if (this->told_revision <= this->known_through) {
+void StoreSyncState::UpdateLag(bool progress) {
+  if (this->relay_urgent_revision <= this->known_through) {
     this->behind_since.reset();
   } else if (progress || !this->behind_since.has_value()) {
     this->behind_since = this->clock.Now();
@@ -54,21 +58,21 @@
 }
 
 absl::Duration StoreSyncState::DigestAge() const {
-  return this->clock.Now() - this->told_confirmed_at;
+  return this->clock.Now() - this->relay_confirmed_at;
 }
 
 bool StoreSyncState::HasLiveRelay() const {
-  return this->DigestAge() < kWordHolds;
+  return this->DigestAge() < kDigestMaxAge;
 }
 
 bool StoreSyncState::MustReadStore() const {
   return this->behind_since.has_value() &&
-         this->clock.Now() - *this->behind_since > kBehindAtMost;
+         this->clock.Now() - *this->behind_since > kMaxLag;
 }
 
 absl::Duration StoreSyncState::StoreUptime() const {
   if (!this->HasLiveRelay()) return absl::ZeroDuration();
-  return this->clock.Now() - this->told_steady_since;
+  return this->clock.Now() - this->store_up_since;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/tests/platform/platform-placement.cc
+++ b/tests/platform/platform-placement.cc
@@ -16,11 +16,11 @@
 namespace dragonflyglade {
 namespace {
 
-using Stage = GatewayHarness;
+using Harness = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
-// Takes all orders and holds the model "m".
+// Responds like an engine that accepts all orders and holds the model "m".
 Script Engine(const RawRequest& request) {
   if (absl::StrContains(request.Line(), "/-/report")) {
     return {ResponseBytes(request, "200 OK",
@@ -34,29 +34,29 @@
 
 class PlatformPlacementTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformPlacementTest);
-  CPPUNIT_TEST(PlacesAnAdapterThatIsAskedFor);
-  CPPUNIT_TEST(LoadsElsewhereWhatADeadTargetHeld);
-  CPPUNIT_TEST(AFailedOrderHoldsUpNoLaterOne);
-  CPPUNIT_TEST(DoesNotTakeUpADutyOfAnEndedLease);
-  CPPUNIT_TEST(GivesUpADutyThatAnotherHolds);
+  CPPUNIT_TEST(LoadsARequestedAdapter);
+  CPPUNIT_TEST(LoadsModelsOfATerminatedTargetElsewhere);
+  CPPUNIT_TEST(AcceptsOrdersAfterAFailedOne);
+  CPPUNIT_TEST(DoesNotResumeLeadershipOfAnEndedLease);
+  CPPUNIT_TEST(StepsDownIfAnotherInstanceIsLeader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The adapter is nowhere. The request waits while the holder of the placing
-  // duty orders it, and is then sent to the engine that has it.
-  void PlacesAnAdapterThatIsAskedFor() {
+  // The adapter is resident at no target. The request waits until the leader
+  // has ordered an engine to load it, and is then sent to that engine.
+  void LoadsARequestedAdapter() {
     std::string order;
     absl::Mutex mutex;
-    Stage stage([&](const RawRequest& request) {
+    Harness harness([&](const RawRequest& request) {
       if (absl::StrContains(request.Line(), "/-/order")) {
         absl::MutexLock lock(&mutex);
         order = request.body;
       }
       return Engine(request);
     });
-    stage.PutTarget("i-1", stage.first, "ready",
-                    {{{"name", "m"}, {"adapters", json::array()}}});
-    stage.WaitFor([&] { return stage.CallModel("m/a7").status == 200; });
+    harness.PutTarget("i-1", harness.first, "ready",
+                      {{{"name", "m"}, {"adapters", json::array()}}});
+    harness.WaitFor([&] { return harness.CallModel("m/a7").status == 200; });
     absl::MutexLock lock(&mutex);
     const json sent = json::parse(order);
     CPPUNIT_ASSERT_EQUAL(std::string("a7"),
@@ -65,12 +65,12 @@
     CPPUNIT_ASSERT(sent.at("fencing_token").get<int>() > 0);
   }
 
-  // An engine has crashed and its entry stands for some seconds. Requests for
-  // its model spent all their tries there within milliseconds, and the model
-  // was loaded nowhere else until the entry lapsed.
-  void LoadsElsewhereWhatADeadTargetHeld() {
+  // Failure: the model of a crashed engine is loaded nowhere else until the
+  // engine's entry expires, seconds later. Requests for the model use up their
+  // attempts at that engine within milliseconds.
+  void LoadsModelsOfATerminatedTargetElsewhere() {
     std::atomic<bool> ordered = false;
-    Stage stage([&](const RawRequest& request) -> Script {
+    Harness harness([&](const RawRequest& request) -> Script {
       if (absl::StrContains(request.Line(), "/-/report")) {
         return {
             ResponseBytes(request, "200 OK",
@@ -81,93 +81,96 @@
       if (loads) ordered = true;
       return Engine(request);
     });
-    stage.store.Put("servers/i-dead", json{{"service", "s"},
-                                           {"address", "127.0.0.1:1"},
-                                           {"zone", "z"},
-                                           {"slots", 4},
-                                           {"state", "ready"},
-                                           {"born", 1},
-                                           {"models", {{{"name", "m"}}}}}
-                                          .dump());
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    stage.WaitFor([&] {
-      return stage.Read<bool>(
-          [&] { return stage.gateway->Fleet().Target("i-dead") != nullptr; });
+    harness.store.Put("servers/i-dead", json{{"service", "s"},
+                                             {"address", "127.0.0.1:1"},
+                                             {"zone", "z"},
+                                             {"slots", 4},
+                                             {"state", "ready"},
+                                             {"born", 1},
+                                             {"models", {{{"name", "m"}}}}}
+                                            .dump());
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    harness.WaitFor([&] {
+      return harness.Read<bool>(
+          [&] { return harness.gateway->Fleet().Target("i-dead") != nullptr; });
     });
-    const Stage::Reply reply = stage.CallModel("m");
+    const Harness::Reply reply = harness.CallModel("m");
     CPPUNIT_ASSERT_EQUAL(503, reply.status);
     CPPUNIT_ASSERT(absl::StrContains(reply.Body(), "model_not_resident"));
-    stage.WaitFor([&] {
-      stage.CallModel("m");
+    harness.WaitFor([&] {
+      harness.CallModel("m");
       return ordered.load();
     });
   }
 
-  // An exception in an order's coroutine left the engine "ordering" for good.
-  void AFailedOrderHoldsUpNoLaterOne() {
-    gateway::WireFormat throws = platform::MakeWireFormat();
-    throws.encode_order = [sound = throws.encode_order,
-                           used = std::make_shared<std::atomic<bool>>(false)](
-                              std::string_view target,
-                              const gateway::EngineOrder& order) {
+  // Failure: an engine gets no further orders. An exception in the coroutine of
+  // an order leaves the engine marked as busy.
+  void AcceptsOrdersAfterAFailedOne() {
+    gateway::WireFormat throwing = platform::MakeWireFormat();
+    throwing.encode_order = [encode = throwing.encode_order,
+                             used = std::make_shared<std::atomic<bool>>(false)](
+                                std::string_view target,
+                                const gateway::EngineOrder& order) {
       if (!used->exchange(true)) throw std::runtime_error("not encoded");
-      return sound(target, order);
+      return encode(target, order);
     };
     struct OrderCase {
-      const char* what;
+      const char* name;
       gateway::WireFormat wire;
       const char* first_model;
     };
     const std::vector<OrderCase> cases = {
-        {"the encoder throws", throws, "m/a7"},
-        {"a caller's adapter that is no text", platform::MakeWireFormat(),
-         "m/a\xff"},
+        {"the encoder throws", throwing, "m/a7"},
+        {"the caller's adapter name is not UTF-8 text",
+         platform::MakeWireFormat(), "m/a\xff"},
     };
     for (const OrderCase& item : cases) {
-      Stage::Options options;
+      Harness::Options options;
       options.answer = Engine;
       options.wire = item.wire;
-      Stage stage(std::move(options));
-      stage.PutTarget("i-1", stage.first, "ready",
-                      {{{"name", "m"}, {"adapters", json::array()}}});
-      stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-      stage.CallModel(item.first_model);
-      stage.WaitFor([&] { return stage.CallModel("m/a7").status == 200; });
+      Harness harness(std::move(options));
+      harness.PutTarget("i-1", harness.first, "ready",
+                        {{{"name", "m"}, {"adapters", json::array()}}});
+      harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+      harness.CallModel(item.first_model);
+      harness.WaitFor([&] { return harness.CallModel("m/a7").status == 200; });
     }
   }
 
-  // Engines get orders from two instances, the later ones with the lower
-  // fence. The lease of the first ended while it was slow; under a new lease
-  // it still saw its own old entry as holder and went on with the old fence.
-  void DoesNotTakeUpADutyOfAnEndedLease() {
-    Stage stage;
+  // Failure: engines get orders from two instances, the later ones with the
+  // lower fencing token. A leader is slow and its lease ends; under a new lease
+  // it still finds its old entry as leader in the store, and goes on with the
+  // old fencing token.
+  void DoesNotResumeLeadershipOfAnEndedLease() {
+    Harness harness;
     const std::string key(gateway::FleetState::kLeaderKey);
     const std::string own = gateway::FleetState::InstanceKey("one");
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    const std::uint64_t lease = stage.store.LeaseOf(key);
-    stage.store.RejectRenewals();
-    stage.WaitFor([&] { return stage.store.LeaseOf(own) > lease; });
-    const int renewals = stage.store.Renewals();
-    stage.WaitFor([&] { return stage.store.Renewals() > renewals; });
-    CPPUNIT_ASSERT_EQUAL(lease, stage.store.LeaseOf(key));
-    CPPUNIT_ASSERT(!stage.HoldsLeaderLease());
-    // The store lets the old entry go, and the duty can be taken anew.
-    stage.store.Delete(key);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT(stage.store.LeaseOf(key) > lease);
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    const std::uint64_t lease = harness.store.LeaseOf(key);
+    harness.store.RejectRenewals();
+    harness.WaitFor([&] { return harness.store.LeaseOf(own) > lease; });
+    const int renewals = harness.store.Renewals();
+    harness.WaitFor([&] { return harness.store.Renewals() > renewals; });
+    CPPUNIT_ASSERT_EQUAL(lease, harness.store.LeaseOf(key));
+    CPPUNIT_ASSERT(!harness.HoldsLeaderLease());
+    // The store removes the old entry, and the instance can become leader
+    // again.
+    harness.store.Delete(key);
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT(harness.store.LeaseOf(key) > lease);
   }
 
-  // The store shows another holder, whatever this instance knows of its own
-  // lease: it must not send one more order.
-  void GivesUpADutyThatAnotherHolds() {
-    Stage stage;
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
+  // Failure: a replaced leader sends an order. When the store shows another
+  // leader, the instance must not send any, whatever it knows of its own lease.
+  void StepsDownIfAnotherInstanceIsLeader() {
+    Harness harness;
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
     gateway::InstanceRecord other;
     other.name = "two";
     other.incarnation = "x";
-    stage.store.Put(std::string(gateway::FleetState::kLeaderKey),
-                    gateway::EncodeInstanceRecord(other));
-    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
+    harness.store.Put(std::string(gateway::FleetState::kLeaderKey),
+                      gateway::EncodeInstanceRecord(other));
+    harness.WaitFor([&] { return !harness.HoldsLeaderLease(); });
   }
 };
 
