--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -343,7 +343,8 @@
   const Instant begun = this->clock.Now();
   this->log.Write("process", "stopping",
                   {{"in_flight", this->pipeline.InFlight()}});
-  this->pipeline.StopBy(begun + this->settings.stop_within - kStopMargin);
+  this->pipeline.BeginShutdown(begun + this->settings.stop_within -
+                               kStopMargin);
   this->tasks.Spawn("leave", this->registration.Leave());
   // Callers go on coming until they have asked for instances again; after
   // that, the process ends as soon as it serves nobody.
--- a/dragonflyglade/gateway/messages.h
+++ b/dragonflyglade/gateway/messages.h
@@ -15,68 +15,68 @@
 
 namespace dragonflyglade::gateway {
 
-/// Header fields in order, as received.
+/// Header fields in the order of the message.
 using HeaderFields = std::vector<std::pair<std::string, std::string>>;
 
-/// A part of a prompt that engines may have kept.
+/// A part of a prompt that engines may hold in their KV cache.
 struct PromptPart {
   std::string id;
   double tokens = 0;
 };
 
-/// What a request asks of a model.
+/// The model that a request needs, and the tokens that it processes there.
 struct ModelUse {
   std::string model;
-  std::string adapter;  ///< empty: the model itself
+  std::string adapter;  ///< empty: the base model
   double prompt_tokens = 0;
-  double output_tokens = 0;  ///< at most
+  double output_tokens = 0;  ///< upper bound
   std::vector<PromptPart> parts;
 
   double Tokens() const { return this->prompt_tokens + this->output_tokens; }
 };
 
-/// A request as it came from a caller.
+/// A decoded request of a caller.
 struct CallerRequest {
-  std::string id;  ///< one for each try of the caller
+  std::string id;  ///< unique for each attempt of the caller
   std::string method;
   std::string path_and_query;
   std::string host;
-  std::string key;                         ///< empty: none was shown
-  std::optional<absl::Duration> deadline;  ///< how long the caller waits
+  std::string key;  ///< API key; empty if the request has none
+  std::optional<absl::Duration> deadline;  ///< time that the caller waits
   ModelUse use;
-  std::optional<std::string> resume_after;  ///< the last event it has
-  HeaderFields passed_on;  ///< end-to-end fields, without those set here
+  std::optional<std::string> resume_after;  ///< id of the last event received
+  HeaderFields passed_on;  ///< end-to-end fields that the gateway doesn't set
   std::string body;
   bool keep_alive = true;
 };
 
-/// What this system adds to a request for a target.
+/// The values that the gateway adds to a request which it forwards.
 struct TargetStamp {
-  std::string target;           ///< the instance that must answer
-  std::string workspace;        ///< empty on open routes
-  absl::Duration time_left;     ///< what is left of the deadline
-  std::optional<int> priority;  ///< 0 first
+  std::string target;           ///< id of the target that must respond
+  std::string workspace;        ///< empty on routes without keys
+  absl::Duration time_left;     ///< until the request's deadline
+  std::optional<int> priority;  ///< 0 is the most urgent
   std::optional<std::string> resume_after;
 };
 
-/// What a target says of its load with an answer.
+/// The load that a target states in a response.
 struct LoadReport {
   int running = 0;
   int waiting = 0;
   int slots = 0;
 };
 
-/// The head of a target's answer.
+/// The head of a target's response.
 struct AnswerHead {
   int status = 0;
-  std::string request_id;     ///< empty if it names none
-  bool not_executed = false;  ///< the target says it did not run it
-  bool wrong_target = false;  ///< another target has this address
-  bool is_signed = false;     ///< carries the target's mark on its bytes
-  bool encoded = false;       ///< not the bytes that the target made
+  std::string request_id;     ///< empty if the response names no request
+  bool not_executed = false;  ///< the target didn't run the request
+  bool wrong_target = false;  ///< another target listens at this address
+  bool is_signed = false;     ///< carries the target's signature field
+  bool encoded = false;       ///< has a content encoding
   bool event_stream = false;
-  bool closes = false;  ///< the connection ends with this answer
-  std::optional<absl::Duration> keep_alive;  ///< idle life that it states
+  bool closes = false;  ///< the connection ends after this response
+  std::optional<absl::Duration> keep_alive;  ///< idle timeout of the target
   std::optional<LoadReport> load;
   HeaderFields passed_on;  ///< end-to-end fields
 };
@@ -85,38 +85,38 @@
 struct ServedModel {
   std::string name;
   double memory_mb = 0;
-  absl::Duration load_time = absl::Seconds(5);  ///< from the weight store
+  absl::Duration load_time = absl::Seconds(5);  ///< from the weight storage
   absl::Duration disk_load_time = absl::Seconds(5);
   absl::Duration memory_load_time = absl::Seconds(5);
   int adapters = 0;
   double adapter_mb = 0;
 };
 
-/// What the engines of a service have in common.
+/// The limits and models that all engines of a service share.
 struct EngineLimits {
   std::vector<ServedModel> models;
   double memory_mb = 0;
   int adapter_slots = 0;
-  double loads_per_second = 1;  ///< of the weight store, over all targets
+  double loads_per_second = 1;  ///< from the weight storage, by all targets
 };
 
 /// A service of the configuration.
 struct ServiceSpec {
   std::string name;
-  int max_connections = 64;  ///< of one target, from all callers
+  int max_connections = 64;  ///< to one target, from all instances
   std::optional<EngineLimits> engine;
 };
 
 /// A workspace of the configuration.
 struct WorkspaceSpec {
   std::string name;
-  std::optional<int> priority;  ///< goes before the route's
+  std::optional<int> priority;  ///< overrides the route's priority
   QuotaLimit quota;
-  bool counts_tokens = false;  ///< the quota; else it counts requests
-  double plain_tokens = 1;     ///< of a request that states none
+  bool counts_tokens = false;  ///< the quota counts tokens, else requests
+  double plain_tokens = 1;     ///< cost of a request that states no tokens
 };
 
-/// How long and large callers' requests may be.
+/// Size and time limits of callers' requests and connections.
 struct CallerLimits {
   std::uint32_t max_header_bytes = 16384;
   std::uint64_t max_body_bytes = 4194304;
@@ -124,7 +124,7 @@
   absl::Duration idle_timeout = absl::Seconds(15);
 };
 
-/// One version of the configuration. Never changed once made.
+/// One version of the configuration; immutable.
 struct GatewayConfig {
   std::uint64_t version = 0;
   RouteTable routes;
@@ -135,58 +135,59 @@
   CallerLimits limits;
 };
 
-/// A model at a target with its adapters.
+/// A model in a target's memory, with its resident adapters.
 struct ResidentModel {
   std::string name;
   std::vector<std::string> adapters;
 };
 
-/// What a target says of itself in the store.
+/// A target's record in the store, written by the target.
 struct TargetRecord {
   std::string id;
   std::string service;
-  std::string address;  ///< IP number and port
+  std::string address;  ///< IP address and port
   std::string zone;
   int slots = 1;
   bool leaving = false;
-  std::int64_t born_ms = 0;  ///< of its start; another one forgot everything
+  std::int64_t born_ms = 0;  ///< start time; a change means a restart
   std::vector<ResidentModel> models;
-  /// Models whose weights it keeps beside what it serves.
+  /// Models whose weights the target caches without serving them.
   std::vector<std::string> in_memory;
   std::vector<std::string> on_disk;
 };
 
-/// What an engine reports when asked.
+/// An engine's response to a report call.
 struct EngineReport {
-  std::int64_t orders_taken = 0;  ///< since its start
-  std::int64_t born_ms = 0;
-  bool busy = false;  ///< an order is being carried out
+  std::int64_t orders_taken = 0;  ///< since the engine's start
+  std::int64_t born_ms = 0;       ///< start time of the engine
+  bool busy = false;              ///< an order is in progress
   std::vector<ResidentModel> models;
   std::vector<std::string> pending_adapters;  ///< "model/adapter"
 };
 
-/// An order to an engine.
+/// An order to an engine to load or unload a model or an adapter.
 struct EngineOrder {
   bool load = true;
   std::string model;
-  std::string adapter;  ///< empty: the model itself
-  /// How many the engine took before; with another count it does nothing.
+  std::string adapter;  ///< empty: the base model
+  /// Orders that the engine has taken so far. The engine rejects the order if
+  /// its own count differs.
   std::int64_t orders_taken = 0;
-  std::string holder;
-  std::uint64_t fence = 0;
+  std::string holder;       ///< name of the leader
+  std::uint64_t fence = 0;  ///< fencing token of the leader lease
 };
 
-/// What an engine said to an order.
+/// An engine's response to an order.
 enum class OrderAnswer {
-  kAccepted,      ///< it is being carried out
-  kAlreadyHolds,  ///< nothing to do
-  kConflict,      ///< another order is open, or the sequence differs
-  kFenced,        ///< a newer holder was here
+  kAccepted,      ///< the order is in progress
+  kAlreadyHolds,  ///< the engine has nothing to do
+  kConflict,      ///< another order is in progress, or the count differs
+  kFenced,        ///< the engine has seen a higher fencing token
   kInvalid,
   kWrongTarget,
 };
 
-/// A question for the addresses of instances.
+/// A caller's query for the addresses of instances.
 struct DirectoryQuestion {
   std::string host;
   std::string zone;
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -17,21 +17,23 @@
 
 namespace {
 
-// A request that finds its model or adapter nowhere waits for it: adapters
-// are there in some ten milliseconds, models in seconds. Longer than half of
-// what a caller wants its first output in, it does better to come back.
-constexpr double kWaitShare = 0.5;  // of the route's latency objective
-// How often a waiting request looks whether its caller has left.
+// A request whose model or adapter is resident nowhere waits for it to be
+// loaded: an adapter takes some ten milliseconds, a model seconds. The wait is
+// limited to this share of the route's latency objective; after that the caller
+// does better to retry later.
+constexpr double kMaxModelWaitShare = 0.5;
+// Interval at which a waiting request checks whether its caller has
+// disconnected.
 constexpr absl::Duration kWaitSlice = absl::Milliseconds(100);
-// After the signal to stop, requests are taken as ever for this long: callers
-// that just asked for instances may still be on their way.
-constexpr absl::Duration kLateCallers = absl::Milliseconds(2500);
-// The part of a target's connections for instances that callers are sent to.
-// The rest is for callers that come elsewhere with an old list.
-constexpr double kListedConnections = 0.9;
-constexpr double kLongestRetryAfter = 60;  // seconds
+// After the signal to stop, all requests are still admitted for this long:
+// callers that have just queried the directory may be about to connect.
+constexpr absl::Duration kStopGracePeriod = absl::Milliseconds(2500);
+// The share of a target's connections that the listed instances divide among
+// them. The rest is for instances that callers with an outdated list still use.
+constexpr double kListedInstancesShare = 0.9;
+constexpr double kMaxRetryAfterSeconds = 60;
 
-std::string_view PathOf(std::string_view path_and_query) {
+std::string_view PathWithoutQuery(std::string_view path_and_query) {
   return path_and_query.substr(0, path_and_query.find('?'));
 }
 
@@ -54,14 +56,15 @@
       tasks(tasks),
       clock(std::move(clock)) {}
 
-asio::awaitable<void> Pipeline::Serve(CallerRequest request, CallerLink& link) {
-  RequestJob job(std::move(request), link);
+asio::awaitable<void> Pipeline::Serve(CallerRequest request,
+                                      CallerLink& connection) {
+  RequestJob job(std::move(request), connection);
   job.started = this->clock.Now();
   job.config = this->fleet.Config();
   this->in_flight += 1;
   std::exception_ptr failure = co_await Caught(this->ServeJob(job));
-  // The watch refers to the job.
-  link.StopWatching();
+  // The disconnect callback holds a reference to the job.
+  connection.StopWatching();
   if (failure) failure = co_await Caught(this->AnswerFailure(job, failure));
   this->in_flight -= 1;
   if (failure) std::rethrow_exception(failure);
@@ -73,7 +76,7 @@
     co_await this->Refuse(job, std::move(*refusal));
     co_return;
   }
-  job.link.WatchForLeaving([&job] {
+  job.connection.WatchForLeaving([&job] {
     if (job.exchange != nullptr) job.exchange->Abort("caller left");
   });
   co_await this->Forward(job);
@@ -82,7 +85,7 @@
 asio::awaitable<void> Pipeline::AnswerFailure(
     RequestJob& job, const std::exception_ptr& failure) {
   this->tasks.Failed("serve request", failure);
-  if (job.link.Answered() && !job.link.StreamBegun()) co_return;
+  if (job.connection.Answered() && !job.connection.StreamBegun()) co_return;
   Refusal refusal = MakeRefusal(RefusalCode::kInternal, "the gateway failed");
   co_await this->Refuse(job, std::move(refusal));
 }
@@ -90,18 +93,18 @@
 asio::awaitable<std::optional<Refusal>> Pipeline::Admit(RequestJob& job) {
   std::optional<Refusal> refusal = this->FindRoute(job);
   if (!refusal.has_value()) refusal = this->FindWorkspace(job);
-  if (!refusal.has_value()) refusal = co_await this->TakeQuota(job);
-  job.admitted = this->clock.Now() - job.started;
+  if (!refusal.has_value()) refusal = co_await this->AdmitToQuota(job);
+  job.admission_time = this->clock.Now() - job.started;
   co_return refusal;
 }
 
 std::optional<Refusal> Pipeline::FindRoute(RequestJob& job) {
   if (job.config == nullptr) {
     return MakeRefusal(RefusalCode::kNotReady, "no configuration yet",
-                       kRetryNotReady);
+                       kRetryAfterNotReady);
   }
-  job.route = job.config->routes.Find(job.request.host,
-                                      PathOf(job.request.path_and_query));
+  job.route = job.config->routes.Find(
+      job.request.host, PathWithoutQuery(job.request.path_and_query));
   if (job.route == nullptr) {
     return MakeRefusal(RefusalCode::kNotFound,
                        "no route for this host and path");
@@ -117,26 +120,26 @@
   const absl::Duration limit =
       std::min(job.request.deadline.value_or(absl::InfiniteDuration()),
                job.route->timeout);
-  job.give_up = job.started + limit;
-  if (this->EndsTooLate(job)) {
+  job.deadline = job.started + limit;
+  if (this->OutlastsShutdown(job)) {
     return MakeRefusal(RefusalCode::kDraining, "the instance is stopping",
-                       kRetryElsewhere);
+                       kRetryAtOtherInstance);
   }
   return std::nullopt;
 }
 
-void Pipeline::StopBy(Instant end) {
-  this->stop_begun = this->clock.Now();
-  this->stop_end = end;
+void Pipeline::BeginShutdown(Instant end) {
+  this->shutdown_start = this->clock.Now();
+  this->shutdown_deadline = end;
 }
 
-// Callers keep coming for seconds after the signal, since they keep the list
-// of instances. A stream that they begin late would be cut at the end of the
-// process; they do better elsewhere at once.
-bool Pipeline::EndsTooLate(const RequestJob& job) const {
-  if (!this->stop_end.has_value()) return false;
-  if (job.give_up <= *this->stop_end) return false;
-  return this->clock.Now() - *this->stop_begun > kLateCallers;
+// Callers cache the list of instances, so requests arrive for seconds after
+// the signal to stop. A stream that starts late would be cut at the end of the
+// process; the refusal sends its caller to another instance at once.
+bool Pipeline::OutlastsShutdown(const RequestJob& job) const {
+  if (!this->shutdown_deadline.has_value()) return false;
+  if (job.deadline <= *this->shutdown_deadline) return false;
+  return this->clock.Now() - *this->shutdown_start > kStopGracePeriod;
 }
 
 std::optional<Refusal> Pipeline::FindWorkspace(RequestJob& job) {
@@ -156,7 +159,8 @@
   return std::nullopt;
 }
 
-asio::awaitable<std::optional<Refusal>> Pipeline::TakeQuota(RequestJob& job) {
+asio::awaitable<std::optional<Refusal>> Pipeline::AdmitToQuota(
+    RequestJob& job) {
   if (job.workspace == nullptr) co_return std::nullopt;
   const QuotaVerdict verdict = co_await this->quotas.Take(
       job.request.id, job.workspace->name, job.workspace->quota, job.cost);
@@ -175,44 +179,50 @@
       this->demand.Asked({job.service->name, use.model, use.adapter}, work_ms);
     }
   }
-  Next next = Next::kTryAnother;
-  while (next == Next::kTryAnother) {
+  NextStep next = NextStep::kTryAnother;
+  while (next == NextStep::kTryAnother) {
     const std::shared_ptr<TargetState> target = co_await this->FindTarget(job);
-    if (job.link.Left()) {
-      this->Account(job, "caller left", 0);
+    if (job.connection.Left()) {
+      this->RecordOutcome(job, "caller left", 0);
       co_return;
     }
     if (target == nullptr) {
-      co_await this->Refuse(job, this->NoTarget(job));
+      co_await this->Refuse(job, this->NoTargetRefusal(job));
       co_return;
     }
     next = co_await this->Attempt(job, target);
   }
 }
 
-// A target's connections are shared by the instances that callers are sent to.
-// Divided by all, an instance of 61 with 8 listed had 11 at a target of 64
-// places, and a model with one copy was refused while its target had room.
-int Pipeline::MostAtTarget(const ServiceSpec& service) const {
-  const double whole = kListedConnections * service.max_connections;
-  const auto listed = static_cast<double>(this->fleet.ListedInstances().size());
-  return std::max(1, static_cast<int>(whole / std::max(1.0, listed)));
+// The listed instances divide a target's connections among them. A division by
+// all instances, listed or not, would leave each listed one too few: with 8 of
+// 61 instances listed, requests for a model with one replica were refused while
+// its target, with 64 connections, had room.
+int Pipeline::MaxInFlightAtTarget(const ServiceSpec& service) const {
+  const double shared_connections =
+      kListedInstancesShare * service.max_connections;
+  const auto listed_instances =
+      static_cast<double>(this->fleet.ListedInstances().size());
+  return std::max(1, static_cast<int>(shared_connections /
+                                      std::max(1.0, listed_instances)));
 }
 
-std::shared_ptr<TargetState> Pipeline::ChooseAmong(RequestJob& job, bool all) {
+std::shared_ptr<TargetState> Pipeline::ChooseAmong(RequestJob& job,
+                                                   bool include_avoided) {
   const Instant now = this->clock.Now();
-  const int most = this->MostAtTarget(*job.service);
+  const int max_in_flight = this->MaxInFlightAtTarget(*job.service);
   const ModelUse& use = job.request.use;
   std::vector<std::shared_ptr<TargetState>> targets;
   std::vector<ChoiceCandidate> candidates;
   for (const auto& target : this->fleet.Targets(job.service->name)) {
     const TargetRecord& record = target->Record();
-    if (record.leaving || target->InFlight() >= most) continue;
+    if (record.leaving || target->InFlight() >= max_in_flight) continue;
     if (job.unreachable.count(record.id) > 0) continue;
     if (!use.model.empty() && !target->Holds(use.model, use.adapter, now)) {
       continue;
     }
-    if (!all && (target->Avoided(now) || job.tried.count(record.id) > 0)) {
+    if (!include_avoided &&
+        (target->Avoided(now) || job.tried.count(record.id) > 0)) {
       continue;
     }
     ChoiceCandidate candidate;
@@ -239,26 +249,28 @@
 
 std::shared_ptr<TargetState> Pipeline::Choose(RequestJob& job) {
   std::shared_ptr<TargetState> target = this->ChooseAmong(job, false);
-  // Where every target is avoided or was tried, the least bad is asked: all
-  // being avoided tells more of this instance's links than of the targets. One
-  // that this request could not reach is not asked again: the request would
-  // spend all its tries there in some milliseconds, while a copy of its model
-  // is about to be loaded elsewhere.
+  // If every target is avoided or has been tried, the best of them is used:
+  // that all are avoided points to this instance's network rather than to the
+  // targets. Targets that this request could not reach stay excluded: the
+  // request would use up its attempts there within milliseconds, while a
+  // replica of its model is about to be loaded elsewhere.
   if (target == nullptr && job.attempts < 2) {
     target = this->ChooseAmong(job, true);
   }
   return target;
 }
 
-// Holds the request back while its target reads, and chooses again after.
+// Delays the request while its target processes earlier prompts, and then
+// chooses a target again.
 asio::awaitable<std::shared_ptr<TargetState>> Pipeline::Pace(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const absl::Duration objective =
       job.config->routes.PauseObjective(job.service->name);
-  const Instant begun = this->clock.Now();
-  const Instant until = begun + LongestPacing(job.route->latency_objective);
-  Instant now = begun;
-  while (target != nullptr && now < until && !job.link.Left()) {
+  const Instant wait_start = this->clock.Now();
+  const Instant until =
+      wait_start + LongestPacing(job.route->latency_objective);
+  Instant now = wait_start;
+  while (target != nullptr && now < until && !job.connection.Left()) {
     const absl::Duration hold =
         PacingHold(target->AheadOfPace(now), job.UnreadTokens(), objective);
     if (hold <= absl::ZeroDuration()) break;
@@ -266,7 +278,7 @@
     now = this->clock.Now();
     target = this->Choose(job);
   }
-  job.paced += now - begun;
+  job.pacing_time += now - wait_start;
   co_return target;
 }
 
@@ -276,50 +288,53 @@
   if (!job.IsEngineWork()) co_return target;
   if (target != nullptr) target = co_await this->Pace(job, target);
   if (target != nullptr) co_return target;
-  const Instant begun = this->clock.Now();
+  const Instant wait_start = this->clock.Now();
   const Instant until =
-      begun +
-      std::min(kWaitShare * job.route->latency_objective, job.give_up - begun);
+      wait_start + std::min(kMaxModelWaitShare * job.route->latency_objective,
+                            job.deadline - wait_start);
   const ModelName name{job.service->name, job.request.use.model,
                        job.request.use.adapter};
   this->demand.BeginWait(name);
-  Instant now = begun;
-  while (target == nullptr && now < until && !job.link.Left()) {
+  Instant now = wait_start;
+  while (target == nullptr && now < until && !job.connection.Left()) {
     co_await this->fleet.Changed().Wait(std::min(kWaitSlice, until - now));
     now = this->clock.Now();
     target = this->Choose(job);
   }
   this->demand.EndWait(name);
-  job.held += now - begun;
+  job.target_wait += now - wait_start;
   this->log.Write("request", target != nullptr ? "model found" : "no model",
                   {{"id", job.request.id},
                    {"model", ResidentKey(name.model, name.adapter)},
-                   {"waited_ms", now - begun}});
+                   {"waited_ms", now - wait_start}});
   co_return target;
 }
 
-// A request that ran at a target which broke off is not said to have not run.
-Refusal Pipeline::NoTarget(const RequestJob& job) const {
-  constexpr const char* kWhy = "no target can take the request now";
-  if (job.runs > 0) return MakeRefusal(RefusalCode::kTargetLost, kWhy);
+// If a target may have executed the request, the refusal must not tell the
+// caller that it did not run.
+Refusal Pipeline::NoTargetRefusal(const RequestJob& job) const {
+  constexpr const char* kMessage = "no target can take the request now";
+  if (job.executions > 0)
+    return MakeRefusal(RefusalCode::kTargetLost, kMessage);
   if (job.IsEngineWork()) {
-    return MakeRefusal(RefusalCode::kModelNotResident, kWhy, kRetryModel);
+    return MakeRefusal(RefusalCode::kModelNotResident, kMessage,
+                       kRetryAfterModelLoad);
   }
-  return MakeRefusal(RefusalCode::kTargetsBusy, kWhy, kRetryBusy);
+  return MakeRefusal(RefusalCode::kTargetsBusy, kMessage, kRetryAfterBusy);
 }
 
-// No answer can follow on this connection; an end without the last chunk tells
-// the caller that the stream is not whole.
-void Pipeline::BreakStream(RequestJob& job) {
-  this->Account(job, "stream broken", 0);
-  job.link.Abort("stream broken");
+// No other response can follow on this connection. Closing it without the last
+// chunk tells the caller that the stream is incomplete.
+void Pipeline::AbortStream(RequestJob& job) {
+  this->RecordOutcome(job, "stream broken", 0);
+  job.connection.Abort("stream broken");
 }
 
 asio::awaitable<void> Pipeline::Refuse(RequestJob& job, Refusal refusal) {
-  // A stream that was to go on at another target, and finds none. A refusal
-  // would stand in the middle of it, as bytes of no answer.
-  if (job.link.StreamBegun()) {
-    this->BreakStream(job);
+  // The caller has received a part of the stream, and no target can resume it.
+  // A refusal sent now would appear as bytes in the middle of the stream.
+  if (job.connection.StreamBegun()) {
+    this->AbortStream(job);
     co_return;
   }
   const RefusalRule& rule = RuleOf(refusal.code);
@@ -330,19 +345,21 @@
   HeaderFields fields = this->wire.answer_fields(job.request);
   fields.emplace_back("Content-Type", "application/json");
   if (rule.retry_later) {
-    // Callers honour fractions; whole seconds would keep them away for long
-    // after a place is free.
+    // Callers honour fractions of a second; rounded up to whole seconds, the
+    // delay would keep them waiting long after a target has room.
     const double seconds = std::min(absl::ToDoubleSeconds(refusal.retry_after),
-                                    kLongestRetryAfter);
+                                    kMaxRetryAfterSeconds);
     fields.emplace_back("Retry-After", fmt::format("{:.2f}", seconds));
   }
   const std::string body = RefusalBody(refusal, job.request.id);
-  co_await job.link.WriteAnswer(rule.http_status, std::move(fields), body);
+  co_await job.connection.WriteAnswer(rule.http_status, std::move(fields),
+                                      body);
   this->metrics.Count("refusals", fmt::format("code=\"{}\"", rule.name));
-  this->Account(job, rule.name, rule.http_status);
+  this->RecordOutcome(job, rule.name, rule.http_status);
 }
 
-void Pipeline::Account(RequestJob& job, std::string_view outcome, int status) {
+void Pipeline::RecordOutcome(RequestJob& job, std::string_view outcome,
+                             int status) {
   const Instant now = this->clock.Now();
   const absl::Duration first = job.first_output.value_or(now) - job.started;
   const std::string route = job.route == nullptr ? "" : job.route->name;
@@ -366,13 +383,13 @@
        {"tokens", job.request.use.Tokens()},
        {"candidates", static_cast<int>(job.candidates)},
        {"attempts", job.attempts},
-       {"quota_ms", job.admitted},
-       {"held_ms", job.held},
-       {"paced_ms", job.paced},
+       {"quota_ms", job.admission_time},
+       {"held_ms", job.target_wait},
+       {"paced_ms", job.pacing_time},
        {"expected_ms", job.expected_wait},
        {"first_ms", first},
        {"total_ms", now - job.started},
-       {"connection", job.link.EndedBy()}});
+       {"connection", job.connection.EndedBy()}});
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -30,8 +30,9 @@
 
 struct RequestJob;
 
-/// Serves one request: finds its route and workspace, admits it, chooses
-/// targets, forwards, and answers the caller. One event loop.
+/// Serves requests: finds the route and workspace of a request, checks the
+/// quota, chooses targets, forwards the request and responds to the caller.
+/// Runs on one event loop.
 class Pipeline {
  public:
   Pipeline(boost::asio::io_context& context, const GatewaySettings& settings,
@@ -39,19 +40,20 @@
            QuotaDesk& quotas, FleetChannel& channel, Metrics& metrics,
            EventLog& log, Tasks& tasks, Clock clock);
 
-  /// Answers a request on the link.
-  boost::asio::awaitable<void> Serve(CallerRequest request, CallerLink& link);
+  /// Serves the request and responds on the caller's connection.
+  boost::asio::awaitable<void> Serve(CallerRequest request,
+                                     CallerLink& connection);
 
-  /// The process stops; it ends at this time at the latest. Requests that
-  /// cannot be over by then are refused from a moment after the signal on.
-  void StopBy(Instant end);
+  /// Announces that the process ends at this time at the latest. After a short
+  /// grace period the pipeline refuses requests whose timeout ends later.
+  void BeginShutdown(Instant end);
 
-  /// Requests being served.
+  /// Number of requests in progress.
   int InFlight() const { return this->in_flight; }
 
  private:
-  /// What to do after an attempt.
-  enum class Next { kDone, kTryAnother };
+  /// The next step after an attempt.
+  enum class NextStep { kDone, kTryAnother };
 
   boost::asio::awaitable<void> ServeJob(RequestJob& job);
   boost::asio::awaitable<void> AnswerFailure(RequestJob& job,
@@ -59,40 +61,43 @@
   boost::asio::awaitable<std::optional<Refusal>> Admit(RequestJob& job);
   std::optional<Refusal> FindRoute(RequestJob& job);
   std::optional<Refusal> FindWorkspace(RequestJob& job);
-  boost::asio::awaitable<std::optional<Refusal>> TakeQuota(RequestJob& job);
-  bool EndsTooLate(const RequestJob& job) const;
+  boost::asio::awaitable<std::optional<Refusal>> AdmitToQuota(RequestJob& job);
+  bool OutlastsShutdown(const RequestJob& job) const;
   boost::asio::awaitable<void> Forward(RequestJob& job);
   boost::asio::awaitable<std::shared_ptr<TargetState>> FindTarget(
       RequestJob& job);
   boost::asio::awaitable<std::shared_ptr<TargetState>> Pace(
       RequestJob& job, std::shared_ptr<TargetState> target);
-  int MostAtTarget(const ServiceSpec& service) const;
+  int MaxInFlightAtTarget(const ServiceSpec& service) const;
   std::shared_ptr<TargetState> Choose(RequestJob& job);
-  std::shared_ptr<TargetState> ChooseAmong(RequestJob& job, bool all);
-  boost::asio::awaitable<Next> Attempt(RequestJob& job,
-                                       std::shared_ptr<TargetState> target);
-  boost::asio::awaitable<Next> Relay(RequestJob& job, TargetState& target,
-                                     TargetExchange& exchange,
-                                     const AnswerHead& head);
+  std::shared_ptr<TargetState> ChooseAmong(RequestJob& job,
+                                           bool include_avoided);
+  boost::asio::awaitable<NextStep> Attempt(RequestJob& job,
+                                           std::shared_ptr<TargetState> target);
+  boost::asio::awaitable<NextStep> Relay(RequestJob& job, TargetState& target,
+                                         TargetExchange& exchange,
+                                         const AnswerHead& head);
   boost::asio::awaitable<bool> RelayEvents(RequestJob& job,
                                            const AnswerHead& head,
                                            std::string_view events, bool ended);
-  boost::asio::awaitable<Next> AfterNotSent(RequestJob& job,
-                                            TargetState& target,
-                                            const NotSent& not_sent);
-  boost::asio::awaitable<Next> AfterDeclined(RequestJob& job,
+  boost::asio::awaitable<NextStep> AfterNotSent(RequestJob& job,
+                                                TargetState& target,
+                                                const NotSent& not_sent);
+  boost::asio::awaitable<NextStep> AfterDeclined(RequestJob& job,
+                                                 TargetState& target,
+                                                 const Declined& declined);
+  boost::asio::awaitable<NextStep> AfterLost(RequestJob& job,
                                              TargetState& target,
-                                             const Declined& declined);
-  boost::asio::awaitable<Next> AfterLost(RequestJob& job, TargetState& target,
-                                         const Lost& lost);
-  boost::asio::awaitable<Next> AfterWhole(RequestJob& job, TargetState& target,
-                                          const WholeAnswer& answer);
-  bool MayRepeat(RequestJob& job, bool has_run);
-  RetryBudget& RetriesOf(std::string_view service);
-  Refusal NoTarget(const RequestJob& job) const;
-  void BreakStream(RequestJob& job);
+                                             const Lost& lost);
+  boost::asio::awaitable<NextStep> AfterWhole(RequestJob& job,
+                                              TargetState& target,
+                                              const WholeAnswer& answer);
+  bool MayRetry(RequestJob& job, bool may_have_run);
+  RetryBudget& RetryBudgetOf(std::string_view service);
+  Refusal NoTargetRefusal(const RequestJob& job) const;
+  void AbortStream(RequestJob& job);
   boost::asio::awaitable<void> Refuse(RequestJob& job, Refusal refusal);
-  void Account(RequestJob& job, std::string_view outcome, int status);
+  void RecordOutcome(RequestJob& job, std::string_view outcome, int status);
 
   boost::asio::io_context& context;
   const GatewaySettings& settings;
@@ -105,11 +110,12 @@
   EventLog& log;
   Tasks& tasks;
   const Clock clock;
-  std::map<std::string, std::unique_ptr<RetryBudget>, std::less<>> retries;
+  std::map<std::string, std::unique_ptr<RetryBudget>, std::less<>>
+      retry_budgets;
   absl::BitGen random;
   int in_flight = 0;
-  std::optional<Instant> stop_begun;
-  std::optional<Instant> stop_end;
+  std::optional<Instant> shutdown_start;
+  std::optional<Instant> shutdown_deadline;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -1,4 +1,5 @@
-// The part of Pipeline that speaks to one target and judges what came of it.
+// The methods of Pipeline that send a request to one target and evaluate the
+// outcome.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,30 +17,31 @@
 
 namespace {
 
-// A target that answers at its deadline is given this much for the answer's
-// way back, so that its own word is passed on rather than a guess.
-constexpr absl::Duration kAnswerOnItsWay = absl::Milliseconds(30);
-// Less time than this is not worth another attempt.
-constexpr absl::Duration kLeastForAttempt = absl::Milliseconds(30);
-// Declined attempts cost a message each; a request that five targets have
-// declined meets a fleet that is full.
-constexpr int kMostAttempts = 5;
-// The part of the fleet's retries that instances hand out, each an equal
-// share: the rest covers instances that come and go.
+// Network delay allowed for a response that a target sends exactly at the
+// deadline, so that the caller gets this response rather than a timeout.
+constexpr absl::Duration kResponseTravelTime = absl::Milliseconds(30);
+// With less time left, another attempt has no chance to finish.
+constexpr absl::Duration kMinAttemptTime = absl::Milliseconds(30);
+// Each declined attempt costs a message; if five targets have declined, all
+// targets are probably full.
+constexpr int kMaxAttempts = 5;
+// The share of the fleet's retries that the instances use, divided equally. The
+// rest covers instances that join or leave.
 constexpr double kUsedRetries = 0.7;
-// A retry budget counts over windows that slide; saving up a window's worth
-// would allow two in one window.
+// The limit on retries holds over any window, wherever it starts. A budget that
+// saves up a whole window's retries could spend two windows' worth in one.
 constexpr double kUsedRetryShare = 0.8;
 
 bool IsSuccess(int status) { return status >= 200 && status < 300; }
 
-// Statuses that promise that a request has not run. Coming from a target
-// without its mark they promise nothing, so they must not be passed on.
-bool IsPromise(int status) {
+// Statuses that tell a caller that its request was not executed. A target's
+// response with such a status but without the not-executed field does not prove
+// that, so it must not be forwarded.
+bool ImpliesNotExecuted(int status) {
   return status == 408 || status == 421 || status == 429 || status == 503;
 }
 
-// Counts a request at a target for as long as it is there.
+// Counts a request as in flight at a target during its lifetime.
 class InFlightGuard {
  public:
   InFlightGuard(TargetState& target, double tokens, std::string resident,
@@ -55,8 +57,8 @@
   InFlightGuard& operator=(const InFlightGuard&) = delete;
 
   void FirstOutput() {
-    if (this->seen) return;
-    this->seen = true;
+    if (this->prompt_done) return;
+    this->prompt_done = true;
     this->target.FirstOutput(this->tokens);
   }
 
@@ -64,17 +66,17 @@
   TargetState& target;
   const double tokens;
   const std::string resident;
-  bool seen = false;
+  bool prompt_done = false;
 };
 
 }  // namespace
 
-asio::awaitable<Pipeline::Next> Pipeline::Attempt(
+asio::awaitable<Pipeline::NextStep> Pipeline::Attempt(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const Instant now = this->clock.Now();
   TargetStamp stamp;
   stamp.target = target->Record().id;
-  stamp.time_left = job.give_up - now;
+  stamp.time_left = job.deadline - now;
   stamp.resume_after = job.events.LastId().empty()
                            ? job.request.resume_after
                            : std::optional<std::string>(job.events.LastId());
@@ -99,13 +101,13 @@
   if (job.IsEngineWork()) {
     this->channel.NoteSent(job.target, job.UnreadTokens());
   }
-  ExchangeOutcome outcome =
-      co_await exchange.Run(address, job.request.id, std::move(head),
-                            job.request.body, job.give_up + kAnswerOnItsWay);
+  ExchangeOutcome outcome = co_await exchange.Run(
+      address, job.request.id, std::move(head), job.request.body,
+      job.deadline + kResponseTravelTime);
   guard.FirstOutput();
   this->metrics.Count(exchange.Reused() ? "target_connections_reused"
                                         : "target_connections");
-  Next next = Next::kDone;
+  NextStep next = NextStep::kDone;
   if (const auto* not_sent = std::get_if<NotSent>(&outcome)) {
     next = co_await this->AfterNotSent(job, *target, *not_sent);
   } else if (const auto* declined = std::get_if<Declined>(&outcome)) {
@@ -113,15 +115,15 @@
     next = co_await this->AfterDeclined(job, *target, *declined);
   } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
     job.attempts += 1;
-    job.runs += 1;
+    job.executions += 1;
     next = co_await this->AfterLost(job, *target, *lost);
-  } else if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
+  } else if (const auto* response = std::get_if<WholeAnswer>(&outcome)) {
     job.attempts += 1;
-    job.runs += 1;
-    next = co_await this->AfterWhole(job, *target, *whole);
+    job.executions += 1;
+    next = co_await this->AfterWhole(job, *target, *response);
   } else {
     job.attempts += 1;
-    job.runs += 1;
+    job.executions += 1;
     next = co_await this->Relay(job, *target, exchange,
                                 std::get<StreamHead>(outcome).head);
   }
@@ -129,27 +131,27 @@
   co_return next;
 }
 
-bool Pipeline::MayRepeat(RequestJob& job, bool has_run) {
+bool Pipeline::MayRetry(RequestJob& job, bool may_have_run) {
   const Instant now = this->clock.Now();
-  if (job.give_up - now < kLeastForAttempt) return false;
-  if (job.attempts >= kMostAttempts) return false;
-  if (has_run && !job.MayRunAgain()) return false;
-  if (has_run && job.runs >= job.route->max_targets) return false;
-  if (this->RetriesOf(job.service->name).TakeRetry()) return true;
+  if (job.deadline - now < kMinAttemptTime) return false;
+  if (job.attempts >= kMaxAttempts) return false;
+  if (may_have_run && !job.MayRunAgain()) return false;
+  if (may_have_run && job.executions >= job.route->max_targets) return false;
+  if (this->RetryBudgetOf(job.service->name).TakeRetry()) return true;
   this->metrics.Count("retries_refused");
-  this->log.Write("retry", "no budget",
+  this->log.Write("retry", "retry budget is empty",
                   {{"id", job.request.id}, {"service", job.service->name}});
   return false;
 }
 
-RetryBudget& Pipeline::RetriesOf(std::string_view service) {
-  const auto found = this->retries.find(service);
-  if (found != this->retries.end()) return *found->second;
+RetryBudget& Pipeline::RetryBudgetOf(std::string_view service) {
+  const auto found = this->retry_budgets.find(service);
+  if (found != this->retry_budgets.end()) return *found->second;
   const int instances =
       std::max<int>(1, static_cast<int>(this->fleet.ListedInstances().size()));
   const double reserve =
       std::max(1.0, kUsedRetries * this->settings.retry_slack / instances);
-  return *this->retries
+  return *this->retry_budgets
               .emplace(
                   std::string(service),
                   std::make_unique<RetryBudget>(
@@ -157,11 +159,11 @@
               .first->second;
 }
 
-asio::awaitable<Pipeline::Next> Pipeline::AfterNotSent(
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterNotSent(
     RequestJob& job, TargetState& target, const NotSent& not_sent) {
-  if (job.link.Left()) {
-    this->Account(job, "caller left", 0);
-    co_return Next::kDone;
+  if (job.connection.Left()) {
+    this->RecordOutcome(job, "caller left", 0);
+    co_return NextStep::kDone;
   }
   target.Learn(TargetResult::kUnreachable, this->clock.Now());
   this->log.Write(
@@ -170,21 +172,22 @@
   job.not_sent += 1;
   job.unreachable.insert(job.target);
   if (not_sent.refused) this->channel.ReportRefusing(job.target);
-  const bool time_left = job.give_up - this->clock.Now() >= kLeastForAttempt;
-  if (time_left && job.not_sent < kMostAttempts) co_return Next::kTryAnother;
-  Refusal refusal = MakeRefusal(job.runs > 0 ? RefusalCode::kTargetLost
-                                             : RefusalCode::kTargetsUnreachable,
-                                "no target could be reached");
+  const bool time_left = job.deadline - this->clock.Now() >= kMinAttemptTime;
+  if (time_left && job.not_sent < kMaxAttempts) co_return NextStep::kTryAnother;
+  Refusal refusal =
+      MakeRefusal(job.executions > 0 ? RefusalCode::kTargetLost
+                                     : RefusalCode::kTargetsUnreachable,
+                  "no target could be reached");
   co_await this->Refuse(job, std::move(refusal));
-  co_return Next::kDone;
+  co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::Next> Pipeline::AfterDeclined(
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterDeclined(
     RequestJob& job, TargetState& target, const Declined& declined) {
   const Instant now = this->clock.Now();
-  if (job.link.Left()) {
-    this->Account(job, "caller left", 0);
-    co_return Next::kDone;
+  if (job.connection.Left()) {
+    this->RecordOutcome(job, "caller left", 0);
+    co_return NextStep::kDone;
   }
   if (declined.head.load.has_value()) {
     target.Reported(*declined.head.load, now);
@@ -204,20 +207,20 @@
                    {"target", job.target},
                    {"status", declined.head.status},
                    {"attempts", job.attempts}});
-  if (this->MayRepeat(job, false)) co_return Next::kTryAnother;
+  if (this->MayRetry(job, false)) co_return NextStep::kTryAnother;
   Refusal refusal = MakeRefusal(
-      job.runs > 0 ? RefusalCode::kTargetLost : RefusalCode::kTargetsBusy,
+      job.executions > 0 ? RefusalCode::kTargetLost : RefusalCode::kTargetsBusy,
       "the targets have no place for the request");
   co_await this->Refuse(job, std::move(refusal));
-  co_return Next::kDone;
+  co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::Next> Pipeline::AfterLost(RequestJob& job,
-                                                    TargetState& target,
-                                                    const Lost& lost) {
-  if (job.link.Left()) {
-    this->Account(job, "caller left", 0);
-    co_return Next::kDone;
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterLost(RequestJob& job,
+                                                        TargetState& target,
+                                                        const Lost& lost) {
+  if (job.connection.Left()) {
+    this->RecordOutcome(job, "caller left", 0);
+    co_return NextStep::kDone;
   }
   target.Learn(TargetResult::kFault, this->clock.Now());
   this->log.Write("request", "lost",
@@ -227,91 +230,91 @@
                    {"last_event", job.events.LastId()},
                    {"attempts", job.attempts}});
   job.events.Restart();
-  // Events without ids cannot be gone on from.
+  // A stream whose events have no ids cannot be resumed.
   const bool resumable =
-      !job.link.StreamBegun() || !job.events.LastId().empty();
-  if (!lost.timed_out && resumable && this->MayRepeat(job, true)) {
-    co_return Next::kTryAnother;
+      !job.connection.StreamBegun() || !job.events.LastId().empty();
+  if (!lost.timed_out && resumable && this->MayRetry(job, true)) {
+    co_return NextStep::kTryAnother;
   }
   Refusal refusal =
       lost.timed_out
           ? MakeRefusal(RefusalCode::kTargetTimeout, "no answer in time")
           : MakeRefusal(RefusalCode::kTargetLost, "the target broke off");
   co_await this->Refuse(job, std::move(refusal));
-  co_return Next::kDone;
+  co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::Next> Pipeline::AfterWhole(
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterWhole(
     RequestJob& job, TargetState& target, const WholeAnswer& answer) {
   const Instant now = this->clock.Now();
   const AnswerHead& head = answer.head;
   if (head.load.has_value()) target.Reported(*head.load, now);
-  const bool unsound =
-      head.encoded ||
-      (IsSuccess(head.status) && (!head.is_signed || job.link.StreamBegun()));
-  if (unsound) {
-    const Lost lost{"not its answer"};
+  const bool invalid =
+      head.encoded || (IsSuccess(head.status) &&
+                       (!head.is_signed || job.connection.StreamBegun()));
+  if (invalid) {
+    const Lost lost{"response is unsigned, encoded or not a stream"};
     co_return co_await this->AfterLost(job, target, lost);
   }
-  if (IsPromise(head.status)) {
-    const Lost lost{"refused without a mark"};
+  if (ImpliesNotExecuted(head.status)) {
+    const Lost lost{"refusal status without the not-executed field"};
     co_return co_await this->AfterLost(job, target, lost);
   }
   const bool failed = head.status >= 500;
   target.Learn(failed ? TargetResult::kFault : TargetResult::kSound, now);
   job.first_output = now;
-  if (failed && this->MayRepeat(job, true)) {
+  if (failed && this->MayRetry(job, true)) {
     this->log.Write("request", "failed at target",
                     {{"id", job.request.id},
                      {"target", job.target},
                      {"status", head.status}});
-    co_return Next::kTryAnother;
+    co_return NextStep::kTryAnother;
   }
-  if (job.link.StreamBegun()) {
-    this->BreakStream(job);
-    co_return Next::kDone;
+  if (job.connection.StreamBegun()) {
+    this->AbortStream(job);
+    co_return NextStep::kDone;
   }
-  const bool written =
-      co_await job.link.WriteAnswer(head.status, head.passed_on, answer.body);
-  this->Account(job, written ? "answered" : "caller left", head.status);
-  co_return Next::kDone;
+  const bool written = co_await job.connection.WriteAnswer(
+      head.status, head.passed_on, answer.body);
+  this->RecordOutcome(job, written ? "answered" : "caller left", head.status);
+  co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::Next> Pipeline::Relay(RequestJob& job,
-                                                TargetState& target,
-                                                TargetExchange& exchange,
-                                                const AnswerHead& head) {
+asio::awaitable<Pipeline::NextStep> Pipeline::Relay(RequestJob& job,
+                                                    TargetState& target,
+                                                    TargetExchange& exchange,
+                                                    const AnswerHead& head) {
   if (head.load.has_value()) {
     target.Reported(*head.load, this->clock.Now());
   }
   if (!IsSuccess(head.status) || !head.is_signed || head.encoded) {
-    const Lost lost{"not its stream"};
+    const Lost lost{"stream is unsigned, encoded or has an error status"};
     co_return co_await this->AfterLost(job, target, lost);
   }
   while (true) {
-    const StreamPiece piece = co_await exchange.Read();
-    if (const auto* lost = std::get_if<Lost>(&piece)) {
+    const StreamPiece result = co_await exchange.Read();
+    if (const auto* lost = std::get_if<Lost>(&result)) {
       co_return co_await this->AfterLost(job, target, *lost);
     }
-    const bool ended = std::holds_alternative<StreamEnded>(piece);
+    const bool ended = std::holds_alternative<StreamEnded>(result);
     const std::string_view events =
         ended ? std::string_view()
-              : job.events.Add(std::get<StreamBytes>(piece).bytes);
+              : job.events.Add(std::get<StreamBytes>(result).bytes);
     if (job.events.OutOfOrder() || (ended && job.events.HasPartial())) {
-      exchange.Abort("events out of order or cut");
-      const Lost cut{"events out of order or cut"};
-      co_return co_await this->AfterLost(job, target, cut);
+      exchange.Abort("stream events out of order or incomplete");
+      const Lost broken{"stream events out of order or incomplete"};
+      co_return co_await this->AfterLost(job, target, broken);
     }
     const bool written = co_await this->RelayEvents(job, head, events, ended);
     if (!written) {
       exchange.Abort("caller left");
-      this->Account(job, "caller left", head.status);
-      co_return Next::kDone;
+      this->RecordOutcome(job, "caller left", head.status);
+      co_return NextStep::kDone;
     }
     if (!ended) continue;
     target.Learn(TargetResult::kSound, this->clock.Now());
-    this->Account(job, "answered", head.status);
-    co_return Next::kDone;
+    this->RecordOutcome(job, "answered", head.status);
+    co_return NextStep::kDone;
   }
 }
 
@@ -322,14 +325,14 @@
   if (!events.empty() && !job.first_output.has_value()) {
     job.first_output = this->clock.Now();
   }
-  bool written = !job.link.Left();
-  if (!job.link.StreamBegun() && (!events.empty() || ended)) {
-    written =
-        co_await job.link.BeginStream(head.status, head.passed_on, events);
+  bool written = !job.connection.Left();
+  if (!job.connection.StreamBegun() && (!events.empty() || ended)) {
+    written = co_await job.connection.BeginStream(head.status, head.passed_on,
+                                                  events);
   } else if (!events.empty()) {
-    written = co_await job.link.WritePart(events);
+    written = co_await job.connection.WritePart(events);
   }
-  if (written && ended) written = co_await job.link.EndStream();
+  if (written && ended) written = co_await job.connection.EndStream();
   co_return written;
 }
 
--- a/dragonflyglade/gateway/request_job.cc
+++ b/dragonflyglade/gateway/request_job.cc
@@ -7,8 +7,8 @@
 
 namespace dragonflyglade::gateway {
 
-// The last part of a prompt is the request's own or its session's; all before
-// it are shared.
+// The last part of a prompt belongs to the request or its session; other
+// requests share the parts before it.
 double RequestJob::SharedTokens() const {
   const auto& parts = this->request.use.parts;
   double tokens = 0;
--- a/dragonflyglade/gateway/request_job.h
+++ b/dragonflyglade/gateway/request_job.h
@@ -20,63 +20,70 @@
 
 namespace dragonflyglade::gateway {
 
-/// A request on its way through the pipeline.
+/// The state of one request in the pipeline.
 struct RequestJob {
   CallerRequest request;
-  CallerLink& link;
+  CallerLink& connection;
   std::shared_ptr<const GatewayConfig> config;
   const Route* route = nullptr;
   const WorkspaceSpec* workspace = nullptr;
   const ServiceSpec* service = nullptr;
   double cost = 0;
   Instant started;
-  Instant give_up;
-  int attempts = 0;  ///< targets that it was sent to
-  int runs = 0;      ///< targets where it may have run
-  int not_sent = 0;  ///< targets that it could not be sent to
-  std::set<std::string> tried;
-  std::set<std::string> unreachable;  ///< targets that it could not reach
-  std::string target;
+  Instant deadline;
+  int attempts = 0;             ///< times that the request was sent to a target
+  int executions = 0;           ///< attempts that a target may have executed
+  int not_sent = 0;             ///< attempts of which no byte was sent
+  std::set<std::string> tried;  ///< ids of targets
+  std::set<std::string> unreachable;  ///< ids of targets
+  std::string target;                 ///< id of the last target
   TargetExchange* exchange = nullptr;
   EventSplitter events;
   std::optional<Instant> first_output;
-  absl::Duration expected_wait;
-  absl::Duration admitted;  ///< until its quota was decided
-  absl::Duration held;      ///< waiting for a target
-  absl::Duration paced;     ///< held back so that streams at its target go on
-  std::size_t candidates = 0;
+  absl::Duration expected_wait;   ///< at the chosen target
+  absl::Duration admission_time;  ///< time until the quota decision
+  absl::Duration target_wait;     ///< time spent waiting for a target
+  absl::Duration pacing_time;     ///< time spent in pacing, see PacingHold
+  std::size_t candidates = 0;     ///< targets considered in the last choice
 
-  RequestJob(CallerRequest request, CallerLink& link)
-      : request(std::move(request)), link(link) {}
+  RequestJob(CallerRequest request, CallerLink& connection)
+      : request(std::move(request)), connection(connection) {}
 
   bool IsEngineWork() const { return !this->request.use.model.empty(); }
-  /// Whether it may run at another target after it may have run at one.
+  /// Whether the request may be repeated at another target after a target may
+  /// have executed it.
   bool MayRunAgain() const {
     return this->route->MayRunAgain() || this->route->resumable;
   }
-  /// Prompt tokens that other requests share.
+  /// Tokens of the prompt prefix that other requests share.
   double SharedTokens() const;
-  /// Names the shared part; empty if there is none.
+  /// Id of the shared prompt prefix; empty if there is none.
   std::string_view SharedId() const;
-  /// The model or adapter that it needs; empty at plain services.
+  /// ResidentKey of the model or adapter that the request needs; empty if the
+  /// service has no engines.
   std::string Resident() const {
     const ModelUse& use = this->request.use;
     return this->IsEngineWork() ? ResidentKey(use.model, use.adapter) : "";
   }
-  /// Prompt tokens that the target is expected to read.
+  /// Prompt tokens that the target is expected to process, cached ones not
+  /// counted.
   double UnreadTokens() const;
 };
 
-/// When a caller should come back, by what has to happen until then.
-inline constexpr absl::Duration kRetryBusy = absl::Milliseconds(500);
-inline constexpr absl::Duration kRetryModel = absl::Seconds(2);
-inline constexpr absl::Duration kRetryNotReady = absl::Seconds(1);
-/// Another instance can be asked at once.
-inline constexpr absl::Duration kRetryElsewhere = absl::Milliseconds(50);
+// Values of Retry-After by the cause of a refusal.
 
-/// A refusal with when to come back, for codes that say so.
+/// All targets are busy.
+inline constexpr absl::Duration kRetryAfterBusy = absl::Milliseconds(500);
+/// The model has to be loaded first.
+inline constexpr absl::Duration kRetryAfterModelLoad = absl::Seconds(2);
+/// The instance has no configuration yet.
+inline constexpr absl::Duration kRetryAfterNotReady = absl::Seconds(1);
+/// Another instance can serve the request at once.
+inline constexpr absl::Duration kRetryAtOtherInstance = absl::Milliseconds(50);
+
+/// Makes a refusal. The retry delay is sent only with codes that allow a retry.
 Refusal MakeRefusal(RefusalCode code, std::string message,
-                    absl::Duration retry_after = kRetryBusy);
+                    absl::Duration retry_after = kRetryAfterBusy);
 
 }  // namespace dragonflyglade::gateway
 
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -26,36 +26,38 @@
 
 namespace {
 
-// A target in the region answers a connection request in milliseconds; one
-// lost packet is sent again after a second, which is not worth the wait
-// where another target can be asked.
+// A target in the same region accepts a connection within milliseconds. TCP
+// retransmits a lost SYN packet after a second; trying another target is
+// faster.
 constexpr absl::Duration kConnectTimeout = absl::Milliseconds(400);
-// Written bytes that are not acknowledged for so long end the connection: a
-// target that lost power would otherwise look like a slow one.
-constexpr absl::Duration kUnacknowledged = absl::Seconds(2);
-// An extra answer may stand where this request's is expected; more than one
-// means that the connection is of no use.
-constexpr int kMostForeignAnswers = 2;
+// The kernel closes a connection whose sent bytes stay unacknowledged for this
+// long. Otherwise a target that lost power would look like a slow one.
+constexpr absl::Duration kTcpUserTimeout = absl::Seconds(2);
+// Interim responses and responses to other requests that are skipped before the
+// connection is given up. A single late duplicate may precede the expected
+// response; more of them mean that the connection is unusable.
+constexpr int kMaxSkippedResponses = 2;
 constexpr std::size_t kReadBytes = 16384;
-constexpr std::uint32_t kMostHeadBytes = 65536;
-// Answers of plain services are some kilobytes.
-constexpr std::uint64_t kMostBodyBytes = 16u << 20;
+constexpr std::uint32_t kMaxHeadBytes = 65536;
+// Responses of services without engines are some kilobytes long.
+constexpr std::uint64_t kMaxBodyBytes = 16u << 20;
 
-void SetOptions(tcp::socket& socket) {
-  // Failing options change timing only, never an outcome.
+void SetSocketOptions(tcp::socket& socket) {
+  // Errors are ignored: the options affect timing only, not the outcome.
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
-  const int unacknowledged =
-      static_cast<int>(absl::ToInt64Milliseconds(kUnacknowledged));
-  setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT,
-             &unacknowledged, sizeof unacknowledged);
+  const int timeout_ms =
+      static_cast<int>(absl::ToInt64Milliseconds(kTcpUserTimeout));
+  setsockopt(socket.native_handle(), IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+             sizeof timeout_ms);
 }
 
 }  // namespace
 
-// What the write of the request uses. It lives as long as the write, which
-// may end after the exchange when a target answers before reading all.
-struct TargetExchange::Written {
+// State of the write operation of the request. It is shared with the write's
+// handler, since the write may outlast the exchange if a target responds before
+// it has read the whole request.
+struct TargetExchange::RequestWrite {
   std::shared_ptr<TargetConnection> connection;
   std::string head;
   std::string body;
@@ -70,7 +72,7 @@
       pool(pool),
       wire(wire),
       clock(std::move(clock)),
-      timer(context, this->clock, [this] { return this->BytesWait(); }) {}
+      timer(context, this->clock, [this] { return this->HasUnreadBytes(); }) {}
 
 TargetExchange::~TargetExchange() {
   if (this->connection != nullptr) {
@@ -79,7 +81,7 @@
   }
 }
 
-bool TargetExchange::BytesWait() const {
+bool TargetExchange::HasUnreadBytes() const {
   return this->connection != nullptr &&
          PeekSocket(this->connection->socket) == SocketState::kBytes;
 }
@@ -91,9 +93,9 @@
   });
 }
 
-void TargetExchange::BytesCame() {
-  if (!this->stalled.has_value()) return;
-  const Instant next = this->clock.Now() + *this->stalled;
+void TargetExchange::RestartStallTimeout() {
+  if (!this->stall_timeout.has_value()) return;
+  const Instant next = this->clock.Now() + *this->stall_timeout;
   this->StartStep(std::max(this->give_up, next), "the answer stalled");
 }
 
@@ -105,7 +107,7 @@
   this->connection->socket.close(ignored);
 }
 
-Lost TargetExchange::LostBy(const error_code& error) const {
+Lost TargetExchange::LostAfter(const error_code& error) const {
   if (!this->aborted_by.empty()) return {this->aborted_by, this->timed_out};
   return {error.message(), false};
 }
@@ -136,40 +138,40 @@
     const bool refused = error == asio::error::connection_refused;
     co_return NotSent{error.message(), refused};
   }
-  SetOptions(this->connection->socket);
+  SetSocketOptions(this->connection->socket);
   co_return std::nullopt;
 }
 
 void TargetExchange::StartWriting(std::string head, std::string_view body) {
-  this->written = std::make_shared<Written>();
-  this->written->connection = this->connection;
-  this->written->head = std::move(head);
-  // The caller's body outlives neither the exchange nor the write for sure.
-  this->written->body = std::string(body);
+  this->write = std::make_shared<RequestWrite>();
+  this->write->connection = this->connection;
+  this->write->head = std::move(head);
+  // A copy, since the write may outlast the caller's body.
+  this->write->body = std::string(body);
   const std::array<asio::const_buffer, 2> buffers = {
-      asio::buffer(this->written->head), asio::buffer(this->written->body)};
-  // The answer is read at the same time: a target may answer before it has
-  // read a long body, and would block the write while nobody reads.
+      asio::buffer(this->write->head), asio::buffer(this->write->body)};
+  // The write is not awaited: the response is read concurrently, because a
+  // target that responds before it has read a long body may block the write
+  // until its response is read.
   asio::async_write(
       this->connection->socket, buffers,
-      [written = this->written](const error_code& error, std::size_t bytes) {
-        written->done = true;
-        written->error = error;
-        written->bytes = bytes;
+      [write = this->write](const error_code& error, std::size_t bytes) {
+        write->done = true;
+        write->error = error;
+        write->bytes = bytes;
       });
 }
 
 asio::awaitable<std::optional<Lost>> TargetExchange::ReadOneHead() {
   this->parser.emplace();
-  this->parser->header_limit(kMostHeadBytes);
-  // Whole bodies are bounded where they are collected; streams need not be.
+  this->parser->header_limit(kMaxHeadBytes);
+  // ReadBody limits the size of complete bodies; streams have no limit.
   this->parser->body_limit(std::numeric_limits<std::uint64_t>::max());
   error_code error;
   co_await http::async_read_header(
       this->connection->socket, this->connection->buffer, *this->parser,
       asio::redirect_error(asio::use_awaitable, error));
-  if (error) co_return this->LostBy(error);
-  // Interim answers carry nothing that is passed on.
+  if (error) co_return this->LostAfter(error);
   this->head = this->wire.decode_answer(
       HeadText<false>(this->parser->get().base(), this->parser->keep_alive()));
   co_return std::nullopt;
@@ -177,40 +179,42 @@
 
 asio::awaitable<std::optional<Lost>> TargetExchange::ReadHead(
     std::string_view request_id) {
-  for (int foreign = 0; foreign <= kMostForeignAnswers; ++foreign) {
+  for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
     std::optional<Lost> lost = co_await this->ReadOneHead();
     if (lost.has_value()) co_return lost;
     constexpr int kFirstFinalStatus = 200;
+    // Interim responses (1xx) carry nothing that is forwarded.
     if (this->head.status < kFirstFinalStatus) continue;
     const bool named = !this->head.request_id.empty();
     if (!named || this->head.request_id == request_id) co_return std::nullopt;
-    // The late second answer to an earlier request on this connection. It is
-    // read to its end and dropped; this request's own answer follows.
+    // A late duplicate response to an earlier request on this connection. It is
+    // read to its end and discarded; this request's own response follows.
     std::string dropped;
     lost = co_await this->ReadBody(dropped);
     if (lost.has_value()) co_return lost;
   }
-  co_return Lost{"answers to other requests", false};
+  co_return Lost{"got only responses to other requests", false};
 }
 
 asio::awaitable<std::optional<Lost>> TargetExchange::ReadBody(
     std::string& body) {
-  std::array<char, kReadBytes> space;
+  std::array<char, kReadBytes> chunk;
   while (!this->parser->is_done()) {
     auto& buffer = this->parser->get().body();
-    buffer.data = space.data();
-    buffer.size = space.size();
+    buffer.data = chunk.data();
+    buffer.size = chunk.size();
     buffer.more = true;
     error_code error;
     co_await http::async_read_some(
         this->connection->socket, this->connection->buffer, *this->parser,
         asio::redirect_error(asio::use_awaitable, error));
-    body.append(space.data(), space.size() - buffer.size);
+    body.append(chunk.data(), chunk.size() - buffer.size);
     if (error && error != http::error::need_buffer) {
-      co_return this->LostBy(error);
+      co_return this->LostAfter(error);
     }
-    this->BytesCame();
-    if (body.size() > kMostBodyBytes) co_return Lost{"answer too long", false};
+    this->RestartStallTimeout();
+    if (body.size() > kMaxBodyBytes)
+      co_return Lost{"response body too large", false};
   }
   co_return std::nullopt;
 }
@@ -225,7 +229,7 @@
   this->StartWriting(std::move(head), body);
   std::optional<Lost> lost = co_await this->ReadHead(request_id);
   if (lost.has_value()) {
-    if (this->written->done && this->written->bytes == 0) {
+    if (this->write->done && this->write->bytes == 0) {
       co_return NotSent{"nothing could be written: " + lost->why};
     }
     co_return *lost;
@@ -233,16 +237,16 @@
   if (this->head.event_stream && !this->head.not_executed) {
     co_return StreamHead{this->head};
   }
-  std::string answer;
-  lost = co_await this->ReadBody(answer);
+  std::string response_body;
+  lost = co_await this->ReadBody(response_body);
   if (this->head.not_executed) {
-    // The mark alone decides; the body says nothing that is passed on.
+    // The not-executed field alone decides; the body is not forwarded.
     if (!lost.has_value()) this->Finish();
     co_return Declined{this->head};
   }
   if (lost.has_value()) co_return *lost;
   this->Finish();
-  co_return WholeAnswer{this->head, std::move(answer)};
+  co_return WholeAnswer{this->head, std::move(response_body)};
 }
 
 asio::awaitable<StreamPiece> TargetExchange::Read() {
@@ -250,33 +254,34 @@
     this->Finish();
     co_return StreamEnded{};
   }
-  this->piece.resize(kReadBytes);
+  this->read_buffer.resize(kReadBytes);
   auto& buffer = this->parser->get().body();
-  buffer.data = this->piece.data();
-  buffer.size = this->piece.size();
+  buffer.data = this->read_buffer.data();
+  buffer.size = this->read_buffer.size();
   buffer.more = true;
   error_code error;
   co_await http::async_read_some(
       this->connection->socket, this->connection->buffer, *this->parser,
       asio::redirect_error(asio::use_awaitable, error));
-  const std::size_t got = this->piece.size() - buffer.size;
-  if (got > 0) {
-    // An error that came with bytes shows again at the next read.
-    co_return StreamBytes{std::string_view(this->piece.data(), got)};
+  const std::size_t bytes_read = this->read_buffer.size() - buffer.size;
+  if (bytes_read > 0) {
+    // The next read returns an error that came together with bytes.
+    co_return StreamBytes{
+        std::string_view(this->read_buffer.data(), bytes_read)};
   }
   if (error && error != http::error::need_buffer) {
-    co_return this->LostBy(error);
+    co_return this->LostAfter(error);
   }
   co_return StreamBytes{};
 }
 
 void TargetExchange::Finish() {
   this->timer.Stop();
-  const bool sound = this->parser->is_done() && this->written->done &&
-                     !this->written->error && !this->head.closes &&
-                     this->connection->buffer.size() == 0 &&
-                     this->aborted_by.empty();
-  if (sound) {
+  const bool reusable = this->parser->is_done() && this->write->done &&
+                        !this->write->error && !this->head.closes &&
+                        this->connection->buffer.size() == 0 &&
+                        this->aborted_by.empty();
+  if (reusable) {
     this->pool.Return(std::move(this->connection), this->head.keep_alive,
                       this->clock.Now());
   }
--- a/dragonflyglade/gateway/target_exchange.h
+++ b/dragonflyglade/gateway/target_exchange.h
@@ -19,44 +19,46 @@
 
 namespace dragonflyglade::gateway {
 
-/// Not one byte of the request left this instance: it did not run.
+/// No byte of the request was sent, so the target did not execute it.
 struct NotSent {
   std::string why;
-  bool refused = false;  ///< nobody listens there: the process has ended
+  bool refused = false;  ///< connection refused: no process listens there
 };
-/// The target says itself that it did not run the request.
+/// The target states that it did not execute the request.
 struct Declined {
   AnswerHead head;
 };
-/// The request left and no sound answer came: it may have run.
+/// The request was sent, but no valid response arrived: its outcome is unknown,
+/// the target may have executed it.
 struct Lost {
   std::string why;
   bool timed_out = false;
 };
-/// A whole answer, of the length that it states, to this request.
+/// A complete response to this request, of the length that it states.
 struct WholeAnswer {
   AnswerHead head;
   std::string body;
 };
-/// The head of a stream of events; its bytes are read one by one.
+/// The head of an event stream; Read returns the body.
 struct StreamHead {
   AnswerHead head;
 };
 using ExchangeOutcome =
     std::variant<NotSent, Declined, Lost, WholeAnswer, StreamHead>;
 
-/// The next bytes of a stream.
+/// The next bytes of a stream's body.
 struct StreamBytes {
   std::string_view bytes;  ///< valid until the next read
 };
-/// The stream ended as its framing says it should.
+/// The stream ended completely, by its framing.
 struct StreamEnded {};
 using StreamPiece = std::variant<StreamBytes, StreamEnded, Lost>;
 
-/// One request to one target on one connection. One event loop.
+/// Exchanges one request and its response with one target on one connection.
+/// Runs on one event loop.
 ///
-/// The connection goes back to the pool only if all of the request was
-/// written, the answer ended by its own framing, and nothing followed it.
+/// The connection returns to the pool only if the whole request was written,
+/// the response ended by its own framing, and no bytes followed it.
 class TargetExchange {
  public:
   TargetExchange(boost::asio::io_context& context, ConnectionPool& pool,
@@ -65,32 +67,38 @@
   TargetExchange(const TargetExchange&) = delete;
   TargetExchange& operator=(const TargetExchange&) = delete;
 
-  /// Sends the request and reads the answer, or the head of a stream.
-  /// @param address IP number and port
-  /// @param give_up when to stop waiting for the whole exchange
+  /// Sends the request and reads the response, or the head of a stream.
+  /// @param address IP address and port of the target
+  /// @param request_id id that the response must carry, if it carries one
+  /// @param head request line and header fields, with the blank line
+  /// @param give_up deadline of the whole exchange
   boost::asio::awaitable<ExchangeOutcome> Run(std::string_view address,
                                               std::string_view request_id,
                                               std::string head,
                                               std::string_view body,
                                               Instant give_up);
 
-  /// From the head on, Run waits past its end for as long as bytes of the
-  /// answer come, none later than this after the one before. Called before Run.
-  void WaitWhileBytesCome(absl::Duration stalled) { this->stalled = stalled; }
+  /// Lets Run continue past its deadline while the response's body arrives, as
+  /// long as the gap between two reads is no longer than this timeout. To be
+  /// called before Run.
+  void WaitWhileBytesCome(absl::Duration timeout) {
+    this->stall_timeout = timeout;
+  }
 
-  /// The next part of a stream, after Run gave a StreamHead.
+  /// Reads the next bytes of a stream, after Run returned a StreamHead.
   boost::asio::awaitable<StreamPiece> Read();
 
-  /// Ends the exchange from outside: closes the connection.
+  /// Closes the connection, which ends a running exchange.
+  /// @param why reason, reported in the outcome
   void Abort(std::string_view why);
 
-  /// Whether the exchange took a connection that was kept from another one.
+  /// Whether the exchange used a pooled connection.
   bool Reused() const { return this->reused; }
 
  private:
   using Parser =
       boost::beast::http::response_parser<boost::beast::http::buffer_body>;
-  struct Written;
+  struct RequestWrite;
 
   boost::asio::awaitable<std::optional<NotSent>> Connect(
       std::string_view address, Instant give_up);
@@ -100,9 +108,9 @@
   boost::asio::awaitable<std::optional<Lost>> ReadOneHead();
   boost::asio::awaitable<std::optional<Lost>> ReadBody(std::string& body);
   void StartStep(Instant until, std::string_view why);
-  void BytesCame();
-  bool BytesWait() const;
-  Lost LostBy(const boost::system::error_code& error) const;
+  void RestartStallTimeout();
+  bool HasUnreadBytes() const;
+  Lost LostAfter(const boost::system::error_code& error) const;
   void Finish();
 
   boost::asio::io_context& context;
@@ -111,13 +119,13 @@
   const Clock clock;
   StepTimer timer;
   std::shared_ptr<TargetConnection> connection;
-  std::shared_ptr<Written> written;
+  std::shared_ptr<RequestWrite> write;
   std::optional<Parser> parser;
-  std::string piece;
+  std::string read_buffer;
   AnswerHead head;
   std::string aborted_by;  ///< empty: not aborted
   Instant give_up;
-  std::optional<absl::Duration> stalled;
+  std::optional<absl::Duration> stall_timeout;
   bool timed_out = false;
   bool reused = false;
 };
--- a/dragonflyglade/gateway/wire_format.h
+++ b/dragonflyglade/gateway/wire_format.h
@@ -13,7 +13,7 @@
 
 namespace dragonflyglade::gateway {
 
-/// An HTTP call, free of any library's types.
+/// An HTTP request to send, independent of the HTTP library.
 struct HttpCallText {
   std::string method;
   std::string path_and_query;
@@ -21,22 +21,22 @@
   std::string body;
 };
 
-/// An HTTP message's head, as a library parsed it.
+/// The head of a received HTTP message, independent of the HTTP library.
 struct HttpHeadText {
-  std::string_view method;          ///< of requests
-  std::string_view path_and_query;  ///< of requests
-  int status = 0;                   ///< of answers
+  std::string_view method;          ///< requests only
+  std::string_view path_and_query;  ///< requests only
+  int status = 0;                   ///< responses only
   bool keep_alive = true;
   HeaderFields fields;
 };
 
-/// How the world outside spells what the gateway means. One value of this
-/// type is made by each adapter and given to the gateway's constructor; it
-/// decodes and encodes, and decides nothing.
+/// The codec functions for the formats of callers, targets, engines and the
+/// store. Each platform adapter makes one value and passes it to the gateway's
+/// constructor. The functions only encode and decode.
 struct WireFormat {
   // Callers.
   std::function<Result<CallerRequest>(const HttpHeadText&)> decode_request;
-  /// The fields that a caller's request is named by in an answer.
+  /// The header fields of a response that identify the caller's request.
   std::function<HeaderFields(const CallerRequest&)> answer_fields;
 
   // Targets.
@@ -49,11 +49,11 @@
   std::function<HttpCallText(std::string_view target)> encode_report_call;
   std::function<Result<EngineReport>(std::string_view body)> decode_report;
 
-  // What lies in the store.
+  // Records in the store.
   std::string config_key;
   std::string targets_prefix;
   std::function<Result<GatewayConfig>(std::string_view value)> decode_config;
-  /// @param key the whole key, which names the target
+  /// @param key the full store key, which ends with the target's id
   std::function<Result<TargetRecord>(std::string_view key,
                                      std::string_view value)>
       decode_target;
@@ -63,7 +63,7 @@
   std::function<StoreReply(const StoreCall&, int status, std::string_view body)>
       decode_store_reply;
 
-  // Which instances to use, and readiness.
+  // Discovery of instances, and readiness checks.
   std::function<std::optional<DirectoryQuestion>(std::string_view path)>
       decode_directory_question;
   std::function<std::string(absl::Span<const std::string> addresses,
