--- a/dragonflyglade/gateway/caller_link.cc
+++ b/dragonflyglade/gateway/caller_link.cc
@@ -23,16 +23,17 @@
 // A body of some hundred kilobytes arrives in well under a second; a caller
 // that takes longer than this has stopped sending.
 constexpr absl::Duration kBodyTimeout = absl::Seconds(10);
-// A request that a caller sends within the stated time is on its way for some
-// milliseconds, longer over a link that loses packets. Closed at the stated
-// time, the connection would cross it, and callers cannot know whether it ran.
+// Time for which an idle connection stays open beyond the idle timeout that
+// callers are told. A request sent just within that timeout travels for some
+// milliseconds, longer if packets are lost. If the gateway closed the
+// connection meanwhile, the caller could not know whether its request ran.
 constexpr absl::Duration kIdleGrace = absl::Seconds(1);
-// How long a closing connection is still read from.
+// How long CloseSoftly waits for the caller to close its end.
 constexpr absl::Duration kCloseTimeout = absl::Milliseconds(500);
-// A caller that takes nothing for so long is treated as gone.
+// A caller that reads nothing for this long is treated as disconnected.
 constexpr absl::Duration kWriteTimeout = absl::Seconds(10);
 
-int StatusOf(const error_code& error) {
+int StatusForError(const error_code& error) {
   if (error == http::error::header_limit) return 431;
   if (error == http::error::body_limit) return 413;
   return 400;
@@ -47,9 +48,10 @@
 
 using Parser = http::request_parser<http::string_body>;
 
-ReceivedRequest Received(Parser& parser) {
+ReceivedRequest MakeReceivedRequest(Parser& parser) {
   ReceivedRequest request;
-  request.head = HeadText<true>(parser.get().base(), parser.get().keep_alive());
+  request.head =
+      ConvertHead<true>(parser.get().base(), parser.get().keep_alive());
   request.method = std::string(request.head.method);
   request.path_and_query = std::string(request.head.path_and_query);
   request.head.method = request.method;
@@ -67,8 +69,8 @@
       clock(std::move(clock)),
       timer(context, this->clock,
             [this] { return PeekSocket(this->socket) == SocketState::kBytes; }),
-      wait_begun(this->clock.Now()) {
-  // Failing options change timing only, never an outcome.
+      wait_start(this->clock.Now()) {
+  // Errors are ignored: the option affects timing only, not the outcome.
   error_code ignored;
   this->socket.set_option(tcp::no_delay(true), ignored);
 }
@@ -85,36 +87,37 @@
 }
 
 absl::Duration CallerLink::Idle() const {
-  return this->wait_ended.value_or(this->clock.Now()) - this->wait_begun;
+  return this->wait_end.value_or(this->clock.Now()) - this->wait_start;
 }
 
-void CallerLink::StartStep(absl::Duration time, std::string_view why) {
+void CallerLink::StartTimeout(absl::Duration time, std::string_view why) {
   this->timer.Start(
-      time, [this, why](absl::Duration late) { this->TimeOut(why, late); });
+      time, [this, why](absl::Duration late) { this->OnTimeout(why, late); });
 }
 
-void CallerLink::TimeOut(std::string_view why, absl::Duration late) {
+void CallerLink::OnTimeout(std::string_view why, absl::Duration late) {
   if (this->ended_by.empty()) this->ended_late = late;
   this->Abort(why);
 }
 
-// Callers go by the configuration of the moment at which they send, so one that
-// raises the limit holds for connections that are idle already.
-void CallerLink::StartIdleStep(absl::Duration longest_limit) {
-  const Instant end = this->wait_begun + longest_limit + kIdleGrace;
-  const auto expired = [this, longest_limit](absl::Duration late) {
+// Callers apply the idle timeout of the configuration that is current when they
+// send, so a configuration that raises the timeout applies to connections that
+// are already idle, too.
+void CallerLink::StartIdleTimeout(absl::Duration idle_limit) {
+  const Instant end = this->wait_start + idle_limit + kIdleGrace;
+  const auto expired = [this, idle_limit](absl::Duration late) {
     const absl::Duration limit = this->limits().idle_timeout;
-    if (limit > longest_limit) {
-      this->StartIdleStep(limit);
+    if (limit > idle_limit) {
+      this->StartIdleTimeout(limit);
     } else {
-      this->TimeOut("idle", late);
+      this->OnTimeout("idle", late);
     }
   };
   this->timer.Start(end - this->clock.Now(), expired);
 }
 
-ReadResult CallerLink::NotRead(const error_code& error) {
-  if (IsHttpError(error)) return MalformedRequest{StatusOf(error)};
+ReadResult CallerLink::ReadFailure(const error_code& error) {
+  if (IsHttpError(error)) return MalformedRequest{StatusForError(error)};
   const bool closed = error == http::error::end_of_stream ||
                       error == http::error::partial_message ||
                       error == asio::error::eof;
@@ -122,25 +125,25 @@
   return CallerLeft{};
 }
 
-asio::awaitable<bool> CallerLink::WaitForBytes() {
-  this->wait_begun = this->clock.Now();
-  this->wait_ended.reset();
+asio::awaitable<bool> CallerLink::WaitForRequest() {
+  this->wait_start = this->clock.Now();
+  this->wait_end.reset();
   if (this->buffer.size() > 0) co_return true;
-  this->StartIdleStep(this->limits().idle_timeout);
+  this->StartIdleTimeout(this->limits().idle_timeout);
   error_code error;
   co_await this->socket.async_wait(
       tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-  this->wait_ended = this->clock.Now();
+  this->wait_end = this->clock.Now();
   if (error) this->Abort("caller cut off");
   co_return !error;
 }
 
 asio::awaitable<ReadResult> CallerLink::Read() {
   this->stream_begun = false;
-  const bool readable = co_await this->WaitForBytes();
+  const bool readable = co_await this->WaitForRequest();
   if (!readable) co_return CallerLeft{};
   const CallerLimits limits = this->limits();
-  this->StartStep(limits.header_timeout, "head not whole in time");
+  this->StartTimeout(limits.header_timeout, "head not whole in time");
   Parser parser;
   parser.header_limit(limits.max_header_bytes);
   parser.body_limit(limits.max_body_bytes);
@@ -148,24 +151,23 @@
   co_await http::async_read_header(
       this->socket, this->buffer, parser,
       asio::redirect_error(asio::use_awaitable, error));
-  if (error) co_return this->NotRead(error);
-  const auto expects = parser.get()[http::field::expect];
-  if (absl::EqualsIgnoreCase({expects.data(), expects.size()},
-                             "100-continue")) {
+  if (error) co_return this->ReadFailure(error);
+  const auto expect = parser.get()[http::field::expect];
+  if (absl::EqualsIgnoreCase({expect.data(), expect.size()}, "100-continue")) {
     const bool written = co_await this->Write("HTTP/1.1 100 Continue\r\n\r\n");
     if (!written) co_return CallerLeft{};
   }
-  this->StartStep(kBodyTimeout, "body not whole in time");
+  this->StartTimeout(kBodyTimeout, "body not whole in time");
   co_await http::async_read(this->socket, this->buffer, parser,
                             asio::redirect_error(asio::use_awaitable, error));
   this->timer.Stop();
-  if (error) co_return this->NotRead(error);
-  // The last bytes may have been read in the turn that timed the step out; no
-  // answer could be written any more.
+  if (error) co_return this->ReadFailure(error);
+  // The timeout may have closed the connection in the same turn of the event
+  // loop that read the last bytes. No response could be written then.
   if (!this->ended_by.empty()) co_return CallerLeft{};
   this->keep_alive = parser.get().keep_alive();
   this->answered = false;
-  co_return Received(parser);
+  co_return MakeReceivedRequest(parser);
 }
 
 std::optional<absl::Duration> CallerLink::KeepAliveTimeout() const {
@@ -175,7 +177,7 @@
 
 asio::awaitable<bool> CallerLink::Write(std::string text) {
   if (this->left) co_return false;
-  this->StartStep(kWriteTimeout, "caller takes nothing");
+  this->StartTimeout(kWriteTimeout, "caller takes nothing");
   error_code error;
   co_await asio::async_write(this->socket, asio::buffer(text),
                              asio::redirect_error(asio::use_awaitable, error));
@@ -216,13 +218,13 @@
 }
 
 void CallerLink::WatchForLeaving(std::function<void()> on_left) {
-  // Bytes of a next request hide the end of the connection.
+  // Buffered bytes of the next request would hide the end of the connection.
   if (this->buffer.size() > 0) return;
   this->watch = ++this->watches;
-  this->Watch(std::move(on_left));
+  this->AwaitDisconnect(std::move(on_left));
 }
 
-void CallerLink::Watch(std::function<void()> on_left) {
+void CallerLink::AwaitDisconnect(std::function<void()> on_left) {
   this->socket.async_wait(
       tcp::socket::wait_read,
       [this, alive = this->alive, number = this->watch,
@@ -231,7 +233,7 @@
         const SocketState state = PeekSocket(this->socket);
         if (state == SocketState::kBytes) return;
         if (state == SocketState::kQuiet) {
-          this->Watch(std::move(on_left));
+          this->AwaitDisconnect(std::move(on_left));
           return;
         }
         this->left = true;
@@ -253,11 +255,11 @@
 asio::awaitable<void> CallerLink::CloseSoftly() {
   error_code error;
   this->socket.shutdown(tcp::socket::shutdown_send, error);
-  this->StartStep(kCloseTimeout, "served");
-  std::array<char, 4096> dropped;
+  this->StartTimeout(kCloseTimeout, "served");
+  std::array<char, 4096> discarded;
   while (!error) {
     co_await this->socket.async_read_some(
-        asio::buffer(dropped),
+        asio::buffer(discarded),
         asio::redirect_error(asio::use_awaitable, error));
   }
   this->timer.Stop();
--- a/dragonflyglade/gateway/caller_link.h
+++ b/dragonflyglade/gateway/caller_link.h
@@ -21,26 +21,28 @@
 
 namespace dragonflyglade::gateway {
 
-/// A request's head and body as they were read.
+/// The head and body of a received request.
 struct ReceivedRequest {
   HttpHeadText head;
-  std::string method;          ///< what head.method views
-  std::string path_and_query;  ///< what head.path_and_query views
+  std::string method;          ///< storage that head.method refers to
+  std::string path_and_query;  ///< storage that head.path_and_query refers to
   std::string body;
 };
-/// Bytes that are no proper request: answer with the status, then close.
+/// Bytes that are not a valid request. The gateway responds with the status and
+/// closes the connection.
 struct MalformedRequest {
   int status = 400;
 };
-/// The caller closed, or was silent for too long.
+/// The caller closed the connection, or a timeout ended it.
 struct CallerLeft {};
 using ReadResult = std::variant<ReceivedRequest, MalformedRequest, CallerLeft>;
 
-/// Gives the limits of the configuration in force.
+/// Returns the limits of the current configuration.
 using LimitsInForce = std::function<CallerLimits()>;
 
-/// A caller's connection: reads requests, writes answers, and notices while
-/// an answer is being made that the caller has left. One event loop.
+/// A caller's connection: reads requests, writes responses, and detects that
+/// the caller disconnects while a request is in progress. Runs on one event
+/// loop.
 class CallerLink {
  public:
   CallerLink(boost::asio::io_context& context,
@@ -50,72 +52,81 @@
   CallerLink(const CallerLink&) = delete;
   CallerLink& operator=(const CallerLink&) = delete;
 
-  /// Reads the next request, within the limits.
+  /// Reads the next request, within the limits on size and time.
   boost::asio::awaitable<ReadResult> Read();
 
-  /// Writes a whole answer. False if the caller cannot be written to.
+  /// Writes a complete response.
+  /// @return false if the write failed or the caller has disconnected
   boost::asio::awaitable<bool> WriteAnswer(int status, HeaderFields fields,
                                            std::string_view body);
 
-  /// Writes the head of a stream with its first bytes, further ones, and its
-  /// end.
+  /// Writes the head of a chunked response and its first bytes, if any.
+  /// @return false if the write failed or the caller has disconnected
   boost::asio::awaitable<bool> BeginStream(int status, HeaderFields fields,
                                            std::string_view first);
+  /// Writes further bytes of the stream; results as BeginStream.
   boost::asio::awaitable<bool> WritePart(std::string_view bytes);
+  /// Writes the last chunk; results as BeginStream.
   boost::asio::awaitable<bool> EndStream();
 
-  /// Calls back once if the caller closes while nothing is read from it.
-  void WatchForLeaving(std::function<void()> left);
+  /// Calls back once if the caller disconnects while no read is in progress.
+  void WatchForLeaving(std::function<void()> on_left);
   void StopWatching();
 
-  /// Whether the next answer keeps the connection open.
+  /// Whether the connection stays open after the next response.
   void SetKeepAlive(bool keep) { this->keep_alive = keep; }
   bool KeepAlive() const { return this->keep_alive; }
+  /// Whether the caller has disconnected.
   bool Left() const { return this->left; }
-  /// Whether a stream's head went out, after which no other answer can.
+  /// Whether the head of a stream was written for the current request. No other
+  /// response can be sent then.
   bool StreamBegun() const { return this->stream_begun; }
 
-  /// Closes at once; an unfinished answer then does not look complete.
+  /// Closes the connection at once, so that a partly written response does not
+  /// look complete.
+  /// @param why reason; a literal, or other text of static lifetime
   void Abort(std::string_view why);
 
   /// Why the connection ended; empty while it is open.
   std::string_view EndedBy() const { return this->ended_by; }
-  /// How much later than due the timer fired that ended it.
+  /// How late the timer fired that ended the connection.
   absl::Duration EndedLate() const { return this->ended_late; }
-  /// How long the last wait for a request was.
+  /// Duration of the last wait for a request.
   absl::Duration Idle() const;
-  /// Whether the request that was read last got an answer, or its beginning.
+  /// Whether a response to the last request was written, at least its head.
   bool Answered() const { return this->answered; }
 
-  /// Ends the connection after the last answer, reading what is still on its
-  /// way: closing with unread bytes would reset it under the answer.
+  /// Closes the connection after the last response. Stops sending first and
+  /// reads until the caller closes: a close with unread bytes would make TCP
+  /// reset the connection, and the caller could lose the response.
   boost::asio::awaitable<void> CloseSoftly();
 
  private:
-  boost::asio::awaitable<bool> WaitForBytes();
-  void Watch(std::function<void()> on_left);
+  boost::asio::awaitable<bool> WaitForRequest();
+  void AwaitDisconnect(std::function<void()> on_left);
   boost::asio::awaitable<bool> Write(std::string text);
-  void StartStep(absl::Duration time, std::string_view why);
-  void StartIdleStep(absl::Duration longest_limit);
-  void TimeOut(std::string_view why, absl::Duration late);
+  void StartTimeout(absl::Duration time, std::string_view why);
+  void StartIdleTimeout(absl::Duration idle_limit);
+  void OnTimeout(std::string_view why, absl::Duration late);
   std::optional<absl::Duration> KeepAliveTimeout() const;
-  ReadResult NotRead(const boost::system::error_code& error);
+  ReadResult ReadFailure(const boost::system::error_code& error);
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   const LimitsInForce limits;
   const Clock clock;
   StepTimer timer;
-  std::string_view ended_by;  ///< text that is never freed
+  std::string_view ended_by;  ///< text of static lifetime
   absl::Duration ended_late;
-  Instant wait_begun;
-  std::optional<Instant> wait_ended;
+  Instant wait_start;  ///< of the last wait for a request
+  std::optional<Instant> wait_end;
   bool answered = false;
   bool keep_alive = true;
   bool left = false;
   bool stream_begun = false;
-  int watch = 0;  ///< which watch is the present one; 0: none
-  int watches = 0;
+  int watch = 0;    ///< number of the active watch; 0: none is active
+  int watches = 0;  ///< number of watches started
+  /// Shared with the watch's handler, which may run after the destructor.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/dragonflyglade/gateway/caught.cc
+++ b/dragonflyglade/gateway/caught.cc
@@ -4,12 +4,12 @@
 
 namespace dragonflyglade::gateway {
 
-// Not a guard object: when the event loop ends, coroutines are destroyed after
-// the parts that a guard would put back.
+// A scope guard would not do: at shutdown, suspended coroutines are destroyed
+// after the objects that the guard would access.
 boost::asio::awaitable<std::exception_ptr> Caught(
-    boost::asio::awaitable<void> step) {
+    boost::asio::awaitable<void> coroutine) {
   try {
-    co_await std::move(step);
+    co_await std::move(coroutine);
   } catch (...) {
     co_return std::current_exception();
   }
--- a/dragonflyglade/gateway/caught.h
+++ b/dragonflyglade/gateway/caught.h
@@ -8,12 +8,12 @@
 
 namespace dragonflyglade::gateway {
 
-/// Runs a step to its end and gives back the exception that left it, or null,
-/// so that the lines after it run on every way out.
+/// Awaits a coroutine and returns the exception that it threw, or null. The
+/// caller's cleanup code after it then runs in either case.
 boost::asio::awaitable<std::exception_ptr> Caught(
-    boost::asio::awaitable<void> step);
+    boost::asio::awaitable<void> coroutine);
 
-/// What an exception says of itself.
+/// Returns the message of an exception.
 std::string WhatOf(const std::exception_ptr& exception);
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/event_log.cc
+++ b/dragonflyglade/gateway/event_log.cc
@@ -12,11 +12,12 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// Lines in the queue to the writing thread: at about 300 bytes a line this
-// bounds the memory at 1.2 MB.
+// Capacity of the queue to the writing thread. At about 300 bytes per line this
+// limits its memory to 1.2 MB.
 constexpr std::size_t kQueueLines = 4096;
-// A busy instance serves some dozens of requests a second at two lines each;
-// this leaves room for bursts and bounds the cost of a flood of refusals.
+// A busy instance serves some dozens of requests per second and writes two
+// lines for each. The rate limit leaves room for bursts, and limits the cost of
+// a flood of refusals.
 constexpr double kLinesPerSecond = 400;
 constexpr double kLinesBurst = 800;
 
@@ -29,14 +30,14 @@
         json(text).dump(-1, ' ', false, json::error_handler_t::replace);
     this->out.append(quoted.data(), quoted.data() + quoted.size());
   }
-  void operator()(std::int64_t number) const {
-    fmt::format_to(std::back_inserter(this->out), "{}", number);
+  void operator()(std::int64_t value) const {
+    fmt::format_to(std::back_inserter(this->out), "{}", value);
   }
-  void operator()(double number) const {
-    fmt::format_to(std::back_inserter(this->out), "{:.3f}", number);
+  void operator()(double value) const {
+    fmt::format_to(std::back_inserter(this->out), "{:.3f}", value);
   }
-  void operator()(bool truth) const {
-    fmt::format_to(std::back_inserter(this->out), "{}", truth);
+  void operator()(bool value) const {
+    fmt::format_to(std::back_inserter(this->out), "{}", value);
   }
 };
 
@@ -45,8 +46,8 @@
 EventLog::EventLog(std::string_view instance, Clock clock)
     : instance(instance),
       clock(std::move(clock)),
-      lines_left(kLinesBurst),
-      refilled(this->clock.Now()),
+      rate_tokens(kLinesBurst),
+      last_refill(this->clock.Now()),
       writer(std::make_shared<spdlog::details::thread_pool>(kQueueLines, 1)),
       logger(std::make_shared<spdlog::async_logger>(
           "events", std::make_shared<spdlog::sinks::stdout_sink_mt>(),
@@ -57,20 +58,20 @@
 
 EventLog::~EventLog() { this->logger->flush(); }
 
-bool EventLog::TakeLine() {
+bool EventLog::ConsumeRateLimit() {
   const Instant now = this->clock.Now();
-  const double earned =
-      kLinesPerSecond * absl::ToDoubleSeconds(now - this->refilled);
-  this->lines_left = std::min(kLinesBurst, this->lines_left + earned);
-  this->refilled = now;
-  if (this->lines_left < 1) return false;
-  this->lines_left -= 1;
+  const double refill =
+      kLinesPerSecond * absl::ToDoubleSeconds(now - this->last_refill);
+  this->rate_tokens = std::min(kLinesBurst, this->rate_tokens + refill);
+  this->last_refill = now;
+  if (this->rate_tokens < 1) return false;
+  this->rate_tokens -= 1;
   return true;
 }
 
 void EventLog::Write(std::string_view part, std::string_view event,
                      std::initializer_list<LogField> fields) {
-  if (!this->TakeLine()) {
+  if (!this->ConsumeRateLimit()) {
     this->dropped += 1;
     return;
   }
@@ -90,14 +91,15 @@
   this->logger->info(std::string_view(line.data(), line.size()));
 }
 
-// The flush is taken from the queue once all lines before it are written.
-bool EventLog::Drain(absl::Duration at_most) {
-  constexpr absl::Duration kLook = absl::Milliseconds(5);
+// The flush entry leaves the queue after all lines before it are written, so an
+// empty queue means that they are.
+bool EventLog::Drain(absl::Duration timeout) {
+  constexpr absl::Duration kPollInterval = absl::Milliseconds(5);
   this->logger->flush();
-  const Instant end = this->clock.Now() + at_most;
+  const Instant end = this->clock.Now() + timeout;
   while (this->writer->queue_size() > 0) {
     if (this->clock.Now() >= end) return false;
-    absl::SleepFor(kLook);
+    absl::SleepFor(kPollInterval);
   }
   return true;
 }
--- a/dragonflyglade/gateway/event_log.h
+++ b/dragonflyglade/gateway/event_log.h
@@ -15,7 +15,7 @@
 
 namespace dragonflyglade::gateway {
 
-/// A named value in a log line.
+/// A named value of a log line.
 struct LogField {
   std::string_view name;
   std::variant<std::string_view, std::int64_t, double, bool> value;
@@ -34,41 +34,44 @@
       : name(name), value(static_cast<std::int64_t>(value)) {}
   LogField(std::string_view name, double value) : name(name), value(value) {}
   LogField(std::string_view name, bool value) : name(name), value(value) {}
-  /// Whole milliseconds.
+  /// Written in whole milliseconds.
   LogField(std::string_view name, absl::Duration value)
       : name(name), value(absl::ToInt64Milliseconds(value)) {}
 };
 
-/// One JSON object a line on standard output, for each decision on a request
-/// and each change of what the instance believes.
+/// Structured log on standard output, one JSON object per line. Records the
+/// decisions on requests and the changes of the instance's state.
 ///
-/// Writing never waits: lines go through a bounded queue to a thread of its
-/// own, and a full queue loses its oldest lines. Above a number of lines a
-/// second further ones are left out and counted.
+/// Write never blocks: a thread writes the lines from a bounded queue, and a
+/// full queue drops its oldest lines. Lines above a rate limit are dropped,
+/// too. Dropped lines are counted.
 class EventLog {
  public:
   EventLog(std::string_view instance, Clock clock);
   ~EventLog();
 
-  /// @param part which part of the program speaks, e.g. "request"
+  /// Writes one line.
+  /// @param part the component or subject of the event, e.g. "request"
   /// @param event what happened, e.g. "refused"
   void Write(std::string_view part, std::string_view event,
              std::initializer_list<LogField> fields);
 
-  /// Lines left out or lost so far.
+  /// Number of lines dropped so far.
   std::uint64_t Dropped() const;
 
-  /// Waits until what was written is out, or for the time at most.
-  /// @return false if the reader of the output takes nothing
-  bool Drain(absl::Duration at_most);
+  /// Waits until all lines are written to standard output.
+  /// @param at_most timeout
+  /// @return false if lines remain after the timeout, because the reader of the
+  ///     output is blocked
+  bool Drain(absl::Duration timeout);
 
  private:
-  bool TakeLine();
+  bool ConsumeRateLimit();
 
   const std::string instance;
   const Clock clock;
-  double lines_left;
-  Instant refilled;
+  double rate_tokens;
+  Instant last_refill;
   std::uint64_t dropped = 0;
   std::shared_ptr<spdlog::details::thread_pool> writer;
   std::shared_ptr<spdlog::async_logger> logger;
--- a/dragonflyglade/gateway/event_splitter.cc
+++ b/dragonflyglade/gateway/event_splitter.cc
@@ -9,14 +9,14 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// The end of the last whole event: behind its blank line.
+// Returns the position after the blank line that ends the last complete event.
 std::size_t EndOfEvents(std::string_view text) {
   std::size_t end = 0;
-  const std::size_t plain = text.rfind("\n\n");
-  if (plain != std::string_view::npos) end = plain + 2;
-  const std::size_t with_returns = text.rfind("\r\n\r\n");
-  if (with_returns != std::string_view::npos) {
-    end = std::max(end, with_returns + 4);
+  const std::size_t newlines = text.rfind("\n\n");
+  if (newlines != std::string_view::npos) end = newlines + 2;
+  const std::size_t crlf_lines = text.rfind("\r\n\r\n");
+  if (crlf_lines != std::string_view::npos) {
+    end = std::max(end, crlf_lines + 4);
   }
   return end;
 }
@@ -24,21 +24,21 @@
 }  // namespace
 
 std::string_view EventSplitter::Add(std::string_view bytes) {
-  this->held.erase(0, this->ready);
-  this->ready = 0;
-  this->held.append(bytes);
-  this->ready = EndOfEvents(this->held);
-  const std::string_view events(this->held.data(), this->ready);
-  this->TakeIds(events);
+  this->buffer.erase(0, this->returned);
+  this->returned = 0;
+  this->buffer.append(bytes);
+  this->returned = EndOfEvents(this->buffer);
+  const std::string_view events(this->buffer.data(), this->returned);
+  this->ParseIds(events);
   return events;
 }
 
 void EventSplitter::Restart() {
-  this->held.clear();
-  this->ready = 0;
+  this->buffer.clear();
+  this->returned = 0;
 }
 
-void EventSplitter::TakeIds(std::string_view events) {
+void EventSplitter::ParseIds(std::string_view events) {
   constexpr std::string_view kField = "id:";
   while (!events.empty()) {
     const std::size_t end = std::min(events.find('\n'), events.size() - 1);
--- a/dragonflyglade/gateway/event_splitter.h
+++ b/dragonflyglade/gateway/event_splitter.h
@@ -8,33 +8,34 @@
 
 namespace dragonflyglade::gateway {
 
-/// Cuts the bytes of an event stream at event boundaries, so that a caller
-/// never sees a part of an event whose rest is lost, and knows the id of the
-/// last whole event, after which another target can go on.
+/// Splits the bytes of a server-sent event stream at event boundaries. Callers
+/// thus never receive part of an event whose rest is lost. Keeps the id of the
+/// last complete event, after which another target can resume the stream.
 class EventSplitter {
  public:
-  /// Adds bytes as they come.
-  /// @return the whole events that are now complete; valid until the next call
+  /// Adds received bytes.
+  /// @return the events that these bytes complete; valid until the next call
   std::string_view Add(std::string_view bytes);
 
-  /// Another run of the same request follows: what is incomplete is dropped.
+  /// Discards an incomplete event, before another attempt of the same request
+  /// continues the stream.
   void Restart();
 
-  /// Whether bytes of an unfinished event are held.
-  bool HasPartial() const { return this->held.size() > this->ready; }
+  /// Whether the buffer holds bytes of an incomplete event.
+  bool HasPartial() const { return this->buffer.size() > this->returned; }
 
-  /// The id of the last whole event; empty if none had one.
+  /// The id of the last complete event that has one; empty if none has.
   const std::string& LastId() const { return this->last_id; }
 
-  /// Whether an event's id was not above the one before it: the stream is not
-  /// the one that was asked for.
+  /// Whether an event's numeric id was not greater than the one before it. Then
+  /// the stream is not the requested continuation.
   bool OutOfOrder() const { return this->out_of_order; }
 
  private:
-  void TakeIds(std::string_view events);
+  void ParseIds(std::string_view events);
 
-  std::string held;
-  std::size_t ready = 0;  ///< bytes of held that were given out
+  std::string buffer;
+  std::size_t returned = 0;  ///< bytes of the buffer that Add has returned
   std::string last_id;
   std::optional<std::int64_t> last_number;
   bool out_of_order = false;
--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -20,16 +20,16 @@
 
 namespace {
 
-// After a failed accept, e.g. without descriptors, until the next try.
-constexpr absl::Duration kAcceptPause = absl::Milliseconds(50);
-// Callers keep the list of instances for its stated time; some keep it for
-// three times as long.
-constexpr int kKeepTimes = 3;
-// What remains of the time to stop for ending the process.
+// Delay after a failed accept, e.g. for lack of file descriptors.
+constexpr absl::Duration kAcceptRetryDelay = absl::Milliseconds(50);
+// Callers cache the list of instances for the time that it states; some cache
+// it for three times as long.
+constexpr int kMaxDirectoryCacheFactor = 3;
+// The part of the shutdown time that is reserved for the end of the process.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(600);
-constexpr absl::Duration kStopLook = absl::Milliseconds(50);
-// Addresses in one directory answer, at most.
-constexpr std::size_t kMostAddresses = 64;
+constexpr absl::Duration kStopPollInterval = absl::Milliseconds(50);
+// Addresses in one directory response.
+constexpr std::size_t kMaxDirectoryAddresses = 64;
 constexpr std::size_t kIncarnationBytes = 8;
 
 }  // namespace
@@ -55,7 +55,7 @@
       follower(this->context, this->store, this->fleet, this->news,
                this->settings.instance, this->log, this->clock),
       duty({this->settings.quiet_between_holders}, ReadLocalTime),
-      self(this->MakeSelf()),
+      self(this->MakeInstanceRecord()),
       registration(
           this->context, this->store, this->fleet, this->duty, this->self,
           {this->settings.lease_ttl, this->settings.unlisted_lease_ttl},
@@ -83,7 +83,7 @@
   this->AddGauges();
 }
 
-InstanceRecord Gateway::MakeSelf() const {
+InstanceRecord Gateway::MakeInstanceRecord() const {
   InstanceRecord self;
   self.name = this->settings.instance;
   self.zone = this->settings.zone;
@@ -125,15 +125,15 @@
   this->tasks.KeepRunning("accept callers", [this] {
     return this->AcceptCallers(this->listeners.callers);
   });
-  this->KeepAnswering(
+  this->ServeEndpoint(
       "readiness", this->listeners.readiness,
-      [this](std::string_view path) { return this->AnswerReadiness(path); });
-  this->KeepAnswering(
+      [this](std::string_view path) { return this->HandleReadiness(path); });
+  this->ServeEndpoint(
       "directory", this->listeners.directory,
-      [this](std::string_view path) { return this->AnswerDirectory(path); });
-  this->KeepAnswering(
+      [this](std::string_view path) { return this->HandleDirectory(path); });
+  this->ServeEndpoint(
       "metrics", this->listeners.metrics,
-      [this](std::string_view path) { return this->AnswerMetrics(path); });
+      [this](std::string_view path) { return this->HandleMetrics(path); });
   this->tasks.KeepRunning("watch the loop",
                           [this] { return this->loop_watch.Run(); });
   this->tasks.KeepRunning("receive peers",
@@ -145,7 +145,7 @@
                           [this] { return this->spend_recorder.Run(); });
   this->tasks.KeepRunning("place models",
                           [this] { return this->placement.Run(); });
-  // A caller or target that closes its end must not end the process.
+  // A write to a connection that the peer has closed must not end the process.
   signal(SIGPIPE, SIG_IGN);
   this->tasks.KeepRunning("wait for signals",
                           [this] { return this->WaitForSignal(); });
@@ -160,11 +160,12 @@
   return Done{};
 }
 
-void Gateway::KeepAnswering(std::string_view name, Acceptor& acceptor,
-                            Answerer answer) {
-  this->tasks.KeepRunning(name, [this, &acceptor, answer = std::move(answer)] {
-    return this->AcceptQuestions(acceptor, answer);
-  });
+void Gateway::ServeEndpoint(std::string_view name, Acceptor& acceptor,
+                            QueryHandler handler) {
+  this->tasks.KeepRunning(name,
+                          [this, &acceptor, handler = std::move(handler)] {
+                            return this->AcceptQueries(acceptor, handler);
+                          });
 }
 
 asio::awaitable<void> Gateway::AcceptCallers(Acceptor& acceptor) {
@@ -173,65 +174,65 @@
     Socket socket = co_await acceptor.async_accept(
         asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-      co_await Sleep(this->context, kAcceptPause);
+      co_await Sleep(this->context, kAcceptRetryDelay);
       continue;
     }
     this->tasks.Spawn("serve caller", this->ServeCaller(std::move(socket)));
   }
 }
 
-asio::awaitable<void> Gateway::AcceptQuestions(Acceptor& acceptor,
-                                               Answerer answer) {
+asio::awaitable<void> Gateway::AcceptQueries(Acceptor& acceptor,
+                                             QueryHandler handler) {
   while (true) {
     error_code error;
     Socket socket = co_await acceptor.async_accept(
         asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-      co_await Sleep(this->context, kAcceptPause);
+      co_await Sleep(this->context, kAcceptRetryDelay);
       continue;
     }
     this->tasks.Spawn("answer questions",
-                      this->ServeQuestions(std::move(socket), answer));
+                      this->ServeQueries(std::move(socket), handler));
   }
 }
 
-CallerLimits Gateway::Limits() const {
+CallerLimits Gateway::CurrentLimits() const {
   const auto config = this->fleet.Config();
   return config == nullptr ? CallerLimits() : config->limits;
 }
 
 asio::awaitable<void> Gateway::ServeCaller(Socket socket) {
-  CallerLink link(
-      this->context, std::move(socket), [this] { return this->Limits(); },
-      this->clock);
-  const int requests = co_await this->ServeRequests(link);
-  this->NoteClosed(link, requests);
+  CallerLink connection(
+      this->context, std::move(socket),
+      [this] { return this->CurrentLimits(); }, this->clock);
+  const int requests = co_await this->ServeRequests(connection);
+  this->RecordConnectionEnd(connection, requests);
 }
 
-void Gateway::NoteClosed(const CallerLink& link, int requests) {
+void Gateway::RecordConnectionEnd(const CallerLink& connection, int requests) {
   const std::string_view why =
-      link.EndedBy().empty() ? "served" : link.EndedBy();
+      connection.EndedBy().empty() ? "served" : connection.EndedBy();
   this->metrics.Count("caller_connections_ended",
                       fmt::format("why=\"{}\"", why));
   const auto config = this->fleet.Config();
   this->log.Write("connection", "ended",
                   {{"why", why},
                    {"requests", requests},
-                   {"answered", requests == 0 || link.Answered()},
-                   {"idle_ms", link.Idle()},
-                   {"timer_late_ms", link.EndedLate()},
+                   {"answered", requests == 0 || connection.Answered()},
+                   {"idle_ms", connection.Idle()},
+                   {"timer_late_ms", connection.EndedLate()},
                    {"config", config == nullptr ? 0 : config->version}});
 }
 
-asio::awaitable<int> Gateway::ServeRequests(CallerLink& link) {
+asio::awaitable<int> Gateway::ServeRequests(CallerLink& connection) {
   int requests = 0;
   while (true) {
-    ReadResult read = co_await link.Read();
+    ReadResult read = co_await connection.Read();
     if (std::holds_alternative<CallerLeft>(read)) co_return requests;
     requests += 1;
-    int malformed = 0;
-    if (const auto* bad = std::get_if<MalformedRequest>(&read)) {
-      malformed = bad->status;
+    int error_status = 0;
+    if (const auto* malformed = std::get_if<MalformedRequest>(&read)) {
+      error_status = malformed->status;
     } else {
       auto& received = std::get<ReceivedRequest>(read);
       received.head.method = received.method;
@@ -239,49 +240,50 @@
       Result<CallerRequest> request = this->wire.decode_request(received.head);
       if (request.Ok()) {
         request.Value().body = std::move(received.body);
-        link.SetKeepAlive(link.KeepAlive() && !this->stopping);
-        co_await this->pipeline.Serve(std::move(request.Value()), link);
+        connection.SetKeepAlive(connection.KeepAlive() && !this->stopping);
+        co_await this->pipeline.Serve(std::move(request.Value()), connection);
       } else {
-        malformed = 400;
+        error_status = 400;
       }
     }
-    if (malformed != 0) {
+    if (error_status != 0) {
       this->metrics.Count("malformed_requests");
-      link.SetKeepAlive(false);
-      co_await link.WriteAnswer(malformed, {}, "");
+      connection.SetKeepAlive(false);
+      co_await connection.WriteAnswer(error_status, {}, "");
     }
-    if (link.Left()) co_return requests;
-    if (!link.KeepAlive()) {
-      co_await link.CloseSoftly();
+    if (connection.Left()) co_return requests;
+    if (!connection.KeepAlive()) {
+      co_await connection.CloseSoftly();
       co_return requests;
     }
   }
 }
 
-asio::awaitable<void> Gateway::ServeQuestions(Socket socket, Answerer answer) {
-  CallerLink link(
+asio::awaitable<void> Gateway::ServeQueries(Socket socket,
+                                            QueryHandler handler) {
+  CallerLink connection(
       this->context, std::move(socket), [] { return CallerLimits(); },
       this->clock);
   while (true) {
-    const ReadResult read = co_await link.Read();
+    const ReadResult read = co_await connection.Read();
     const auto* received = std::get_if<ReceivedRequest>(&read);
     if (received == nullptr) co_return;
-    const PlainAnswer reply = answer(received->path_and_query);
+    const PlainResponse response = handler(received->path_and_query);
     HeaderFields fields;
-    fields.emplace_back("Content-Type", reply.content_type);
-    const bool written =
-        co_await link.WriteAnswer(reply.status, std::move(fields), reply.body);
-    if (!written || !link.KeepAlive()) co_return;
+    fields.emplace_back("Content-Type", response.content_type);
+    const bool written = co_await connection.WriteAnswer(
+        response.status, std::move(fields), response.body);
+    if (!written || !connection.KeepAlive()) co_return;
   }
 }
 
-Gateway::PlainAnswer Gateway::AnswerReadiness(std::string_view path) const {
+Gateway::PlainResponse Gateway::HandleReadiness(std::string_view path) const {
   if (!this->wire.is_readiness_question(path)) return {};
   const bool ready = this->fleet.Config() != nullptr && !this->stopping;
   return {ready ? 200 : 503, "text/plain", ready ? "ready" : "not ready"};
 }
 
-Gateway::PlainAnswer Gateway::AnswerDirectory(std::string_view path) const {
+Gateway::PlainResponse Gateway::HandleDirectory(std::string_view path) const {
   if (!this->wire.decode_directory_question(path).has_value()) return {};
   const std::string own = this->settings.callers.ToString();
   std::vector<std::string> addresses;
@@ -289,20 +291,20 @@
     if (record->callers == own && this->stopping) continue;
     addresses.push_back(record->callers);
   }
-  // With nobody in the store, e.g. before its first answer, callers can do no
-  // better than the instance that they reached.
+  // If no instance is known, e.g. before the store's first response, the best
+  // choice for callers is the instance that they have reached.
   if (addresses.empty() && !this->stopping) addresses.push_back(own);
-  if (addresses.size() > kMostAddresses) {
+  if (addresses.size() > kMaxDirectoryAddresses) {
     std::mt19937 random{std::random_device{}()};
     std::shuffle(addresses.begin(), addresses.end(), random);
-    addresses.resize(kMostAddresses);
+    addresses.resize(kMaxDirectoryAddresses);
   }
   return {200, "application/json",
           this->wire.encode_directory_answer(addresses,
                                              this->settings.directory_keep)};
 }
 
-Gateway::PlainAnswer Gateway::AnswerMetrics(std::string_view path) const {
+Gateway::PlainResponse Gateway::HandleMetrics(std::string_view path) const {
   if (path.substr(0, path.find('?')) != "/metrics") return {};
   return {200, "text/plain; version=0.0.4", this->metrics.Text()};
 }
@@ -336,30 +338,33 @@
 void Gateway::Stop() {
   if (this->stopping) return;
   this->stopping = true;
-  this->tasks.Spawn("stop", this->FollowStop());
+  this->tasks.Spawn("stop", this->Shutdown());
 }
 
-asio::awaitable<void> Gateway::FollowStop() {
-  const Instant begun = this->clock.Now();
+asio::awaitable<void> Gateway::Shutdown() {
+  const Instant start = this->clock.Now();
   this->log.Write("process", "stopping",
                   {{"in_flight", this->pipeline.InFlight()}});
-  this->pipeline.BeginShutdown(begun + this->settings.stop_within -
+  this->pipeline.BeginShutdown(start + this->settings.stop_within -
                                kStopMargin);
   this->tasks.Spawn("leave", this->registration.Leave());
-  // Callers go on coming until they have asked for instances again; after
-  // that, the process ends as soon as it serves nobody.
-  const absl::Duration most = this->settings.stop_within - kStopMargin;
-  const absl::Duration callers_know =
-      std::min(most, kKeepTimes * this->settings.directory_keep);
+  // Callers keep sending requests until their cached list of instances expires.
+  // After that, the process ends as soon as no request is in progress.
+  const absl::Duration max_shutdown_time =
+      this->settings.stop_within - kStopMargin;
+  const absl::Duration callers_refresh_time =
+      std::min(max_shutdown_time,
+               kMaxDirectoryCacheFactor * this->settings.directory_keep);
   while (true) {
-    const absl::Duration since = this->clock.Now() - begun;
-    if (since >= most) break;
-    if (since >= callers_know && this->pipeline.InFlight() == 0) break;
-    co_await Sleep(this->context, kStopLook);
+    const absl::Duration elapsed = this->clock.Now() - start;
+    if (elapsed >= max_shutdown_time) break;
+    if (elapsed >= callers_refresh_time && this->pipeline.InFlight() == 0)
+      break;
+    co_await Sleep(this->context, kStopPollInterval);
   }
   this->log.Write("process", "stopped",
                   {{"in_flight", this->pipeline.InFlight()},
-                   {"after_ms", this->clock.Now() - begun}});
+                   {"after_ms", this->clock.Now() - start}});
   this->context.stop();
 }
 
--- a/dragonflyglade/gateway/gateway.h
+++ b/dragonflyglade/gateway/gateway.h
@@ -34,63 +34,64 @@
 
 namespace dragonflyglade::gateway {
 
-/// One gateway process: wires its parts together on one event loop, serves
-/// until a signal to stop, and then ends without cutting a request.
+/// A gateway process. Builds its components on one event loop, serves until a
+/// signal to stop, and lets requests in progress finish before it ends.
 class Gateway {
  public:
   using ReadSettings = std::function<Result<GatewaySettings>()>;
 
-  /// @param reread reads the settings anew, for SIGHUP
+  /// @param reread reads the settings again, on SIGHUP
   Gateway(GatewaySettings settings, ReadSettings reread, WireFormat wire);
 
-  /// Listens and serves until SIGTERM or SIGINT was followed through.
-  /// Errors: kConnectFailed if an address cannot be listened on.
+  /// Listens and serves until a shutdown by SIGTERM or SIGINT is complete.
+  /// Errors: kConnectFailed if it cannot listen on an address.
   Status Run();
 
-  /// The settings, with the ports that are listened on.
+  /// The settings, with the ports that the process listens on.
   const GatewaySettings& Settings() const { return this->settings; }
 
-  /// Reads the settings anew, as SIGHUP does. Settings that are not valid
-  /// change nothing. From the event loop only.
+  /// Reads the settings again, as SIGHUP does. Invalid settings are logged and
+  /// change nothing. To be called on the event loop.
   void Reload();
 
-  /// Begins to stop, as a signal does. From the event loop only.
+  /// Begins the shutdown, as SIGTERM does. To be called on the event loop.
   void Stop();
 
   boost::asio::io_context& Context() { return this->context; }
-  /// What it believes; to be read on the event loop.
-  /// After Run: see EventLog::Drain.
+  /// Waits for the log to be written, after Run; see EventLog::Drain.
   bool DrainLog(absl::Duration at_most) { return this->log.Drain(at_most); }
+  /// This instance's view of the fleet; to be read on the event loop.
   const FleetState& Fleet() const { return this->fleet; }
   bool HoldsDuty() const { return this->duty.Held(); }
 
  private:
   using Acceptor = boost::asio::ip::tcp::acceptor;
   using Socket = boost::asio::ip::tcp::socket;
-  /// Answers a question of one line.
-  struct PlainAnswer {
+  /// The response of an operator endpoint.
+  struct PlainResponse {
     int status = 404;
     std::string content_type = "text/plain";
     std::string body;
   };
-  using Answerer = std::function<PlainAnswer(std::string_view path)>;
+  using QueryHandler = std::function<PlainResponse(std::string_view path)>;
 
   boost::asio::awaitable<void> AcceptCallers(Acceptor& acceptor);
-  void KeepAnswering(std::string_view name, Acceptor& acceptor,
-                     Answerer answer);
-  boost::asio::awaitable<void> AcceptQuestions(Acceptor& acceptor,
-                                               Answerer answer);
+  void ServeEndpoint(std::string_view name, Acceptor& acceptor,
+                     QueryHandler handler);
+  boost::asio::awaitable<void> AcceptQueries(Acceptor& acceptor,
+                                             QueryHandler handler);
   boost::asio::awaitable<void> ServeCaller(Socket socket);
-  boost::asio::awaitable<int> ServeRequests(CallerLink& link);
-  void NoteClosed(const CallerLink& link, int requests);
-  boost::asio::awaitable<void> ServeQuestions(Socket socket, Answerer answer);
+  boost::asio::awaitable<int> ServeRequests(CallerLink& connection);
+  void RecordConnectionEnd(const CallerLink& connection, int requests);
+  boost::asio::awaitable<void> ServeQueries(Socket socket,
+                                            QueryHandler handler);
   boost::asio::awaitable<void> WaitForSignal();
-  boost::asio::awaitable<void> FollowStop();
-  PlainAnswer AnswerReadiness(std::string_view path) const;
-  PlainAnswer AnswerDirectory(std::string_view path) const;
-  PlainAnswer AnswerMetrics(std::string_view path) const;
-  InstanceRecord MakeSelf() const;
-  CallerLimits Limits() const;
+  boost::asio::awaitable<void> Shutdown();
+  PlainResponse HandleReadiness(std::string_view path) const;
+  PlainResponse HandleDirectory(std::string_view path) const;
+  PlainResponse HandleMetrics(std::string_view path) const;
+  InstanceRecord MakeInstanceRecord() const;
+  CallerLimits CurrentLimits() const;
   void AddGauges();
 
   GatewaySettings settings;
@@ -98,7 +99,8 @@
   const WireFormat wire;
   const Clock clock;
   boost::asio::io_context context;
-  // Before the listeners: who sees the process listen may signal it.
+  // Constructed before the listeners: a process that sees this one listen may
+  // send it a signal.
   boost::asio::signal_set signals;
   Listeners listeners;
   Metrics metrics;
--- a/dragonflyglade/gateway/gateway_command.cc
+++ b/dragonflyglade/gateway/gateway_command.cc
@@ -13,18 +13,18 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-constexpr const char* kUse =
+constexpr const char* kUsage =
     "use: dragonflyglade gateway --settings FILE [--check]\n";
 
-// For the lines of the last moments; a reader that lives takes milliseconds.
-constexpr absl::Duration kLastLines = absl::Milliseconds(300);
+// Time to write the last log lines; a reader that works takes milliseconds.
+constexpr absl::Duration kLogDrainTimeout = absl::Milliseconds(300);
 
 }  // namespace
 
 int RunGatewayCommand(const std::vector<std::string>& arguments,
                       const CommandOutput& output, WireFormat wire) {
   const std::variant<SettingsOptions, int> parsed =
-      ParseSettingsOptions(arguments, kUse, output);
+      ParseSettingsOptions(arguments, kUsage, output);
   if (const int* exit_code = std::get_if<int>(&parsed)) return *exit_code;
   const auto& options = std::get<SettingsOptions>(parsed);
   const Result<GatewaySettings> settings =
@@ -43,12 +43,12 @@
   Gateway gateway(settings.Value(), reread, std::move(wire));
   const Status ran = gateway.Run();
   if (!ran.Ok()) fmt::print(output.err, "{}\n", ran.Error().ToString());
-  const int code = ran.Ok() ? kExitDone : kExitFailed;
-  // The log's thread may be stuck in a write that nobody reads, e.g. to the
-  // pipe of a collector that hangs. Waiting for its end kept stopped processes
-  // alive until they were killed.
-  if (!gateway.DrainLog(kLastLines)) _exit(code);
-  return code;
+  const int exit_code = ran.Ok() ? kExitDone : kExitFailed;
+  // The log's thread may be blocked in a write, e.g. to the pipe of a log
+  // collector that hangs. A regular exit would wait for the thread, and the
+  // stopped process would live on until it is killed.
+  if (!gateway.DrainLog(kLogDrainTimeout)) _exit(exit_code);
+  return exit_code;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/gateway_command.h
+++ b/dragonflyglade/gateway/gateway_command.h
@@ -9,9 +9,10 @@
 
 namespace dragonflyglade::gateway {
 
-/// Runs one gateway process. The arguments begin after the command's name.
-/// @param wire how the world outside is spoken to
-/// @return an exit code
+/// Runs a gateway process until it stops.
+/// @param arguments the command line after the command's name
+/// @param wire codecs for the formats of callers, targets and the store
+/// @return the exit code
 int RunGatewayCommand(const std::vector<std::string>& arguments,
                       const CommandOutput& output, WireFormat wire);
 
--- a/dragonflyglade/gateway/gateway_settings.cc
+++ b/dragonflyglade/gateway/gateway_settings.cc
@@ -16,57 +16,60 @@
 
 constexpr const char* kPeer = "settings";
 
-Failure Invalid(std::string_view why) {
+Failure InvalidSettings(std::string_view why) {
   return MakeFailure(Errc::kInvalidSettings, "read settings", kPeer, why);
 }
 
-json Object(json properties, json required) {
+json ObjectSchema(json properties, json required) {
   return {{"type", "object"},
           {"additionalProperties", false},
           {"properties", std::move(properties)},
           {"required", std::move(required)}};
 }
 
-json Number() { return {{"type", "number"}, {"minimum", 0}}; }
+json NumberSchema() { return {{"type", "number"}, {"minimum", 0}}; }
 
-json Name() { return {{"type", "string"}, {"minLength", 1}}; }
+json NameSchema() { return {{"type", "string"}, {"minLength", 1}}; }
 
 // "ADDRESS:PORT"
-json Address() {
+json AddressSchema() {
   return {{"type", "string"}, {"pattern", "^[0-9a-fA-F.:\\[\\]]+:[0-9]+$"}};
 }
 
-json Schema() {
+json SettingsSchema() {
   const json listen =
-      Object({{"callers", Address()},
-              {"readiness", Address()},
-              {"directory", Address()},
-              {"metrics", Address()},
-              {"peers", Address()}},
-             {"callers", "readiness", "directory", "metrics", "peers"});
+      ObjectSchema({{"callers", AddressSchema()},
+                    {"readiness", AddressSchema()},
+                    {"directory", AddressSchema()},
+                    {"metrics", AddressSchema()},
+                    {"peers", AddressSchema()}},
+                   {"callers", "readiness", "directory", "metrics", "peers"});
   const json machine =
-      Object({{"cores", Number()}, {"link_mbps", Number()}}, json::array());
-  const json limits = Object({{"lease_ttl_ms", Number()},
-                              {"unlisted_lease_ttl_ms", Number()},
-                              {"quiet_between_holders_ms", Number()},
-                              {"stop_within_s", Number()},
-                              {"directory_keep_s", Number()},
-                              {"quota_window_s", Number()},
-                              {"quota_overage", Number()},
-                              {"quota_slack", Number()},
-                              {"retry_share", Number()},
-                              {"retry_slack", Number()},
-                              {"load_window_s", Number()},
-                              {"load_overage", Number()}},
-                             json::array());
-  return Object({{"instance", Name()},
-                 {"zone", Name()},
-                 {"first_start", {{"type", "boolean"}}},
-                 {"listen", listen},
-                 {"store", Object({{"address", Address()}}, {"address"})},
-                 {"machine", machine},
-                 {"limits", limits}},
-                {"instance", "zone", "listen", "store"});
+      ObjectSchema({{"cores", NumberSchema()}, {"link_mbps", NumberSchema()}},
+                   json::array());
+  const json limits =
+      ObjectSchema({{"lease_ttl_ms", NumberSchema()},
+                    {"unlisted_lease_ttl_ms", NumberSchema()},
+                    {"quiet_between_holders_ms", NumberSchema()},
+                    {"stop_within_s", NumberSchema()},
+                    {"directory_keep_s", NumberSchema()},
+                    {"quota_window_s", NumberSchema()},
+                    {"quota_overage", NumberSchema()},
+                    {"quota_slack", NumberSchema()},
+                    {"retry_share", NumberSchema()},
+                    {"retry_slack", NumberSchema()},
+                    {"load_window_s", NumberSchema()},
+                    {"load_overage", NumberSchema()}},
+                   json::array());
+  return ObjectSchema(
+      {{"instance", NameSchema()},
+       {"zone", NameSchema()},
+       {"first_start", {{"type", "boolean"}}},
+       {"listen", listen},
+       {"store", ObjectSchema({{"address", AddressSchema()}}, {"address"})},
+       {"machine", machine},
+       {"limits", limits}},
+      {"instance", "zone", "listen", "store"});
 }
 
 void ReadNumber(const json& object, const char* field, double& value) {
@@ -78,7 +81,8 @@
   if (object.contains(field)) value = object.at(field).get<double>() * unit;
 }
 
-// Reads the addresses and remembers the first that is not an IP number.
+// Reads addresses and keeps an error message for the first that is not an IP
+// address and port.
 class AddressReader {
  public:
   Endpoint Read(const json& object, const char* field) {
@@ -120,9 +124,9 @@
 
 Result<GatewaySettings> ParseGatewaySettings(std::string_view text) {
   const json document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) return Invalid("not JSON");
-  const auto problems = CheckSchema(Schema(), document);
-  if (!problems.empty()) return Invalid(Describe(problems));
+  if (document.is_discarded()) return InvalidSettings("not JSON");
+  const auto problems = CheckSchema(SettingsSchema(), document);
+  if (!problems.empty()) return InvalidSettings(Describe(problems));
   GatewaySettings settings;
   settings.instance = document.at("instance").get<std::string>();
   settings.zone = document.at("zone").get<std::string>();
@@ -135,7 +139,7 @@
   settings.metrics = addresses.Read(listen, "metrics");
   settings.peers = addresses.Read(listen, "peers");
   settings.store = addresses.Read(document.at("store"), "address");
-  if (!addresses.Problem().empty()) return Invalid(addresses.Problem());
+  if (!addresses.Problem().empty()) return InvalidSettings(addresses.Problem());
   const json machine = document.value("machine", json::object());
   ReadNumber(machine, "cores", settings.cores);
   ReadNumber(machine, "link_mbps", settings.link_mbps);
@@ -144,18 +148,18 @@
 }
 
 bool TakeLimitsOver(const GatewaySettings& newer, GatewaySettings& settings) {
-  GatewaySettings taken = newer;
-  taken.instance = settings.instance;
-  taken.zone = settings.zone;
-  taken.callers = settings.callers;
-  taken.readiness = settings.readiness;
-  taken.directory = settings.directory;
-  taken.metrics = settings.metrics;
-  taken.peers = settings.peers;
-  taken.store = settings.store;
-  taken.cores = settings.cores;
-  taken.link_mbps = settings.link_mbps;
-  settings = std::move(taken);
+  GatewaySettings merged = newer;
+  merged.instance = settings.instance;
+  merged.zone = settings.zone;
+  merged.callers = settings.callers;
+  merged.readiness = settings.readiness;
+  merged.directory = settings.directory;
+  merged.metrics = settings.metrics;
+  merged.peers = settings.peers;
+  merged.store = settings.store;
+  merged.cores = settings.cores;
+  merged.link_mbps = settings.link_mbps;
+  settings = std::move(merged);
   const auto differs = [](const Endpoint& one, const Endpoint& other) {
     return one.ToString() != other.ToString();
   };
@@ -172,7 +176,7 @@
 
 Result<GatewaySettings> ReadGatewaySettings(const std::string& path) {
   std::ifstream file(path);
-  if (!file) return Invalid(fmt::format("cannot open {}", path));
+  if (!file) return InvalidSettings(fmt::format("cannot open {}", path));
   std::ostringstream text;
   text << file.rdbuf();
   return ParseGatewaySettings(text.str());
--- a/dragonflyglade/gateway/gateway_settings.h
+++ b/dragonflyglade/gateway/gateway_settings.h
@@ -13,48 +13,50 @@
 
 /// The settings of a gateway process.
 struct GatewaySettings {
-  std::string instance;  ///< its name, unique among the instances
+  std::string instance;  ///< name of this instance, unique in the fleet
   std::string zone;
-  Endpoint callers;    ///< requests
-  Endpoint readiness;  ///< "is it ready"
-  Endpoint directory;  ///< "which instances to use"
-  Endpoint metrics;
-  Endpoint peers;  ///< datagrams of other instances
-  Endpoint store;
-  double cores = 1;  ///< of the processor, fractions included
-  double link_mbps = 1000;
+  Endpoint callers;         ///< listens for callers' requests
+  Endpoint readiness;       ///< listens for readiness checks
+  Endpoint directory;       ///< listens for queries of the list of instances
+  Endpoint metrics;         ///< listens for scrapes of the metrics
+  Endpoint peers;           ///< receives datagrams of other instances
+  Endpoint store;           ///< address of the store
+  double cores = 1;         ///< CPU cores of this process, may be fractional
+  double link_mbps = 1000;  ///< network bandwidth in Mbit/s
 
   absl::Duration lease_ttl = absl::Seconds(2);
-  /// The lease of an instance that callers are not sent to. Nobody waits for
-  /// news of its end, and renewals of a large fleet are the store's main load.
+  /// Lease time of an instance that is not listed for callers. Nothing waits
+  /// for the end of such a lease, and the lease renewals of a large fleet are
+  /// the main load of the store, so it is longer.
   absl::Duration unlisted_lease_ttl = absl::Seconds(8);
-  /// Orders of two holders of a duty to one target lie further apart.
+  /// Minimum time between the orders of two successive leaders to one target.
   absl::Duration quiet_between_holders = absl::Seconds(3);
-  /// From the signal to stop until the process must have ended.
+  /// Time from the signal to stop until the process must have ended.
   absl::Duration stop_within = absl::Seconds(8);
-  /// How long callers may keep the answer to "which instances to use".
+  /// How long callers may cache the list of instances.
   absl::Duration directory_keep = absl::Seconds(2);
 
-  /// Whether no process of the fleet has run before, so that nothing can
-  /// have been spent of any quota.
+  /// Whether the fleet has never run before, so that no quota can be spent.
   bool first_start = false;
   QuotaAllowance quota_allowance;
-  double retry_share = 0.1;  ///< retries for each request
-  double retry_slack = 10;   ///< retries over all instances in a window
-  absl::Duration load_window = absl::Seconds(5);  ///< of the weight store
-  double load_overage = 1;  ///< times the loads a second in a window
+  double retry_share = 0.1;  ///< retries per request
+  double retry_slack = 10;   ///< further retries per window, in the whole fleet
+  /// Window in which loads from the weight storage are counted.
+  absl::Duration load_window = absl::Seconds(5);
+  double load_overage = 1;  ///< factor on the loads that a window permits
 };
 
 /// Reads and checks a settings file.
 /// Errors: kInvalidSettings, naming each field that is missing or wrong.
 Result<GatewaySettings> ReadGatewaySettings(const std::string& path);
 
-/// Takes the limits of newer settings over, which may change while a process
-/// runs. Addresses and names stay.
-/// @return whether something differs that only a new process can take over
+/// Copies those newer settings that may change while the process runs. Names,
+/// addresses and the machine's capacity stay.
+/// @return whether another setting differs, which takes effect after a restart
 bool TakeLimitsOver(const GatewaySettings& newer, GatewaySettings& settings);
 
-/// The same as ReadGatewaySettings, from text.
+/// Parses and checks the text of a settings file; errors as
+/// ReadGatewaySettings.
 Result<GatewaySettings> ParseGatewaySettings(std::string_view text);
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/http_text.cc
+++ b/dragonflyglade/gateway/http_text.cc
@@ -11,7 +11,7 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-std::string_view ReasonOf(int status) {
+std::string_view ReasonPhrase(int status) {
   const auto reason = boost::beast::http::obsolete_reason(
       boost::beast::http::int_to_status(static_cast<unsigned>(status)));
   return {reason.data(), reason.size()};
@@ -47,7 +47,7 @@
                        BodyFraming framing, std::size_t length,
                        std::optional<absl::Duration> keep_alive) {
   std::string text =
-      fmt::format("HTTP/1.1 {} {}\r\n", status, ReasonOf(status));
+      fmt::format("HTTP/1.1 {} {}\r\n", status, ReasonPhrase(status));
   AppendFields(fields, text);
   if (framing == BodyFraming::kChunked) {
     text += "Transfer-Encoding: chunked\r\n";
--- a/dragonflyglade/gateway/http_text.h
+++ b/dragonflyglade/gateway/http_text.h
@@ -14,31 +14,31 @@
 
 namespace dragonflyglade::gateway {
 
-/// The head of a request as text, with Content-Length for a body.
-/// @param host the Host field, if the fields have none
+/// Formats the head of a request, with Content-Length if it may have a body.
+/// @param host value of the Host field, unless the request's fields have one
 std::string RequestText(const HttpCallText& call, std::string_view host);
 
-/// How an answer's body ends.
+/// How the end of a response's body is marked.
 enum class BodyFraming { kLength, kChunked };
 
-/// The head of an answer as text.
-/// @param length of the body, with kLength
-/// @param keep_alive how long the connection stays for a next request; none:
-///     it ends with this answer
+/// Formats the head of a response.
+/// @param length size of the body in bytes; used with kLength only
+/// @param keep_alive idle timeout to announce; without one the response
+///     announces that the connection closes
 std::string AnswerText(int status, const HeaderFields& fields,
                        BodyFraming framing, std::size_t length,
                        std::optional<absl::Duration> keep_alive);
 
-/// A chunk of a body with its framing; the bytes must not be empty.
+/// Formats a chunk of a chunked body; the bytes must not be empty.
 std::string ChunkText(std::string_view bytes);
 
-/// The end of a body in chunks.
+/// The chunk that ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-/// The head of a parsed request or answer.
+/// Converts the header of a request or response that Beast has parsed.
 template <bool is_request>
-HttpHeadText HeadText(const boost::beast::http::header<is_request>& header,
-                      bool keep_alive) {
+HttpHeadText ConvertHead(const boost::beast::http::header<is_request>& header,
+                         bool keep_alive) {
   HttpHeadText head;
   if constexpr (is_request) {
     head.method = {header.method_string().data(),
--- a/dragonflyglade/gateway/listeners.cc
+++ b/dragonflyglade/gateway/listeners.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Connections that wait to be accepted: a burst of new callers, some hundred
-// in the time of one turn of the loop on a small machine.
+// Length of the queue of connections to accept. On a small machine some hundred
+// new callers may connect during one turn of the event loop.
 constexpr int kBacklog = 1024;
 
 }  // namespace
@@ -30,30 +30,30 @@
 
 void Listeners::Listen(Endpoint& endpoint, tcp::acceptor& acceptor) {
   error_code error;
-  const tcp::endpoint place(
+  const tcp::endpoint local_endpoint(
       boost::asio::ip::make_address(endpoint.address, error),
       static_cast<unsigned short>(endpoint.port));
-  if (!error) acceptor.open(place.protocol(), error);
+  if (!error) acceptor.open(local_endpoint.protocol(), error);
   if (!error) acceptor.set_option(tcp::acceptor::reuse_address(true), error);
-  if (!error) acceptor.bind(place, error);
+  if (!error) acceptor.bind(local_endpoint, error);
   if (!error) acceptor.listen(kBacklog, error);
-  this->Note(error, endpoint);
+  this->RecordError(error, endpoint);
   if (!error) endpoint.port = acceptor.local_endpoint().port();
 }
 
 void Listeners::BindPeers(Endpoint& endpoint) {
   error_code error;
-  const udp::endpoint place(
+  const udp::endpoint local_endpoint(
       boost::asio::ip::make_address(endpoint.address, error),
       static_cast<unsigned short>(endpoint.port));
-  if (!error) this->peers.open(place.protocol(), error);
-  if (!error) this->peers.bind(place, error);
+  if (!error) this->peers.open(local_endpoint.protocol(), error);
+  if (!error) this->peers.bind(local_endpoint, error);
   if (!error) this->peers.non_blocking(true, error);
-  this->Note(error, endpoint);
+  this->RecordError(error, endpoint);
   if (!error) endpoint.port = this->peers.local_endpoint().port();
 }
 
-void Listeners::Note(const error_code& error, const Endpoint& endpoint) {
+void Listeners::RecordError(const error_code& error, const Endpoint& endpoint) {
   if (!error || !this->bound.Ok()) return;
   this->bound = MakeFailure(Errc::kConnectFailed, "listen", endpoint.ToString(),
                             error.message());
--- a/dragonflyglade/gateway/listeners.h
+++ b/dragonflyglade/gateway/listeners.h
@@ -10,14 +10,14 @@
 
 namespace dragonflyglade::gateway {
 
-/// The sockets that a gateway listens on.
+/// The listening sockets of a gateway.
 class Listeners {
  public:
-  /// Binds all. A port of 0 in the settings is replaced by the one that the
-  /// system chose, so that what others are told of this instance is true.
+  /// Binds all sockets. Replaces a port of 0 in the settings by the port that
+  /// the system chose, so that the instance announces its actual addresses.
   Listeners(boost::asio::io_context& context, GatewaySettings& settings);
 
-  /// Errors: kConnectFailed, naming the first address that cannot be had.
+  /// Errors: kConnectFailed, naming the first address that could not be bound.
   const Status& Bound() const { return this->bound; }
 
   boost::asio::ip::tcp::acceptor callers;
@@ -29,7 +29,8 @@
  private:
   void Listen(Endpoint& endpoint, boost::asio::ip::tcp::acceptor& acceptor);
   void BindPeers(Endpoint& endpoint);
-  void Note(const boost::system::error_code& error, const Endpoint& endpoint);
+  void RecordError(const boost::system::error_code& error,
+                   const Endpoint& endpoint);
 
   Status bound = Done{};
 };
--- a/dragonflyglade/gateway/loop_watch.cc
+++ b/dragonflyglade/gateway/loop_watch.cc
@@ -7,10 +7,10 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-constexpr absl::Duration kLookEvery = absl::Milliseconds(50);
-// Turns of the loop take a millisecond or two; callers of plain services
-// notice ten more.
-constexpr absl::Duration kNotable = absl::Milliseconds(10);
+constexpr absl::Duration kCheckInterval = absl::Milliseconds(50);
+// A turn of the event loop takes a millisecond or two. Ten more are noticeable
+// to callers of services without engines.
+constexpr absl::Duration kMinLoggedLag = absl::Milliseconds(10);
 
 }  // namespace
 
@@ -20,12 +20,12 @@
 
 boost::asio::awaitable<void> LoopWatch::Run() {
   while (true) {
-    const Instant due = this->clock.Now() + kLookEvery;
-    co_await Sleep(this->context, kLookEvery);
-    const absl::Duration late = this->clock.Now() - due;
-    this->metrics.Observe("loop_late_seconds", "", absl::ToDoubleSeconds(late));
-    if (late < kNotable) continue;
-    this->log.Write("process", "held up", {{"late_ms", late}});
+    const Instant due = this->clock.Now() + kCheckInterval;
+    co_await Sleep(this->context, kCheckInterval);
+    const absl::Duration lag = this->clock.Now() - due;
+    this->metrics.Observe("loop_late_seconds", "", absl::ToDoubleSeconds(lag));
+    if (lag < kMinLoggedLag) continue;
+    this->log.Write("process", "held up", {{"late_ms", lag}});
   }
 }
 
--- a/dragonflyglade/gateway/loop_watch.h
+++ b/dragonflyglade/gateway/loop_watch.h
@@ -10,8 +10,9 @@
 
 namespace dragonflyglade::gateway {
 
-/// Tells when the event loop was held up, be it by a long handler or for want
-/// of processor time: a line `process` `held up`, and `loop_late_seconds`.
+/// Measures the lag of the event loop, which a long handler or a lack of CPU
+/// time causes. Observes it in the metric `loop_late_seconds`, and logs a high
+/// lag as `process` `held up`.
 class LoopWatch {
  public:
   LoopWatch(boost::asio::io_context& context, Metrics& metrics, EventLog& log,
--- a/dragonflyglade/gateway/peek_socket.h
+++ b/dragonflyglade/gateway/peek_socket.h
@@ -5,15 +5,15 @@
 
 namespace dragonflyglade::gateway {
 
-/// What a read would find.
+/// The result that a read from a socket would have.
 enum class SocketState {
-  kQuiet,   ///< open, and nothing to be read
-  kBytes,   ///< bytes that nobody has read yet
-  kClosed,  ///< the other end sends nothing more
-  kFailed,  ///< reset, timed out, or closed here
+  kQuiet,   ///< open, without unread bytes
+  kBytes,   ///< has unread bytes
+  kClosed,  ///< the peer has closed its sending side
+  kFailed,  ///< reset, timed out, or closed on this side
 };
 
-/// Looks at a socket without reading from it or waiting.
+/// Determines the state of a socket without consuming bytes or blocking.
 SocketState PeekSocket(boost::asio::ip::tcp::socket& socket);
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/signal.cc
+++ b/dragonflyglade/gateway/signal.cc
@@ -10,7 +10,7 @@
 namespace {
 
 asio::awaitable<void> WaitFor(asio::steady_timer& timer) {
-  // The only error is a cancelled wait, and that is what Notify does.
+  // The only possible error is a cancelled wait, by Notify.
   boost::system::error_code ignored;
   co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -22,11 +22,11 @@
   co_await WaitFor(timer);
 }
 
-asio::awaitable<void> Signal::Wait(absl::Duration at_most) {
-  asio::steady_timer timer(this->context, absl::ToChronoNanoseconds(at_most));
-  const auto place = this->waiting.insert(this->waiting.end(), &timer);
+asio::awaitable<void> Signal::Wait(absl::Duration timeout) {
+  asio::steady_timer timer(this->context, absl::ToChronoNanoseconds(timeout));
+  const auto position = this->waiting.insert(this->waiting.end(), &timer);
   co_await WaitFor(timer);
-  this->waiting.erase(place);
+  this->waiting.erase(position);
 }
 
 void Signal::Notify() {
--- a/dragonflyglade/gateway/signal.h
+++ b/dragonflyglade/gateway/signal.h
@@ -11,18 +11,20 @@
 
 namespace dragonflyglade::gateway {
 
-/// Waits for a time; a cancelled wait returns at once.
+/// Suspends the coroutine for a time.
 boost::asio::awaitable<void> Sleep(boost::asio::io_context& context,
                                    absl::Duration time);
 
-/// Wakes all coroutines that wait for a change. One event loop.
+/// A condition variable for coroutines on one event loop.
 class Signal {
  public:
   explicit Signal(boost::asio::io_context& context) : context(context) {}
 
-  /// Returns after Notify, or after the time at the latest.
-  boost::asio::awaitable<void> Wait(absl::Duration at_most);
+  /// Waits for the next Notify.
+  /// @param at_most timeout, after which Wait returns without a Notify
+  boost::asio::awaitable<void> Wait(absl::Duration timeout);
 
+  /// Wakes all coroutines that wait at present.
   void Notify();
 
  private:
--- a/dragonflyglade/gateway/step_timer.cc
+++ b/dragonflyglade/gateway/step_timer.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-// The handler that takes the last bytes may be queued behind a look that finds
-// none; it has run by the next one.
-constexpr int kQuietLooks = 2;
-// Bytes that nobody reads must not hold a step open.
-constexpr absl::Duration kLongestLooking = absl::Milliseconds(100);
+// After the last bytes are read, the handler that ends the step may be queued
+// behind a check that finds no bytes. It has run by the next check.
+constexpr int kChecksWithoutBytes = 2;
+// Bytes that are never read must not keep a step from timing out.
+constexpr absl::Duration kMaxCheckTime = absl::Milliseconds(100);
 
 }  // namespace
 
@@ -24,9 +24,9 @@
 
 void StepTimer::Start(absl::Duration time, Expired expired) {
   *this->step += 1;
-  Looks looks;
-  looks.due = this->clock.Now() + time;
-  this->Wait(time, looks, std::move(expired));
+  ExpiryChecks checks;
+  checks.due = this->clock.Now() + time;
+  this->Wait(time, checks, std::move(expired));
 }
 
 void StepTimer::Stop() {
@@ -34,30 +34,32 @@
   this->timer.cancel();
 }
 
-// A wait that has expired cannot be cancelled once its handler is queued, so
-// the handler checks that its step is still the present one. While the loop was
-// busy, the end of the time and the bytes of the step may both have come; turns
-// of the loop go on until what has come is read.
-void StepTimer::Wait(absl::Duration time, Looks looks, Expired expired) {
+// An expired wait cannot be cancelled once its handler is queued, so the
+// handler checks that its step is still the current one. While the event loop
+// was busy, the step's time may have ended although its bytes had arrived. The
+// handler therefore lets the loop run further turns until all received bytes
+// are read.
+void StepTimer::Wait(absl::Duration time, ExpiryChecks checks,
+                     Expired expired) {
   this->timer.expires_after(absl::ToChronoNanoseconds(time));
-  this->timer.async_wait([this, present = this->step, number = *this->step,
-                          looks, expired = std::move(expired)](
+  this->timer.async_wait([this, current_step = this->step, number = *this->step,
+                          checks, expired = std::move(expired)](
                              const boost::system::error_code& error) mutable {
-    if (error || *present != number) return;
-    if (this->LooksAgain(looks)) {
-      this->Wait(absl::ZeroDuration(), looks, std::move(expired));
+    if (error || *current_step != number) return;
+    if (this->MustCheckAgain(checks)) {
+      this->Wait(absl::ZeroDuration(), checks, std::move(expired));
       return;
     }
-    expired(this->clock.Now() - looks.due);
+    expired(this->clock.Now() - checks.due);
   });
 }
 
-bool StepTimer::LooksAgain(Looks& looks) const {
+bool StepTimer::MustCheckAgain(ExpiryChecks& checks) const {
   const Instant now = this->clock.Now();
-  if (!looks.first.has_value()) looks.first = now;
-  looks.quiet = this->bytes_wait() ? 0 : looks.quiet + 1;
-  if (looks.quiet >= kQuietLooks) return false;
-  return now - *looks.first < kLongestLooking;
+  if (!checks.first.has_value()) checks.first = now;
+  checks.without_bytes = this->bytes_wait() ? 0 : checks.without_bytes + 1;
+  if (checks.without_bytes >= kChecksWithoutBytes) return false;
+  return now - *checks.first < kMaxCheckTime;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/step_timer.h
+++ b/dragonflyglade/gateway/step_timer.h
@@ -13,44 +13,46 @@
 
 namespace dragonflyglade::gateway {
 
-/// Bounds how long a step on a connection may take; one step at a time.
+/// Limits the time of one step of the communication on a connection, such as
+/// reading a request's head. One step at a time, on one event loop.
 ///
-/// A step that has ended is never timed out, and neither is one whose bytes
-/// arrived in time while the loop was busy. One event loop.
+/// A step does not time out after it has ended, nor if its bytes arrived in
+/// time but the event loop was too busy to read them.
 class StepTimer {
  public:
   /// Called when the step has timed out.
-  /// @param late how much after its end
+  /// @param late time since the end of the step's time
   using Expired = std::function<void(absl::Duration late)>;
 
-  /// @param bytes_wait whether the connection has bytes that are not read yet
+  /// @param bytes_wait returns whether the connection has unread bytes
   StepTimer(boost::asio::io_context& context, Clock clock,
             std::function<bool()> bytes_wait);
   ~StepTimer();
   StepTimer(const StepTimer&) = delete;
   StepTimer& operator=(const StepTimer&) = delete;
 
-  /// Begins a step; the one before it has ended.
+  /// Begins a step, and ends the one before it.
   void Start(absl::Duration time, Expired expired);
 
   /// Ends the step.
   void Stop();
 
  private:
-  /// The looks at a connection whose step's time is over.
-  struct Looks {
+  /// The checks for unread bytes after the step's time is over.
+  struct ExpiryChecks {
     Instant due;  ///< the end of the step's time
     std::optional<Instant> first;
-    int quiet = 0;  ///< in a row that found no bytes
+    int without_bytes = 0;  ///< consecutive checks that found no bytes
   };
 
-  void Wait(absl::Duration time, Looks looks, Expired expired);
-  bool LooksAgain(Looks& looks) const;
+  void Wait(absl::Duration time, ExpiryChecks checks, Expired expired);
+  bool MustCheckAgain(ExpiryChecks& checks) const;
 
   boost::asio::steady_timer timer;
   const Clock clock;
   const std::function<bool()> bytes_wait;
-  /// The present step's number; handlers share it, since they may outlive this.
+  /// Number of the current step; shared with the handlers, which may outlive
+  /// the timer.
   std::shared_ptr<std::int64_t> step = std::make_shared<std::int64_t>(0);
 };
 
--- a/dragonflyglade/gateway/target_connection.cc
+++ b/dragonflyglade/gateway/target_connection.cc
@@ -8,18 +8,19 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// A target closes an idle connection at the life that it states, in whole
-// seconds. A request that crosses the close may have run, so connections are
-// dropped this much earlier; a request is on its way for milliseconds.
-constexpr absl::Duration kLifeMargin = absl::Milliseconds(700);
-// Life of connections whose target states none.
-constexpr absl::Duration kUnstatedLife = absl::Seconds(2);
-// More idle connections than this are of no use to one instance.
-constexpr std::size_t kMostIdle = 16;
-
-// Bytes or an end that wait to be read belong to no request: a late extra
-// answer, or a target that closed. Such a connection must not be used.
-bool IsQuiet(TargetConnection& connection) {
+// A target closes an idle connection after the idle timeout that it states in
+// whole seconds. If it closes while a request is in transit, the outcome of the
+// request is unknown. Connections therefore expire this much earlier; a request
+// is in transit for milliseconds.
+constexpr absl::Duration kIdleTimeoutMargin = absl::Milliseconds(700);
+// Idle timeout of connections whose target states none.
+constexpr absl::Duration kDefaultIdleTimeout = absl::Seconds(2);
+// One instance has no use for more idle connections to a target.
+constexpr std::size_t kMaxIdleConnections = 16;
+
+// Unread bytes on an idle connection are a late duplicate response, and an
+// unread end means that the target closed it. Neither connection may be reused.
+bool HasNoData(TargetConnection& connection) {
   if (connection.buffer.size() > 0) return false;
   return PeekSocket(connection.socket) == SocketState::kQuiet;
 }
@@ -30,7 +31,7 @@
   while (!this->idle.empty()) {
     std::shared_ptr<TargetConnection> last = std::move(this->idle.back());
     this->idle.pop_back();
-    if (now < last->usable_until && IsQuiet(*last)) return last;
+    if (now < last->usable_until && HasNoData(*last)) return last;
   }
   return nullptr;
 }
@@ -38,11 +39,13 @@
 void ConnectionPool::Return(std::shared_ptr<TargetConnection> connection,
                             std::optional<absl::Duration> keep_alive,
                             Instant now) {
-  const absl::Duration life =
-      keep_alive.has_value() ? *keep_alive - kLifeMargin : kUnstatedLife;
-  if (life <= absl::ZeroDuration()) return;
-  connection->usable_until = now + life;
-  if (this->idle.size() >= kMostIdle) this->idle.erase(this->idle.begin());
+  const absl::Duration idle_timeout = keep_alive.has_value()
+                                          ? *keep_alive - kIdleTimeoutMargin
+                                          : kDefaultIdleTimeout;
+  if (idle_timeout <= absl::ZeroDuration()) return;
+  connection->usable_until = now + idle_timeout;
+  if (this->idle.size() >= kMaxIdleConnections)
+    this->idle.erase(this->idle.begin());
   this->idle.push_back(std::move(connection));
 }
 
--- a/dragonflyglade/gateway/target_connection.h
+++ b/dragonflyglade/gateway/target_connection.h
@@ -13,25 +13,27 @@
 
 namespace dragonflyglade::gateway {
 
-/// A connection to a target, with what was read from it and not yet used.
+/// A connection to a target, with the bytes that were read but not consumed.
 struct TargetConnection {
   explicit TargetConnection(boost::asio::io_context& context)
       : socket(context) {}
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  Instant usable_until;  ///< while idle
+  Instant usable_until;  ///< when an idle connection expires
 };
 
-/// The idle connections to one target.
+/// The pool of idle connections to one target.
 class ConnectionPool {
  public:
-  /// The idle connection that was used last, if one is sound: young enough,
-  /// open, and with nothing to be read. Others that are not are closed.
+  /// Removes and returns the most recently used connection that is usable: not
+  /// expired, open, and without unread bytes. Unusable ones found on the way
+  /// are closed.
+  /// @return null if there is none
   std::shared_ptr<TargetConnection> Take(Instant now);
 
-  /// Keeps a connection that ended an exchange cleanly.
-  /// @param keep_alive the idle life that the target stated, if it did
+  /// Adds a connection whose exchange completed cleanly.
+  /// @param keep_alive the idle timeout that the target stated, if it did
   void Return(std::shared_ptr<TargetConnection> connection,
               std::optional<absl::Duration> keep_alive, Instant now);
 
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -172,8 +172,8 @@
       this->connection->socket, this->connection->buffer, *this->parser,
       asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return this->LostAfter(error);
-  this->head = this->wire.decode_answer(
-      HeadText<false>(this->parser->get().base(), this->parser->keep_alive()));
+  this->head = this->wire.decode_answer(ConvertHead<false>(
+      this->parser->get().base(), this->parser->keep_alive()));
   co_return std::nullopt;
 }
 
--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -6,23 +6,26 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// How long a target's word that it lacks something goes before its record,
-// which is written at its next heartbeat, about a second later.
-constexpr absl::Duration kAbsenceHolds = absl::Milliseconds(1000);
-// A report tells of the load at one moment; after this it says nothing.
-constexpr absl::Duration kReportHolds = absl::Seconds(1);
-// Summaries come several times a second; after this the sender is gone.
-constexpr absl::Duration kOthersHold = absl::Milliseconds(1500);
-// A full target is asked again when a place may have become free: plain
-// requests take some tens of milliseconds.
-constexpr absl::Duration kFullHolds = absl::Milliseconds(60);
-// The weight of the last request in the share of faults: about the last ten
-// count, so that a target failing two in five stands out within a second.
+// How long a target's statement that something is not resident overrides its
+// record, which the target corrects at its next heartbeat, about a second
+// later.
+constexpr absl::Duration kNotResidentLifetime = absl::Milliseconds(1000);
+// A load report describes one moment and is ignored after this time.
+constexpr absl::Duration kLoadReportLifetime = absl::Seconds(1);
+// The leader sends several summaries a second. Without one for this long the
+// leader is unreachable, and its last summary is ignored.
+constexpr absl::Duration kSummaryLifetime = absl::Milliseconds(1500);
+// How long a full target is avoided. Requests of services without engines take
+// some tens of milliseconds, so it may have room again after this time.
+constexpr absl::Duration kFullBackoff = absl::Milliseconds(60);
+// The weight of a request in the moving average of failures: about the last ten
+// requests count, so that a target which fails two in five stands out within a
+// second.
 constexpr double kFaultWeight = 0.1;
-// A target that refuses connections or is silent is left alone for a while,
-// twice as long each time.
-constexpr absl::Duration kAvoidFirst = absl::Milliseconds(500);
-constexpr int kAvoidDoublings = 4;
+// An unreachable target is avoided with exponential backoff: each failure in a
+// row doubles the time, up to this number of times.
+constexpr absl::Duration kInitialBackoff = absl::Milliseconds(500);
+constexpr int kMaxBackoffDoublings = 4;
 
 }  // namespace
 
@@ -36,12 +39,12 @@
     : record(std::move(record)), updated_at(now) {}
 
 void TargetState::Update(TargetRecord newer, Instant now) {
-  const bool other_process = newer.born_ms != this->record.born_ms ||
-                             newer.address != this->record.address;
+  const bool restarted = newer.born_ms != this->record.born_ms ||
+                         newer.address != this->record.address;
   this->record = std::move(newer);
   this->updated_at = now;
   this->missing_since.reset();
-  if (!other_process) return;
+  if (!restarted) return;
   this->placed_adapters.clear();
   this->closing_models.clear();
   this->placed_at.reset();
@@ -64,13 +67,14 @@
   const std::string key = ResidentKey(model, adapter);
   const auto absent = this->absent_until.find(key);
   if (absent != this->absent_until.end() && now < absent->second) return false;
-  const bool told =
-      this->placed_at.has_value() && now - *this->placed_at < kOthersHold;
-  if (told && this->closing_models.count(std::string(model)) > 0) return false;
+  const bool placement_is_recent =
+      this->placed_at.has_value() && now - *this->placed_at < kSummaryLifetime;
+  if (placement_is_recent && this->closing_models.count(std::string(model)) > 0)
+    return false;
   for (const ResidentModel& item : this->record.models) {
     if (item.name != model) continue;
     if (adapter.empty()) return true;
-    if (told) return this->placed_adapters.count(key) > 0;
+    if (placement_is_recent) return this->placed_adapters.count(key) > 0;
     return std::find(item.adapters.begin(), item.adapters.end(), adapter) !=
            item.adapters.end();
   }
@@ -79,7 +83,7 @@
 
 void TargetState::MarkAbsent(std::string_view model, std::string_view adapter,
                              Instant now) {
-  this->absent_until[ResidentKey(model, adapter)] = now + kAbsenceHolds;
+  this->absent_until[ResidentKey(model, adapter)] = now + kNotResidentLifetime;
 }
 
 bool TargetState::ConfirmPlaced(Instant now) {
@@ -96,7 +100,7 @@
 }
 
 void TargetState::MarkFull(Instant now) {
-  this->avoid_until = std::max(this->avoid_until, now + kFullHolds);
+  this->avoid_until = std::max(this->avoid_until, now + kFullBackoff);
 }
 
 void TargetState::Sent(double prompt_tokens, const std::string& resident,
@@ -137,20 +141,24 @@
 }
 
 double TargetState::Requests(Instant now) const {
-  if (this->others_at.has_value() && now - *this->others_at < kOthersHold) {
+  if (this->others_at.has_value() &&
+      now - *this->others_at < kSummaryLifetime) {
     return this->in_flight + this->others_requests;
   }
-  if (this->report.has_value() && now - this->reported_at < kReportHolds) {
-    const int since = this->in_flight - this->in_flight_at_report;
+  if (this->report.has_value() &&
+      now - this->reported_at < kLoadReportLifetime) {
+    const int requests_since = this->in_flight - this->in_flight_at_report;
     return std::max<double>(
-        this->in_flight, this->report->running + this->report->waiting + since);
+        this->in_flight,
+        this->report->running + this->report->waiting + requests_since);
   }
   return this->in_flight;
 }
 
 double TargetState::Unread(Instant now) const {
   const double known = this->unread_tokens + this->others_sent.Level(now);
-  if (this->others_at.has_value() && now - *this->others_at < kOthersHold) {
+  if (this->others_at.has_value() &&
+      now - *this->others_at < kSummaryLifetime) {
     return known + this->others_unread;
   }
   return known;
@@ -163,8 +171,9 @@
     this->unreachable_in_row = 0;
     return;
   }
-  const int doublings = std::min(this->unreachable_in_row, kAvoidDoublings);
-  this->avoid_until = now + kAvoidFirst * (1 << doublings);
+  const int doublings =
+      std::min(this->unreachable_in_row, kMaxBackoffDoublings);
+  this->avoid_until = now + kInitialBackoff * (1 << doublings);
   this->unreachable_in_row += 1;
 }
 
--- a/dragonflyglade/gateway/target_state.h
+++ b/dragonflyglade/gateway/target_state.h
@@ -17,14 +17,14 @@
 
 namespace dragonflyglade::gateway {
 
-/// How a request ended, as far as it tells of its target.
+/// The result of a request, as evidence of the health of its target.
 enum class TargetResult {
-  kSound,  ///< answered as it should
-  kFault,  ///< failed, broke off, or answered with an error of its own
+  kSound,  ///< the target responded correctly
+  kFault,  ///< the target failed, lost the connection or returned an error
   kUnreachable,
 };
 
-/// What this instance knows of one target. One event loop.
+/// The state of one target as this instance knows it. Used on one event loop.
 class TargetState {
  public:
   TargetState(TargetRecord record, Instant now);
@@ -33,62 +33,76 @@
   /// When the record was last replaced.
   Instant UpdatedAt() const { return this->updated_at; }
 
-  /// Takes a newer record. A target that was started anew has forgotten all.
+  /// Replaces the record. If the target's process restarted, discards what was
+  /// known of the earlier process.
   void Update(TargetRecord newer, Instant now);
 
-  /// Whether the model, and the adapter unless it is empty, can be asked for.
+  /// Whether the target can serve requests for the model, and for the adapter
+  /// unless it is empty.
   bool Holds(std::string_view model, std::string_view adapter,
              Instant now) const;
   bool HoldsModel(std::string_view model) const;
 
-  /// The target said that it lacks them, whatever its record says.
+  /// Records the target's own statement that the model or adapter is not
+  /// resident. For a short time this overrides the target's record.
   void MarkAbsent(std::string_view model, std::string_view adapter,
                   Instant now);
 
-  /// The placing instance says which adapters are there, as ResidentKey, and
-  /// which models are about to leave. While that is fresh it goes before the
-  /// record, which lags by a heartbeat.
-  /// What was told last still holds.
-  /// @return false if nothing is known since the target's process started
+  /// Confirms that the residency which the leader reported last is still valid.
+  /// @return false if none was reported since the target's process started
   bool ConfirmPlaced(Instant now);
+  /// Stores the residency that the leader reported. While it is recent it
+  /// overrides the target's record, which lags by a heartbeat.
+  /// @param adapters the resident adapters, each as ResidentKey
+  /// @param closing_models models that are about to be unloaded
   void SetPlaced(std::set<std::string> adapters,
                  std::set<std::string> closing_models, Instant now);
 
-  /// Counts a request while it is at the target.
-  /// @param adapter as ResidentKey; empty if it needs none
+  /// Counts a request as in flight at the target.
+  /// @param prompt_tokens tokens that the target is expected to process
+  /// @param resident ResidentKey of its model or adapter; empty if none
   void Sent(double prompt_tokens, const std::string& resident, Instant now);
+  /// The target has processed the prompt of a request.
   void FirstOutput(double prompt_tokens);
+  /// A request is no longer in flight.
   void Ended(const std::string& resident);
-  /// How many requests use each adapter.
+  /// Requests of this instance in flight, by ResidentKey.
   const std::map<std::string, int>& ResidentsInUse() const {
     return this->residents_in_use;
   }
   int InFlight() const { return this->in_flight; }
   double UnreadTokens() const { return this->unread_tokens; }
 
-  /// What the target said of its load with an answer.
+  /// Stores the load that the target stated in a response.
   void Reported(const LoadReport& report, Instant now);
-  /// What other instances have there, by the last summary.
+  /// Stores the load that other instances put on the target, from the leader's
+  /// latest summary.
+  /// @param requests their requests in flight
+  /// @param unread prompt tokens that the target has yet to process for them
   void SetOthers(double requests, double unread, Instant now);
-  /// Another instance told of prompts that it just sent there.
+  /// Adds prompt tokens that another instance has just sent to the target.
   void OthersSent(double prompt_tokens, Instant now);
 
-  /// Requests there, of this and all other instances, as far as known.
+  /// Estimate of the requests in flight at the target, of all instances.
   double Requests(Instant now) const;
+  /// Estimate of the prompt tokens that the target has yet to process.
   double Unread(Instant now) const;
-  /// Prompt tokens that were sent faster than the pace; see PacingHold.
+  /// Prompt tokens sent in excess of the pace; see PacingHold.
   double AheadOfPace(Instant now) const { return this->pace.Level(now); }
 
-  /// The target had no place for a request just now.
+  /// Records that the target declined a request because it was full.
   void MarkFull(Instant now);
 
-  /// Learns from a request's end.
+  /// Updates the health estimate with the result of a request.
   void Learn(TargetResult result, Instant now);
+  /// Whether requests should go elsewhere for now: the target is full or was
+  /// unreachable.
   bool Avoided(Instant now) const { return now < this->avoid_until; }
-  /// 0 to 1: the part of the last requests that failed.
+  /// Moving average of the share of requests that failed, from 0 to 1.
   double FaultShare() const { return this->fault_share; }
 
-  /// Set when the entry vanished although the target may live on.
+  /// Set when the target's record left the store while the target may still be
+  /// running.
   std::optional<Instant> missing_since;
   ConnectionPool connections;
 
@@ -109,13 +123,13 @@
   double others_unread = 0;
   std::optional<Instant> others_at;
   LeakyBucket others_sent{kReadPerMs};
-  LeakyBucket pace{kPacedPerMs};  ///< of what all instances send
+  LeakyBucket pace{kPacedPerMs};  ///< prompt tokens that all instances send
   double fault_share = 0;
   int unreachable_in_row = 0;
   Instant avoid_until;
 };
 
-/// "model" or "model/adapter".
+/// Returns "model" or "model/adapter".
 std::string ResidentKey(std::string_view model, std::string_view adapter);
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -12,8 +12,8 @@
 namespace dragonflyglade::gateway {
 namespace {
 
-// Long enough that a task that fails each time costs next to nothing.
-constexpr absl::Duration kPauseAfterFailure = absl::Milliseconds(200);
+// Limits the cost of a task that fails at every start.
+constexpr absl::Duration kRestartDelay = absl::Milliseconds(200);
 
 }  // namespace
 
@@ -30,19 +30,20 @@
                         });
 }
 
-void Tasks::KeepRunning(std::string_view name, TaskMaker make) {
-  this->Spawn(name, this->RunAgain(name, std::move(make)));
+void Tasks::KeepRunning(std::string_view name, TaskFactory make) {
+  this->Spawn(name, this->RunWithRestart(name, std::move(make)));
 }
 
-// Without this, one odd value would end the following of the store, or the
-// accepting of callers, while the process goes on and looks healthy.
-boost::asio::awaitable<void> Tasks::RunAgain(std::string_view name,
-                                             TaskMaker make) {
+// Without a restart, a single unexpected value could end e.g. the task that
+// watches the store or accepts callers, while the process runs on and looks
+// healthy.
+boost::asio::awaitable<void> Tasks::RunWithRestart(std::string_view name,
+                                                   TaskFactory make) {
   while (true) {
     const std::exception_ptr failure = co_await Caught(make());
     if (!failure) co_return;
     this->Failed(name, failure);
-    co_await Sleep(this->context, kPauseAfterFailure);
+    co_await Sleep(this->context, kRestartDelay);
   }
 }
 
--- a/dragonflyglade/gateway/tasks.h
+++ b/dragonflyglade/gateway/tasks.h
@@ -12,32 +12,36 @@
 
 namespace dragonflyglade::gateway {
 
-/// Starts coroutines that nobody waits for, and tells of each that ends by an
-/// exception: a line `task` `failed`, and the counter `task_failures`.
-/// One event loop.
+/// Starts detached coroutines on one event loop. If one ends with an exception,
+/// logs it as `task` `failed` and counts it in `task_failures`.
 class Tasks {
  public:
-  using TaskMaker = std::function<boost::asio::awaitable<void>()>;
+  using TaskFactory = std::function<boost::asio::awaitable<void>()>;
 
   Tasks(boost::asio::io_context& context, Metrics& metrics, EventLog& log)
       : context(context), metrics(metrics), log(log) {}
 
-  /// @param name of the task in the line; text that is never freed
+  /// Starts a task.
+  /// @param name the task's name in the log and metrics; text of static
+  ///     lifetime
   void Spawn(std::string_view name, boost::asio::awaitable<void> task);
 
-  /// Starts a task that runs for as long as the process. It is made and run
-  /// again, after a pause, when it ends by an exception.
-  void KeepRunning(std::string_view name, TaskMaker make);
+  /// Starts a task and restarts it, after a pause, each time that it ends with
+  /// an exception.
+  /// @param name as for Spawn
+  /// @param make makes the task for each start
+  void KeepRunning(std::string_view name, TaskFactory make);
 
-  /// Runs the event loop until it is stopped. An exception ends the handler
-  /// that it comes from, and nothing else.
+  /// Runs the event loop until it is stopped. An exception from a handler is
+  /// reported, and the loop goes on.
   void RunLoop();
 
-  /// Tells of an exception that a task caught itself.
+  /// Logs and counts an exception that a task has caught itself.
   void Failed(std::string_view name, const std::exception_ptr& exception);
 
  private:
-  boost::asio::awaitable<void> RunAgain(std::string_view name, TaskMaker make);
+  boost::asio::awaitable<void> RunWithRestart(std::string_view name,
+                                              TaskFactory make);
 
   boost::asio::io_context& context;
   Metrics& metrics;
--- a/tests/platform/gateway_stage.cc
+++ b/tests/platform/gateway_stage.cc
@@ -21,25 +21,25 @@
 
 namespace {
 
-// The longest that anything here may take; normally it is milliseconds.
-constexpr absl::Duration kPatience = absl::Seconds(20);
+// Timeout of each wait for a condition, which normally takes milliseconds.
+constexpr absl::Duration kWaitTimeout = absl::Seconds(20);
 
-json RouteTo(const std::string& prefix, const std::string& type, int attempts,
-             bool resumable) {
+json RouteConfig(const std::string& prefix, const std::string& type,
+                 int attempts, bool resumable) {
   return {
       {"name", prefix}, {"host", "h.example"},      {"prefix", prefix},
       {"type", type},   {"timeout_ms", 5000},       {"target_latency_ms", 2000},
       {"service", "s"}, {"max_attempts", attempts}, {"resumable", resumable}};
 }
 
-json EngineOfService() {
+json EngineConfig() {
   return {{"models", {{{"name", "m"}, {"weights_mb", 10}}}},
           {"weights_mb", 100},
           {"adapter_slots", 2},
           {"loads_per_s", 2}};
 }
 
-json Workspaces() {
+json WorkspacesConfig() {
   return {{{"name", "t1"}, {"api_keys", {"k1"}}},
           {{"name", "large"},
            {"api_keys", {"k3"}},
@@ -163,10 +163,10 @@
   error_code error;
   boost::asio::write(*socket, boost::asio::buffer(text), error);
   Reply reply;
-  char space[4096];
+  char buffer[4096];
   while (!error) {
-    reply.text.append(space,
-                      socket->read_some(boost::asio::buffer(space), error));
+    reply.text.append(buffer,
+                      socket->read_some(boost::asio::buffer(buffer), error));
   }
   if (reply.text.size() > 12) reply.status = std::stoi(reply.text.substr(9));
   const bool chunked =
@@ -189,10 +189,11 @@
   return socket;
 }
 
-void GatewayStage::WaitFor(const std::function<bool()>& holds) {
-  const absl::Time end = absl::Now() + kPatience;
-  while (!holds()) {
-    CPPUNIT_ASSERT_MESSAGE("waited in vain", absl::Now() < end);
+void GatewayStage::WaitFor(const std::function<bool()>& condition) {
+  const absl::Time end = absl::Now() + kWaitTimeout;
+  while (!condition()) {
+    CPPUNIT_ASSERT_MESSAGE("timeout while waiting for a condition",
+                           absl::Now() < end);
     absl::SleepFor(absl::Milliseconds(10));
   }
 }
@@ -215,18 +216,17 @@
 }
 
 json GatewayStage::Config(int version, const std::string& last_route) const {
-  json config = {{"version", version},
-                 {"routes",
-                  {RouteTo("/once/", "non_idempotent", 1, false),
-                   RouteTo("/any/", "idempotent", 2, false),
-                   RouteTo("/cut/", "streaming", 1, false),
-                   RouteTo("/resumed/", "streaming", 2, true),
-                   RouteTo("/" + last_route + "/", "idempotent", 1, false)}},
-                 {"services",
-                  {{{"name", "s"},
-                    {"max_connections", 50},
-                    {"engine", EngineOfService()}}}},
-                 {"tenants", Workspaces()}};
+  json config = {
+      {"version", version},
+      {"routes",
+       {RouteConfig("/once/", "non_idempotent", 1, false),
+        RouteConfig("/any/", "idempotent", 2, false),
+        RouteConfig("/cut/", "streaming", 1, false),
+        RouteConfig("/resumed/", "streaming", 2, true),
+        RouteConfig("/" + last_route + "/", "idempotent", 1, false)}},
+      {"services",
+       {{{"name", "s"}, {"max_connections", 50}, {"engine", EngineConfig()}}}},
+      {"tenants", WorkspacesConfig()}};
   if (!this->options.limits.empty()) config["limits"] = this->options.limits;
   return config;
 }
--- a/tests/platform/gateway_stage.h
+++ b/tests/platform/gateway_stage.h
@@ -21,30 +21,32 @@
 
 inline const std::string kSigned = "X-Dragonflyglade-Server-Signature: s1\r\n";
 
-/// An answer of a target, as bytes.
-/// @param more further header lines, each with its end
+/// Formats a target's response to a request.
+/// @param status status code and reason phrase
+/// @param more further header lines, each with its line end
 std::string AnswerBytes(const RawRequest& request, const std::string& status,
                         const std::string& body, const std::string& more = "");
 
-/// A target that answers each request as it should.
+/// The response of a healthy target: signed, with the body "done".
 PlatformTargetStandIn::Script Sound(const RawRequest& request);
 
-/// One gateway before two targets of one service, in this process.
+/// Runs a gateway in this process, with a store and two targets of one service
+/// as stand-ins.
 class GatewayStage {
  public:
-  /// What differs from stage to stage.
   struct Options {
+    /// Response of both targets, unless another one is scripted.
     PlatformTargetStandIn::Answer answer = Sound;
     gateway::WireFormat wire = platform::MakeWireFormat();
-    /// What the configuration says of callers' requests.
+    /// The object `limits` of the configuration.
     nlohmann::json limits = nlohmann::json::object();
   };
 
-  /// What a caller read until its connection ended.
+  /// The bytes that a caller received until its connection ended.
   struct Reply {
-    int status = 0;  ///< 0: the connection ended without an answer
+    int status = 0;  ///< 0: the connection ended without a response
     std::string text;
-    bool ended_whole = false;  ///< as its framing says
+    bool ended_whole = false;  ///< complete by its framing
     std::string Field(const std::string& name) const {
       return RawRequest{this->text, ""}.Field(name);
     }
@@ -60,17 +62,18 @@
   GatewayStage(const GatewayStage&) = delete;
   GatewayStage& operator=(const GatewayStage&) = delete;
 
-  /// Makes the second target known.
+  /// Registers the second target and waits until the gateway knows it.
   void AddSecond();
 
-  /// The next request of all is answered like this, whichever target gets it.
+  /// Scripts the response to the next request, whichever target receives it.
+  /// @param later response to the next request at the other target
   void NextAnywhere(PlatformTargetStandIn::Answer once,
                     PlatformTargetStandIn::Answer later);
 
-  /// Requests that reached the targets.
+  /// Number of requests that the targets have received.
   std::size_t Arrivals() const;
 
-  /// Sends a request on a connection of its own and reads to its end.
+  /// Sends a request on a new connection and reads to the connection's end.
   Reply Call(const std::string& method, const std::string& path,
              const std::string& key = "k1", const std::string& more = "");
   Reply CallModel(const std::string& model);
@@ -78,21 +81,21 @@
   Reply SendTo(const Endpoint& endpoint, const std::string& text);
   Reply Ask(const Endpoint& endpoint, const std::string& path);
 
-  /// A request with an id of its own, whose connection ends with its answer.
+  /// Formats a request with a new id and Connection: close.
   std::string Text(const std::string& method, const std::string& path,
                    const std::string& key = "k1", const std::string& more = "");
 
-  /// The same, without an end of the connection.
+  /// Formats a request with a new id that keeps the connection open.
   std::string KeptText(const std::string& method, const std::string& path,
                        const std::string& more = "");
 
   std::unique_ptr<boost::asio::ip::tcp::socket> Connect(
       const Endpoint& endpoint);
 
-  /// Waits until the condition holds; fails the test after a while.
+  /// Waits until the condition holds; fails the test after a timeout.
   void WaitFor(const std::function<bool()>& holds);
 
-  /// The gateway's own state, read on its event loop.
+  /// Reads the gateway's state on its event loop.
   template <typename T>
   T Read(const std::function<T()>& read) {
     std::optional<T> value;
@@ -107,14 +110,14 @@
 
   bool HoldsDuty();
 
-  /// Writes a target's entry into the store.
+  /// Writes a target's record into the store.
   void PutTarget(const std::string& id, const PlatformTargetStandIn& target,
                  const std::string& state,
                  nlohmann::json models = nlohmann::json::array());
 
   nlohmann::json Config(int version, const std::string& last_route) const;
 
-  /// Writes the configuration and waits until it is in force.
+  /// Writes the configuration and waits until the gateway has applied it.
   void PutConfig(const nlohmann::json& config);
 
   const Options options;
@@ -122,7 +125,7 @@
   PlatformTargetStandIn first;
   PlatformTargetStandIn second;
   std::unique_ptr<gateway::Gateway> gateway;
-  /// What the settings file holds now.
+  /// The result of reading the settings file on a reload.
   Result<gateway::GatewaySettings> reread = gateway::GatewaySettings();
 
  private:
@@ -135,17 +138,17 @@
   int calls = 0;
 };
 
-/// Keeps the gateway's event loop busy for as long as this lives.
+/// Blocks the gateway's event loop during its lifetime.
 class LoopBlocker {
  public:
-  /// Returns once the loop does nothing else.
+  /// Returns once the loop is blocked.
   explicit LoopBlocker(GatewayStage& stage);
   ~LoopBlocker();
   LoopBlocker(const LoopBlocker&) = delete;
   LoopBlocker& operator=(const LoopBlocker&) = delete;
 
  private:
-  // Shared with the handler, which may still return after this is gone.
+  // Shared with the handler, which may return after the destructor.
   std::shared_ptr<absl::Notification> release =
       std::make_shared<absl::Notification>();
 };
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -22,10 +22,10 @@
 constexpr absl::Duration kShortLimit = absl::Milliseconds(kShortLimitMs);
 constexpr int kHeadLimitMs = 1500;
 constexpr int kLongLimitMs = 20000;
-// Longer than a short limit with all that is allowed beyond it.
+// Longer than a short limit plus the gateway's grace time.
 constexpr absl::Duration kPastShortLimit = absl::Milliseconds(2500);
 
-// A caller that keeps its connection.
+// A caller that reuses its connection.
 class KeepAliveClient {
  public:
   explicit KeepAliveClient(GatewayStage& stage)
@@ -37,17 +37,18 @@
     boost::asio::write(*this->socket, boost::asio::buffer(text), error);
   }
 
-  /// The next answer; empty if the connection ended without one.
+  /// Reads the next response; empty if the connection ended without one.
   RawRequest Read() {
-    RawRequest answer;
-    if (!ReadRaw(*this->socket, this->buffer, answer)) return {};
-    return answer;
+    RawRequest response;
+    if (!ReadRaw(*this->socket, this->buffer, response)) return {};
+    return response;
   }
 
-  /// Its status; 0 if the connection ended without one.
+  /// Reads the next response and returns its status; 0 if the connection ended
+  /// without one.
   int ReadStatus() {
-    const RawRequest answer = this->Read();
-    return answer.head.empty() ? 0 : std::stoi(answer.head.substr(9));
+    const RawRequest response = this->Read();
+    return response.head.empty() ? 0 : std::stoi(response.head.substr(9));
   }
 
   int Call() {
@@ -61,16 +62,17 @@
   std::string buffer;
 };
 
-// Long enough for the first bytes of a head to be read, on a busy machine.
-constexpr absl::Duration kReadSoon = absl::Milliseconds(200);
-// A request's way to the gateway, on a busy machine.
-constexpr absl::Duration kOnItsWay = absl::Milliseconds(200);
+// Time in which the gateway reads the first bytes of a head, also on a busy
+// machine.
+constexpr absl::Duration kReadTime = absl::Milliseconds(200);
+// Time in which a request reaches the gateway, also on a busy machine.
+constexpr absl::Duration kTravelTime = absl::Milliseconds(200);
 
-struct HeldLoopCase {
+struct BlockedLoopCase {
   const char* what;
   json limits;
-  std::size_t bytes_before;  ///< of the request, sent before the loop is held
-  std::size_t padding;       ///< bytes that make its head longer
+  std::size_t bytes_before;  ///< bytes sent before the loop is blocked
+  std::size_t padding;       ///< bytes added to the request's head
 };
 
 struct ChangedLimitCase {
@@ -81,22 +83,24 @@
 
 class PlatformConnectionsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformConnectionsTest);
-  CPPUNIT_TEST(ARequestThatComesInTimeIsAnsweredAlthoughTheLoopIsLate);
-  CPPUNIT_TEST(AnAnswerThatCameInTimeIsDeliveredAlthoughTheLoopIsLate);
-  CPPUNIT_TEST(ARequestWithinTheStatedIdleTimeDoesNotCrossTheClose);
-  CPPUNIT_TEST(AConnectionMayStayIdleByTheLongestLimitOfItsWait);
-  CPPUNIT_TEST(AnIdleConnectionIsClosedInTheEnd);
+  CPPUNIT_TEST(ServesARequestThatArrivesInTimeWhileTheLoopIsBlocked);
+  CPPUNIT_TEST(ForwardsAResponseThatArrivesInTimeWhileTheLoopIsBlocked);
+  CPPUNIT_TEST(KeepsTheConnectionForTheAnnouncedIdleTimeout);
+  CPPUNIT_TEST(AppliesTheLongestIdleTimeoutOfTheWait);
+  CPPUNIT_TEST(ClosesAnIdleConnection);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The caller's connection was closed under a request that had been read.
-  void ARequestThatComesInTimeIsAnsweredAlthoughTheLoopIsLate() {
-    const std::vector<HeldLoopCase> cases = {
+  // Guards against a timeout that closes the connection although the request
+  // arrived in time. It comes about if the event loop is blocked until after
+  // the timeout, while the request waits in the socket.
+  void ServesARequestThatArrivesInTimeWhileTheLoopIsBlocked() {
+    const std::vector<BlockedLoopCase> cases = {
         {"idle", {{"idle_timeout_ms", kShortLimitMs}}, 0, 0},
         {"within a head", {{"header_timeout_ms", kHeadLimitMs}}, 10, 0},
         {"within a long head", {{"header_timeout_ms", kHeadLimitMs}}, 10, 5000},
     };
-    for (const HeldLoopCase& item : cases) {
+    for (const BlockedLoopCase& item : cases) {
       GatewayStage::Options options;
       options.limits = item.limits;
       GatewayStage stage(std::move(options));
@@ -106,9 +110,9 @@
           "GET", "/any/",
           "X-Padding: " + std::string(item.padding, 'x') + "\r\n");
       caller.Write(text.substr(0, item.bytes_before));
-      absl::SleepFor(kReadSoon);
+      absl::SleepFor(kReadTime);
       {
-        LoopBlocker hold(stage);
+        LoopBlocker blocker(stage);
         caller.Write(text.substr(item.bytes_before));
         absl::SleepFor(kPastShortLimit);
       }
@@ -116,44 +120,49 @@
     }
   }
 
-  // A whole answer that waited in the socket was given up as "not in time".
-  void AnAnswerThatCameInTimeIsDeliveredAlthoughTheLoopIsLate() {
-    constexpr std::size_t kManyReads = 50000;
+  // Guards against a timeout that discards a response which arrived in time. It
+  // comes about if the event loop is blocked until after the deadline, while
+  // the complete response waits in the socket.
+  void ForwardsAResponseThatArrivesInTimeWhileTheLoopIsBlocked() {
+    constexpr std::size_t kBodyBytes = 50000;
     GatewayStage stage;
-    std::unique_ptr<LoopBlocker> hold;
-    absl::Notification held;
+    std::unique_ptr<LoopBlocker> blocker;
+    absl::Notification blocked;
     stage.first.Next([&](const RawRequest& request) {
-      hold = std::make_unique<LoopBlocker>(stage);
-      held.Notify();
-      return Script{AnswerBytes(request, "200 OK", std::string(kManyReads, 'x'),
+      blocker = std::make_unique<LoopBlocker>(stage);
+      blocked.Notify();
+      return Script{AnswerBytes(request, "200 OK", std::string(kBodyBytes, 'x'),
                                 kSigned)};
     });
     KeepAliveClient caller(stage);
     caller.Write(stage.KeptText("GET", "/any/",
                                 "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
-    held.WaitForNotification();
+    blocked.WaitForNotification();
     absl::SleepFor(2 * kShortLimit);
-    hold.reset();
+    blocker.reset();
     CPPUNIT_ASSERT_EQUAL(200, caller.ReadStatus());
   }
 
-  // Callers were not told the time, and those that used all of it lost
-  // requests.
-  void ARequestWithinTheStatedIdleTimeDoesNotCrossTheClose() {
+  // Guards against requests that are lost to a close of an idle connection. The
+  // gateway must announce its idle timeout, and must keep the connection open
+  // long enough for a request that is sent just within it.
+  void KeepsTheConnectionForTheAnnouncedIdleTimeout() {
     GatewayStage::Options options;
     options.limits = {{"idle_timeout_ms", 2 * kShortLimitMs}};
     GatewayStage stage(std::move(options));
     KeepAliveClient caller(stage);
     caller.Write(stage.KeptText("GET", "/any/"));
-    const RawRequest answer = caller.Read();
-    CPPUNIT_ASSERT_EQUAL(std::string("timeout=1"), answer.Field("Keep-Alive"));
-    absl::SleepFor(2 * kShortLimit + kOnItsWay);
+    const RawRequest response = caller.Read();
+    CPPUNIT_ASSERT_EQUAL(std::string("timeout=1"),
+                         response.Field("Keep-Alive"));
+    absl::SleepFor(2 * kShortLimit + kTravelTime);
     CPPUNIT_ASSERT_EQUAL(200, caller.Call());
   }
 
-  // A newer configuration allowed more, and callers reused connections by it
-  // that were closed by the older one.
-  void AConnectionMayStayIdleByTheLongestLimitOfItsWait() {
+  // Guards against a connection that is closed by an outdated idle timeout. The
+  // configuration changes while the connection is idle. Callers may go by the
+  // old timeout or the new one, so the longer one must apply.
+  void AppliesTheLongestIdleTimeoutOfTheWait() {
     const std::vector<ChangedLimitCase> cases = {
         {"raised", kShortLimitMs, kLongLimitMs},
         {"lowered", kLongLimitMs, kShortLimitMs},
@@ -172,7 +181,7 @@
     }
   }
 
-  void AnIdleConnectionIsClosedInTheEnd() {
+  void ClosesAnIdleConnection() {
     GatewayStage::Options options;
     options.limits = {{"idle_timeout_ms", kShortLimitMs}};
     GatewayStage stage(std::move(options));
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -27,37 +27,37 @@
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
-Script Refusing(const RawRequest& request) {
+Script DeclinedResponse(const RawRequest& request) {
   return {AnswerBytes(request, "503 Busy", "",
                       "X-Dragonflyglade-Not-Executed: 1\r\n")};
 }
 
-Script Closing(const RawRequest&) { return {"", true}; }
+Script ClosedConnection(const RawRequest&) { return {"", true}; }
 
-Script Truncated(const RawRequest& request) {
+Script TruncatedResponse(const RawRequest& request) {
   std::string bytes = AnswerBytes(request, "200 OK", "done", kSigned);
   bytes.resize(bytes.size() - 2);
   return {bytes, true};
 }
 
-Script Unsigned(const RawRequest& request) {
+Script UnsignedResponse(const RawRequest& request) {
   return {AnswerBytes(request, "200 OK", "done")};
 }
 
-Script Encoded(const RawRequest& request) {
+Script EncodedResponse(const RawRequest& request) {
   return {AnswerBytes(request, "200 OK", "done",
                       kSigned + "Content-Encoding: gzip\r\n")};
 }
 
-Script Failing(const RawRequest& request) {
+Script ErrorResponse(const RawRequest& request) {
   return {AnswerBytes(request, "500 Oops", "why", kSigned)};
 }
 
-Script Unmarked(const RawRequest& request) {
+Script BusyWithoutNotExecuted(const RawRequest& request) {
   return {AnswerBytes(request, "503 Busy", "", kSigned)};
 }
 
-Script LateSecond(const RawRequest& request) {
+Script LateResponseFirst(const RawRequest& request) {
   RawRequest other = request;
   other.head = "GET / HTTP/1.1\r\nX-Dragonflyglade-Attempt-Id: other\r\n\r\n";
   return {AnswerBytes(other, "200 OK", "not yours", kSigned) +
@@ -70,8 +70,8 @@
   return size + text + "\r\n";
 }
 
-// The bytes of a body in chunks.
-std::string WithoutChunks(std::string_view body) {
+// Decodes a chunked body.
+std::string DecodeChunked(std::string_view body) {
   std::string bytes;
   while (!body.empty()) {
     const std::size_t size = std::stoul(std::string(body), nullptr, 16);
@@ -94,8 +94,8 @@
          "\n\n";
 }
 
-// Goes on after the event that the request names, up to event 4.
-Script Streaming(const RawRequest& request) {
+// Streams the events after Last-Event-Id, up to event 4.
+Script StreamedEvents(const RawRequest& request) {
   const std::string after = request.Field("Last-Event-Id");
   std::string bytes = StreamHead(request);
   for (int id = after.empty() ? 1 : std::stoi(after) + 1; id <= 4; ++id) {
@@ -104,8 +104,8 @@
   return {bytes + "0\r\n\r\n"};
 }
 
-// Breaks off in the middle of the third event.
-Script CutStream(const RawRequest& request) {
+// Closes the connection in the middle of the third event.
+Script BrokenStream(const RawRequest& request) {
   return {StreamHead(request) + Chunk(Event(1) + Event(2)) + Chunk("id: 3\nda"),
           true};
 }
@@ -113,57 +113,62 @@
 struct ExchangeCase {
   const char* what;
   const char* path;
-  PlatformTargetStandIn::Answer first_answer;
+  PlatformTargetStandIn::Answer first_response;
   int status;
-  std::size_t arrivals;  ///< at both targets
+  std::size_t requests;  ///< requests that both targets receive
 };
 
 class PlatformGatewayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformGatewayTest);
-  CPPUNIT_TEST(AnswersByWhatIsKnownOfTheRun);
-  CPPUNIT_TEST(PassesOnWhatTheTargetNeeds);
-  CPPUNIT_TEST(RefusesWhatMayNotRun);
-  CPPUNIT_TEST(GoesOnWithAStreamAtAnotherTarget);
-  CPPUNIT_TEST(ACutStreamDoesNotLookWhole);
-  CPPUNIT_TEST(NoAnswerFollowsInACutStream);
-  CPPUNIT_TEST(EndsTheRunWhenTheCallerLeaves);
-  CPPUNIT_TEST(KeepsInTheStoreWhatWasSpent);
-  CPPUNIT_TEST(LetsGoOfTheDutyWhenTheStoreIsBack);
-  CPPUNIT_TEST(FollowsTheConfiguration);
-  CPPUNIT_TEST(SendsNothingToALeavingTarget);
+  CPPUNIT_TEST(RespondsByWhetherTheTargetMayHaveExecuted);
+  CPPUNIT_TEST(ForwardsFieldsForTheTarget);
+  CPPUNIT_TEST(RefusesWithoutForwarding);
+  CPPUNIT_TEST(ResumesABrokenStreamAtAnotherTarget);
+  CPPUNIT_TEST(ABrokenStreamDoesNotLookComplete);
+  CPPUNIT_TEST(NoSecondResponseInABrokenStream);
+  CPPUNIT_TEST(ClosesTheTargetConnectionWhenTheCallerDisconnects);
+  CPPUNIT_TEST(RecordsSpendingInTheStore);
+  CPPUNIT_TEST(ReleasesTheLeaderLeaseOnceTheStoreAccepts);
+  CPPUNIT_TEST(AppliesNewConfigurations);
+  CPPUNIT_TEST(SendsNoRequestsToADrainingTarget);
   CPPUNIT_TEST(ReloadsItsSettings);
-  CPPUNIT_TEST(StopsWithoutCuttingARequest);
+  CPPUNIT_TEST(ServesRequestsDuringShutdown);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A payout whose answer is lost may have run: sent again it would be paid
-  // twice, and refused with 503 the caller would send it again itself. Only a
-  // target's own mark, or that nothing left, says that it did not run. What
-  // may run again is tried at the other target.
-  void AnswersByWhatIsKnownOfTheRun() {
+  // Guards against a double execution of a non-idempotent request, such as a
+  // payout. If its response is lost, its outcome is unknown: the gateway must
+  // neither repeat it nor respond with 503, on which the caller would repeat
+  // it. Only the target's not-executed field, or that no byte was sent, proves
+  // that it did not run. Idempotent requests are repeated at the other target.
+  void RespondsByWhetherTheTargetMayHaveExecuted() {
     const std::vector<ExchangeCase> cases = {
-        {"a sound answer", "/once/", Sound, 200, 1},
-        {"declined, so another may run it", "/once/", Refusing, 200, 2},
-        {"closed without an answer", "/once/", Closing, 502, 1},
-        {"a truncated answer", "/once/", Truncated, 502, 1},
-        {"an answer without the target's mark", "/once/", Unsigned, 502, 1},
-        {"an encoded answer", "/once/", Encoded, 502, 1},
-        {"a failure of the target's own", "/once/", Failing, 500, 1},
-        {"a promise without its mark", "/once/", Unmarked, 502, 1},
-        {"the late answer to another request", "/once/", LateSecond, 200, 1},
-        {"may run again: closed", "/any/", Closing, 200, 2},
-        {"may run again: truncated", "/any/", Truncated, 200, 2},
-        {"may run again: failed", "/any/", Failing, 200, 2},
-        {"may run again: unmarked", "/any/", Unmarked, 200, 2},
+        {"successful response", "/once/", Sound, 200, 1},
+        {"declined with the not-executed field", "/once/", DeclinedResponse,
+         200, 2},
+        {"closed without a response", "/once/", ClosedConnection, 502, 1},
+        {"truncated response", "/once/", TruncatedResponse, 502, 1},
+        {"unsigned response", "/once/", UnsignedResponse, 502, 1},
+        {"encoded response", "/once/", EncodedResponse, 502, 1},
+        {"error of the target", "/once/", ErrorResponse, 500, 1},
+        {"503 without the not-executed field", "/once/", BusyWithoutNotExecuted,
+         502, 1},
+        {"late response to another request", "/once/", LateResponseFirst, 200,
+         1},
+        {"idempotent: closed", "/any/", ClosedConnection, 200, 2},
+        {"idempotent: truncated", "/any/", TruncatedResponse, 200, 2},
+        {"idempotent: error of the target", "/any/", ErrorResponse, 200, 2},
+        {"idempotent: 503 without the field", "/any/", BusyWithoutNotExecuted,
+         200, 2},
     };
     for (const ExchangeCase& item : cases) {
       Stage stage;
       stage.AddSecond();
-      stage.NextAnywhere(item.first_answer, Sound);
+      stage.NextAnywhere(item.first_response, Sound);
       const std::size_t before = stage.Arrivals();
       const Stage::Reply reply = stage.Call("POST", item.path);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.arrivals,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.requests,
                                    stage.Arrivals() - before);
       const bool has_signature =
           !reply.Field("X-Dragonflyglade-Server-Signature").empty();
@@ -176,7 +181,7 @@
     }
   }
 
-  void PassesOnWhatTheTargetNeeds() {
+  void ForwardsFieldsForTheTarget() {
     Stage stage;
     stage.Call("GET", "/any/x?y=1", "k1", "X-Mine: 5\r\n");
     const RawRequest request = stage.first.Requests().back();
@@ -188,11 +193,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"),
                          request.Field("X-Dragonflyglade-Target-Instance"));
     CPPUNIT_ASSERT_EQUAL(std::string(), request.Field("Authorization"));
-    const int left = std::stoi(request.Field("X-Dragonflyglade-Deadline-Ms"));
-    CPPUNIT_ASSERT(left > 0 && left <= 5000);
+    const int deadline_ms =
+        std::stoi(request.Field("X-Dragonflyglade-Deadline-Ms"));
+    CPPUNIT_ASSERT(deadline_ms > 0 && deadline_ms <= 5000);
   }
 
-  void RefusesWhatMayNotRun() {
+  void RefusesWithoutForwarding() {
     struct RefusalCase {
       const char* what;
       const char* path;
@@ -202,8 +208,8 @@
     };
     const std::vector<RefusalCase> cases = {
         {"no route", "/other/", "k1", 404, false},
-        {"a key that is not known", "/any/", "nobody", 401, false},
-        {"above the quota", "/any/", "k2", 429, true},
+        {"unknown key", "/any/", "nobody", 401, false},
+        {"quota exceeded", "/any/", "k2", 429, true},
     };
     Stage stage;
     for (const RefusalCase& item : cases) {
@@ -217,18 +223,19 @@
     }
   }
 
-  // The target breaks off within the third event. The caller sees one stream
-  // with each event once: the half event is dropped, and the other target
-  // goes on after the last whole one.
-  void GoesOnWithAStreamAtAnotherTarget() {
-    Stage stage(Streaming);
+  // A target closes the connection within the third event of a resumable
+  // stream. The caller must receive one stream with each event once: the
+  // gateway discards the incomplete event, and the other target resumes after
+  // the last complete one.
+  void ResumesABrokenStreamAtAnotherTarget() {
+    Stage stage(StreamedEvents);
     stage.AddSecond();
-    stage.NextAnywhere(CutStream, Streaming);
+    stage.NextAnywhere(BrokenStream, StreamedEvents);
     const Stage::Reply reply = stage.Call("POST", "/resumed/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(reply.ended_whole);
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3) + Event(4),
-                         WithoutChunks(reply.Body()));
+                         DecodeChunked(reply.Body()));
     const RawRequest one = stage.first.Requests().back();
     const RawRequest other = stage.second.Requests().back();
     CPPUNIT_ASSERT(one.Field("Last-Event-Id") == "2" ||
@@ -237,10 +244,11 @@
                          other.Field("X-Dragonflyglade-Attempt-Id"));
   }
 
-  // A stream that may not be resumed is cut. Ended like a whole one, the
-  // caller would take half a letter for all of it.
-  void ACutStreamDoesNotLookWhole() {
-    Stage stage(CutStream);
+  // Guards against a truncated stream that looks complete. If a stream that
+  // must not be resumed breaks, the caller's connection has to end without the
+  // last chunk; otherwise the caller would take the part for the whole.
+  void ABrokenStreamDoesNotLookComplete() {
+    Stage stage(BrokenStream);
     const Stage::Reply reply = stage.Call("POST", "/cut/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(absl::StrContains(reply.text, Event(2)));
@@ -248,14 +256,16 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stage.first.Requests().size());
   }
 
-  // A stream breaks off after two events and may go on elsewhere, but the only
-  // target declines. The caller got a 503 with head and body in the middle of
-  // the chunks of its answer; it must get the end of the connection.
-  void NoAnswerFollowsInACutStream() {
+  // Guards against a second response in the middle of a stream. A resumable
+  // stream breaks after two events, and the only target declines to resume it.
+  // A 503 sent then would stand between the chunks of the first response; the
+  // gateway must close the connection instead.
+  void NoSecondResponseInABrokenStream() {
     Stage stage;
-    stage.first.Next(CutStream);
-    constexpr int kMoreThanItTries = 6;
-    for (int i = 0; i < kMoreThanItTries; ++i) stage.first.Next(Refusing);
+    stage.first.Next(BrokenStream);
+    // More than the attempts that the gateway makes.
+    constexpr int kRefusals = 6;
+    for (int i = 0; i < kRefusals; ++i) stage.first.Next(DeclinedResponse);
     const Stage::Reply reply = stage.Call("POST", "/resumed/x");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(!reply.ended_whole);
@@ -264,9 +274,10 @@
                          reply.text.rfind("HTTP/1.1"));
   }
 
-  // All processes may end at once, and callers come back within a second. What
-  // their workspace spent stands in the store by then.
-  void KeepsInTheStoreWhatWasSpent() {
+  // Guards against quota that is spent twice after all processes restart at
+  // once. Callers come back within a second, so the spending of their workspace
+  // must be in the store by then.
+  void RecordsSpendingInTheStore() {
     Stage stage;
     const std::string key(gateway::FleetState::kSpendsKey);
     stage.WaitFor([&] { return stage.HoldsDuty(); });
@@ -280,10 +291,11 @@
     CPPUNIT_ASSERT(gateway::WasListed(record.Value(), "one"));
   }
 
-  // The holder is told to stop while the store turns it away. Its entries
-  // would stand until their leases end, and nobody would place models; it goes
-  // on trying to take them back while it serves its last callers.
-  void LetsGoOfTheDutyWhenTheStoreIsBack() {
+  // Guards against a leader lease that outlives its leader. The leader is told
+  // to stop while the store rejects its writes. If it gave up then, its records
+  // would stay until their leases expire, and no instance could place models
+  // meanwhile. It must retry while it serves its last callers.
+  void ReleasesTheLeaderLeaseOnceTheStoreAccepts() {
     Stage stage;
     const std::string key(gateway::FleetState::kDutyKey);
     stage.WaitFor([&] { return stage.HoldsDuty(); });
@@ -295,9 +307,10 @@
     stage.WaitFor([&] { return stage.store.Get(key).empty(); });
   }
 
-  // The caller closes while the target works. Without the cancel, the target
-  // would work on for nobody.
-  void EndsTheRunWhenTheCallerLeaves() {
+  // The caller disconnects while its request runs. The gateway must close the
+  // connection to the target, or the target would complete a request whose
+  // response nobody reads.
+  void ClosesTheTargetConnectionWhenTheCallerDisconnects() {
     Stage stage;
     stage.first.Next([](const RawRequest&) { return Script{"", false, true}; });
     const std::size_t before = stage.first.Requests().size();
@@ -309,7 +322,7 @@
     stage.WaitFor([&] { return stage.first.Hangups() == 1; });
   }
 
-  void FollowsTheConfiguration() {
+  void AppliesNewConfigurations() {
     Stage stage;
     CPPUNIT_ASSERT_EQUAL(404, stage.Call("GET", "/new/").status);
     stage.store.Put("op/config", stage.Config(2, "new").dump());
@@ -324,7 +337,7 @@
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/new/").status);
   }
 
-  void SendsNothingToALeavingTarget() {
+  void SendsNoRequestsToADrainingTarget() {
     Stage stage;
     stage.AddSecond();
     stage.PutTarget("i-1", stage.first, "draining");
@@ -340,37 +353,37 @@
     CPPUNIT_ASSERT_EQUAL(before, stage.first.Requests().size());
   }
 
-  // SIGHUP ends a process that does not expect it, and with it all requests
-  // that it serves. Here it reads the settings again; ones that are not valid
-  // change nothing.
+  // SIGHUP must reload the settings, and invalid settings must change nothing.
+  // Unhandled, the signal would end the process and all its requests.
   void ReloadsItsSettings() {
     Stage stage;
     const GatewaySettings settings =
         stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
-    const auto kept_for = [&](const std::string& seconds) {
+    const auto cached_for = [&](const std::string& seconds) {
       return absl::StrContains(
           stage.Ask(settings.directory, "/-/resolve?name=h").Body(),
           "\"ttl_s\":" + seconds);
     };
-    CPPUNIT_ASSERT(kept_for("2"));
+    CPPUNIT_ASSERT(cached_for("2"));
     GatewaySettings newer = settings;
     newer.directory_keep = absl::Seconds(4);
     stage.reread = newer;
     kill(getpid(), SIGHUP);
-    stage.WaitFor([&] { return kept_for("4"); });
+    stage.WaitFor([&] { return cached_for("4"); });
     stage.reread =
         MakeFailure(Errc::kInvalidSettings, "read settings", "settings");
     stage.Read<bool>([&] {
       stage.gateway->Reload();
       return true;
     });
-    CPPUNIT_ASSERT(kept_for("4"));
+    CPPUNIT_ASSERT(cached_for("4"));
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/").status);
   }
 
-  // A process that is told to stop is no longer ready and no longer listed,
-  // and still serves: callers keep the list for seconds.
-  void StopsWithoutCuttingARequest() {
+  // A process that shuts down must report that it is not ready and leave the
+  // list of instances, but still serve requests, since callers cache the list
+  // for seconds.
+  void ServesRequestsDuringShutdown() {
     Stage stage;
     const GatewaySettings settings =
         stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
@@ -383,9 +396,9 @@
     stage.WaitFor([&] {
       return stage.Ask(settings.readiness, "/-/readyz").status == 503;
     });
-    const std::string left =
+    const std::string after_stop =
         stage.Ask(settings.directory, "/-/resolve?name=h").Body();
-    CPPUNIT_ASSERT(!absl::StrContains(left, settings.callers.ToString()));
+    CPPUNIT_ASSERT(!absl::StrContains(after_stop, settings.callers.ToString()));
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("POST", "/once/").status);
     stage.WaitFor(
         [&] { return stage.store.Keys("dragonflyglade/instances/").empty(); });
--- a/tests/unit/unit-peek-socket.cc
+++ b/tests/unit/unit-peek-socket.cc
@@ -16,9 +16,9 @@
 using gateway::PeekSocket;
 using gateway::SocketState;
 
-struct LookCase {
+struct PeekCase {
   const char* what;
-  std::function<void(tcp::socket& own, tcp::socket& other)> happens;
+  std::function<void(tcp::socket& own, tcp::socket& other)> action;
   SocketState state;
 };
 
@@ -29,13 +29,15 @@
 
 class UnitPeekSocketTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UnitPeekSocketTest);
-  CPPUNIT_TEST(TellsAnEndFromNothing);
+  CPPUNIT_TEST(DistinguishesIdleFromClosed);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A caller that says nothing was taken for one that left.
-  void TellsAnEndFromNothing() {
-    const std::vector<LookCase> cases = {
+  // Guards against an idle connection that is taken for a closed one. It comes
+  // about if a socket without unread bytes is not told from a socket whose peer
+  // has closed it.
+  void DistinguishesIdleFromClosed() {
+    const std::vector<PeekCase> cases = {
         {"nothing", [](tcp::socket&, tcp::socket&) {}, SocketState::kQuiet},
         {"bytes",
          [](tcp::socket&, tcp::socket& other) {
@@ -57,14 +59,14 @@
         {"closed here", [](tcp::socket& own, tcp::socket&) { own.close(); },
          SocketState::kFailed},
     };
-    for (const LookCase& item : cases) {
+    for (const PeekCase& item : cases) {
       boost::asio::io_context context;
       const auto loopback = boost::asio::ip::address_v4::loopback();
       tcp::acceptor acceptor(context, tcp::endpoint(loopback, 0));
       tcp::socket other(context);
       other.connect(acceptor.local_endpoint());
       tcp::socket own = acceptor.accept();
-      item.happens(own, other);
+      item.action(own, other);
       CPPUNIT_ASSERT_MESSAGE(item.what, item.state == PeekSocket(own));
     }
   }
--- a/tests/unit/unit-step-timer.cc
+++ b/tests/unit/unit-step-timer.cc
@@ -22,69 +22,73 @@
 
 struct StepCase {
   const char* what;
-  /// Happens once the time is over, before the timer's handler runs.
-  std::function<void(StepTimer&)> meanwhile;
-  /// Whether bytes wait at a look, counted from 1.
-  std::function<bool(io_context&, StepTimer&, int look)> bytes_wait;
+  /// Runs after the step's time is over, before the timer's handler.
+  std::function<void(StepTimer&)> before_handler;
+  /// Whether the timer's check finds unread bytes; checks count from 1.
+  std::function<bool(io_context&, StepTimer&, int check)> bytes_wait;
   int expired;  ///< how often the step times out
 };
 
-bool Quiet(io_context&, StepTimer&, int) { return false; }
+bool NoBytes(io_context&, StepTimer&, int) { return false; }
 
-void Nothing(StepTimer&) {}
+void DoNothing(StepTimer&) {}
 
-// The step ends in a handler behind the look.
-void EndSoon(io_context& context, StepTimer& timer) {
+// Ends the step in a handler that is queued after the timer's check.
+void EndStepNext(io_context& context, StepTimer& timer) {
   boost::asio::post(context, [&timer] { timer.Stop(); });
 }
 
 class UnitStepTimerTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(UnitStepTimerTest);
-  CPPUNIT_TEST(TimesOutTheStepItWasStartedForOnly);
+  CPPUNIT_TEST(TimesOutOnlyItsOwnStep);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // An expired wait's handler closed the connection of the next step.
-  void TimesOutTheStepItWasStartedForOnly() {
+  // Guards against a timeout that ends the wrong step. It comes about if the
+  // handler of an expired wait runs after its step has ended and the next one
+  // has begun, and closes the connection.
+  void TimesOutOnlyItsOwnStep() {
     const std::vector<StepCase> cases = {
-        {"nothing comes", Nothing, Quiet, 1},
-        {"the step ends", [](StepTimer& timer) { timer.Stop(); }, Quiet, 0},
+        {"no bytes arrive", DoNothing, NoBytes, 1},
+        {"the step ends", [](StepTimer& timer) { timer.Stop(); }, NoBytes, 0},
         {"the next step begins",
          [](StepTimer& timer) { timer.Start(kStep, [](absl::Duration) {}); },
-         Quiet, 0},
-        {"the last bytes were taken, their handler is queued", Nothing,
-         [](io_context& context, StepTimer& timer, int look) {
-           if (look == 1) EndSoon(context, timer);
+         NoBytes, 0},
+        {"the last bytes were read, their handler is queued", DoNothing,
+         [](io_context& context, StepTimer& timer, int check) {
+           if (check == 1) EndStepNext(context, timer);
            return false;
          },
          0},
-        {"the last bytes come at the fifth look", Nothing,
-         [](io_context& context, StepTimer& timer, int look) {
-           if (look == 6) EndSoon(context, timer);
-           return look <= 5;
+        {"the last bytes arrive at the fifth check", DoNothing,
+         [](io_context& context, StepTimer& timer, int check) {
+           if (check == 6) EndStepNext(context, timer);
+           return check <= 5;
          },
          0},
-        {"some bytes, and no more", Nothing,
-         [](io_context&, StepTimer&, int look) { return look <= 5; }, 1},
-        {"bytes that nobody reads", Nothing,
+        {"some bytes arrive, but not all", DoNothing,
+         [](io_context&, StepTimer&, int check) { return check <= 5; }, 1},
+        {"bytes that are never read", DoNothing,
          [](io_context&, StepTimer&, int) { return true; }, 1},
     };
     for (const StepCase& item : cases) {
       io_context context;
-      int looks = 0;
+      int checks = 0;
       int expired = 0;
       boost::asio::steady_timer earlier(context, std::chrono::milliseconds(1));
       std::unique_ptr<StepTimer> timer;
       timer = std::make_unique<StepTimer>(context, Clock(SteadyClock()), [&] {
-        return item.bytes_wait(context, *timer, ++looks);
+        return item.bytes_wait(context, *timer, ++checks);
       });
       timer->Start(kStep, [&](absl::Duration late) {
         CPPUNIT_ASSERT_MESSAGE(item.what, late >= absl::ZeroDuration());
         expired += 1;
       });
-      // Both are found expired in one turn, and this handler runs first.
-      earlier.async_wait(
-          [&](const boost::system::error_code&) { item.meanwhile(*timer); });
+      // Both timers expire in the same turn of the loop, and this handler runs
+      // first.
+      earlier.async_wait([&](const boost::system::error_code&) {
+        item.before_handler(*timer);
+      });
       absl::SleepFor(2 * kStep);
       context.run();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.expired, expired);
