--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -139,7 +139,7 @@
   if (may_have_run && job.executions >= job.route->max_targets) return false;
   if (this->RetryBudgetOf(job.service->name).TakeRetry()) return true;
   this->metrics.Count("retries_refused");
-  this->log.Write("retry", "retry budget is empty",
+  this->log.Write("retry", "no retry budget left",
                   {{"id", job.request.id}, {"service", job.service->name}});
   return false;
 }
@@ -253,11 +253,11 @@
       head.encoded || (IsSuccess(head.status) &&
                        (!head.is_signed || job.connection.StreamBegun()));
   if (invalid) {
-    const Lost lost{"response is unsigned, encoded or not a stream"};
+    const Lost lost{"answer is not signed, is encoded or is no stream"};
     co_return co_await this->AfterLost(job, target, lost);
   }
   if (ImpliesNotExecuted(head.status)) {
-    const Lost lost{"refusal status without the not-executed field"};
+    const Lost lost{"refused without the not-executed field"};
     co_return co_await this->AfterLost(job, target, lost);
   }
   const bool failed = head.status >= 500;
@@ -288,7 +288,7 @@
     target.Reported(*head.load, this->clock.Now());
   }
   if (!IsSuccess(head.status) || !head.is_signed || head.encoded) {
-    const Lost lost{"stream is unsigned, encoded or has an error status"};
+    const Lost lost{"stream is not signed, is encoded or has an error status"};
     co_return co_await this->AfterLost(job, target, lost);
   }
   while (true) {
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -193,7 +193,7 @@
     lost = co_await this->ReadBody(dropped);
     if (lost.has_value()) co_return lost;
   }
-  co_return Lost{"got only responses to other requests", false};
+  co_return Lost{"got only answers to other requests", false};
 }
 
 asio::awaitable<std::optional<Lost>> TargetExchange::ReadBody(
@@ -214,7 +214,7 @@
     }
     this->RestartStallTimeout();
     if (body.size() > kMaxBodyBytes)
-      co_return Lost{"response body too large", false};
+      co_return Lost{"answer body too large", false};
   }
   co_return std::nullopt;
 }
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -143,21 +143,21 @@
   // that it did not run. Idempotent requests are repeated at the other target.
   void RespondsByWhetherTheTargetMayHaveExecuted() {
     const std::vector<ExchangeCase> cases = {
-        {"successful response", "/once/", Sound, 200, 1},
+        {"successful answer", "/once/", Sound, 200, 1},
         {"declined with the not-executed field", "/once/", DeclinedResponse,
          200, 2},
-        {"closed without a response", "/once/", ClosedConnection, 502, 1},
-        {"truncated response", "/once/", TruncatedResponse, 502, 1},
-        {"unsigned response", "/once/", UnsignedResponse, 502, 1},
-        {"encoded response", "/once/", EncodedResponse, 502, 1},
-        {"error of the target", "/once/", ErrorResponse, 500, 1},
+        {"closed without an answer", "/once/", ClosedConnection, 502, 1},
+        {"truncated answer", "/once/", TruncatedResponse, 502, 1},
+        {"answer without the target's signature", "/once/", UnsignedResponse,
+         502, 1},
+        {"encoded answer", "/once/", EncodedResponse, 502, 1},
+        {"failure of the target's own", "/once/", ErrorResponse, 500, 1},
         {"503 without the not-executed field", "/once/", BusyWithoutNotExecuted,
          502, 1},
-        {"late response to another request", "/once/", LateResponseFirst, 200,
-         1},
+        {"late answer to another request", "/once/", LateResponseFirst, 200, 1},
         {"idempotent: closed", "/any/", ClosedConnection, 200, 2},
         {"idempotent: truncated", "/any/", TruncatedResponse, 200, 2},
-        {"idempotent: error of the target", "/any/", ErrorResponse, 200, 2},
+        {"idempotent: failed", "/any/", ErrorResponse, 200, 2},
         {"idempotent: 503 without the field", "/any/", BusyWithoutNotExecuted,
          200, 2},
     };
@@ -208,8 +208,8 @@
     };
     const std::vector<RefusalCase> cases = {
         {"no route", "/other/", "k1", 404, false},
-        {"unknown key", "/any/", "nobody", 401, false},
-        {"quota exceeded", "/any/", "k2", 429, true},
+        {"a key that is not known", "/any/", "nobody", 401, false},
+        {"above the quota", "/any/", "k2", 429, true},
     };
     Stage stage;
     for (const RefusalCase& item : cases) {
--- a/tests/unit/unit-step-timer.cc
+++ b/tests/unit/unit-step-timer.cc
@@ -49,12 +49,12 @@
   // has begun, and closes the connection.
   void TimesOutOnlyItsOwnStep() {
     const std::vector<StepCase> cases = {
-        {"no bytes arrive", DoNothing, NoBytes, 1},
+        {"nothing arrives", DoNothing, NoBytes, 1},
         {"the step ends", [](StepTimer& timer) { timer.Stop(); }, NoBytes, 0},
         {"the next step begins",
          [](StepTimer& timer) { timer.Start(kStep, [](absl::Duration) {}); },
          NoBytes, 0},
-        {"the last bytes were read, their handler is queued", DoNothing,
+        {"the last bytes were taken, their handler is queued", DoNothing,
          [](io_context& context, StepTimer& timer, int check) {
            if (check == 1) EndStepNext(context, timer);
            return false;
@@ -68,7 +68,7 @@
          0},
         {"some bytes arrive, but not all", DoNothing,
          [](io_context&, StepTimer&, int check) { return check <= 5; }, 1},
-        {"bytes that are never read", DoNothing,
+        {"bytes that nobody reads", DoNothing,
          [](io_context&, StepTimer&, int) { return true; }, 1},
     };
     for (const StepCase& item : cases) {
