--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -24,7 +24,7 @@
 constexpr double kMaxModelWaitShare = 0.5;
 // Interval at which a waiting request checks whether its caller has
 // disconnected.
-constexpr absl::Duration kWaitSlice = absl::Milliseconds(100);
+constexpr absl::Duration kCallerCheckInterval = absl::Milliseconds(100);
 // After the signal to stop, all requests are still admitted for this long:
 // callers that have just queried the directory may be about to connect.
 constexpr absl::Duration kStopGracePeriod = absl::Milliseconds(2500);
@@ -195,9 +195,9 @@
 }
 
 // The listed instances divide a target's connections among them. A division by
-// all instances, listed or not, would leave each listed one too few: with 8 of
-// 61 instances listed, requests for a model with one replica were refused while
-// its target, with 64 connections, had room.
+// all instances, listed or not, gives each too few: in a fleet of 61 instances
+// with 8 listed, an instance had 11 at a target of 64, and requests for a model
+// with one replica were refused although the target had room.
 int Pipeline::MaxInFlightAtTarget(const ServiceSpec& service) const {
   const double shared_connections =
       kListedInstancesShare * service.max_connections;
@@ -208,7 +208,7 @@
 }
 
 std::shared_ptr<TargetState> Pipeline::ChooseAmong(RequestJob& job,
-                                                   bool include_avoided) {
+                                                   bool last_resort) {
   const Instant now = this->clock.Now();
   const int max_in_flight = this->MaxInFlightAtTarget(*job.service);
   const ModelUse& use = job.request.use;
@@ -221,7 +221,7 @@
     if (!use.model.empty() && !target->Holds(use.model, use.adapter, now)) {
       continue;
     }
-    if (!include_avoided &&
+    if (!last_resort &&
         (target->Avoided(now) || job.tried.count(record.id) > 0)) {
       continue;
     }
@@ -297,7 +297,8 @@
   this->demand.BeginWait(name);
   Instant now = wait_start;
   while (target == nullptr && now < until && !job.connection.Left()) {
-    co_await this->fleet.Changed().Wait(std::min(kWaitSlice, until - now));
+    co_await this->fleet.Changed().Wait(
+        std::min(kCallerCheckInterval, until - now));
     now = this->clock.Now();
     target = this->Choose(job);
   }
@@ -313,14 +314,13 @@
 // If a target may have executed the request, the refusal must not tell the
 // caller that it did not run.
 Refusal Pipeline::NoTargetRefusal(const RequestJob& job) const {
-  constexpr const char* kMessage = "no target can take the request now";
-  if (job.executions > 0)
-    return MakeRefusal(RefusalCode::kTargetLost, kMessage);
+  constexpr const char* kText = "no target can take the request now";
+  if (job.executions > 0) return MakeRefusal(RefusalCode::kTargetLost, kText);
   if (job.IsEngineWork()) {
-    return MakeRefusal(RefusalCode::kModelNotResident, kMessage,
+    return MakeRefusal(RefusalCode::kModelNotResident, kText,
                        kRetryAfterModelLoad);
   }
-  return MakeRefusal(RefusalCode::kTargetsBusy, kMessage, kRetryAfterBusy);
+  return MakeRefusal(RefusalCode::kTargetsBusy, kText, kRetryAfterBusy);
 }
 
 // No other response can follow on this connection. Closing it without the last
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -70,8 +70,8 @@
       RequestJob& job, std::shared_ptr<TargetState> target);
   int MaxInFlightAtTarget(const ServiceSpec& service) const;
   std::shared_ptr<TargetState> Choose(RequestJob& job);
-  std::shared_ptr<TargetState> ChooseAmong(RequestJob& job,
-                                           bool include_avoided);
+  /// @param last_resort whether to consider avoided and tried targets, too
+  std::shared_ptr<TargetState> ChooseAmong(RequestJob& job, bool last_resort);
   boost::asio::awaitable<NextStep> Attempt(RequestJob& job,
                                            std::shared_ptr<TargetState> target);
   boost::asio::awaitable<NextStep> Relay(RequestJob& job, TargetState& target,
