--- a/dragonflyglade/gateway/caller_link.cc
+++ b/dragonflyglade/gateway/caller_link.cc
@@ -81,12 +81,12 @@
 }
 
 void CallerLink::Abort(std::string_view why) {
-  if (this->ended_by.empty()) this->ended_by = why;
+  if (this->end_reason.empty()) this->end_reason = why;
   error_code ignored;
   this->socket.close(ignored);
 }
 
-absl::Duration CallerLink::Idle() const {
+absl::Duration CallerLink::IdleTime() const {
   return this->wait_end.value_or(this->clock.Now()) - this->wait_start;
 }
 
@@ -96,7 +96,7 @@
 }
 
 void CallerLink::OnTimeout(std::string_view why, absl::Duration late) {
-  if (this->ended_by.empty()) this->ended_late = late;
+  if (this->end_reason.empty()) this->timer_lateness = late;
   this->Abort(why);
 }
 
@@ -139,7 +139,7 @@
 }
 
 asio::awaitable<ReadResult> CallerLink::Read() {
-  this->stream_begun = false;
+  this->stream_started = false;
   const bool readable = co_await this->WaitForRequest();
   if (!readable) co_return CallerLeft{};
   const CallerLimits limits = this->limits();
@@ -164,9 +164,9 @@
   if (error) co_return this->ReadFailure(error);
   // The timeout may have closed the connection in the same turn of the event
   // loop that read the last bytes. No response could be written then.
-  if (!this->ended_by.empty()) co_return CallerLeft{};
+  if (!this->end_reason.empty()) co_return CallerLeft{};
   this->keep_alive = parser.get().keep_alive();
-  this->answered = false;
+  this->responded = false;
   co_return MakeReceivedRequest(parser);
 }
 
@@ -176,14 +176,14 @@
 }
 
 asio::awaitable<bool> CallerLink::Write(std::string text) {
-  if (this->left) co_return false;
+  if (this->disconnected) co_return false;
   this->StartTimeout(kWriteTimeout, "caller takes nothing");
   error_code error;
   co_await asio::async_write(this->socket, asio::buffer(text),
                              asio::redirect_error(asio::use_awaitable, error));
   this->timer.Stop();
   if (error) {
-    this->left = true;
+    this->disconnected = true;
     this->Abort("caller cut off");
   }
   co_return !error;
@@ -194,18 +194,18 @@
   std::string text = AnswerText(status, fields, BodyFraming::kLength,
                                 body.size(), this->KeepAliveTimeout());
   text.append(body);
-  this->answered = co_await this->Write(std::move(text));
-  co_return this->answered;
+  this->responded = co_await this->Write(std::move(text));
+  co_return this->responded;
 }
 
 asio::awaitable<bool> CallerLink::BeginStream(int status, HeaderFields fields,
                                               std::string_view first) {
-  this->stream_begun = true;
+  this->stream_started = true;
   std::string text = AnswerText(status, fields, BodyFraming::kChunked, 0,
                                 this->KeepAliveTimeout());
   if (!first.empty()) text += ChunkText(first);
-  this->answered = co_await this->Write(std::move(text));
-  co_return this->answered;
+  this->responded = co_await this->Write(std::move(text));
+  co_return this->responded;
 }
 
 asio::awaitable<bool> CallerLink::WritePart(std::string_view bytes) {
@@ -217,31 +217,31 @@
   co_return co_await this->Write(std::string(kLastChunk));
 }
 
-void CallerLink::WatchForLeaving(std::function<void()> on_left) {
+void CallerLink::WatchForLeaving(std::function<void()> on_disconnect) {
   // Buffered bytes of the next request would hide the end of the connection.
   if (this->buffer.size() > 0) return;
   this->watch = ++this->watches;
-  this->AwaitDisconnect(std::move(on_left));
+  this->AwaitDisconnect(std::move(on_disconnect));
 }
 
-void CallerLink::AwaitDisconnect(std::function<void()> on_left) {
+void CallerLink::AwaitDisconnect(std::function<void()> on_disconnect) {
   this->socket.async_wait(
-      tcp::socket::wait_read,
-      [this, alive = this->alive, number = this->watch,
-       on_left = std::move(on_left)](const error_code& error) mutable {
+      tcp::socket::wait_read, [this, alive = this->alive, number = this->watch,
+                               on_disconnect = std::move(on_disconnect)](
+                                  const error_code& error) mutable {
         if (!*alive || this->watch != number || error) return;
         const SocketState state = PeekSocket(this->socket);
         if (state == SocketState::kBytes) return;
         if (state == SocketState::kQuiet) {
-          this->AwaitDisconnect(std::move(on_left));
+          this->AwaitDisconnect(std::move(on_disconnect));
           return;
         }
-        this->left = true;
-        if (this->ended_by.empty()) {
-          this->ended_by = state == SocketState::kClosed ? "caller closed"
-                                                         : "caller cut off";
+        this->disconnected = true;
+        if (this->end_reason.empty()) {
+          this->end_reason = state == SocketState::kClosed ? "caller closed"
+                                                           : "caller cut off";
         }
-        on_left();
+        on_disconnect();
       });
 }
 
--- a/dragonflyglade/gateway/caller_link.h
+++ b/dragonflyglade/gateway/caller_link.h
@@ -70,17 +70,17 @@
   boost::asio::awaitable<bool> EndStream();
 
   /// Calls back once if the caller disconnects while no read is in progress.
-  void WatchForLeaving(std::function<void()> on_left);
+  void WatchForLeaving(std::function<void()> on_disconnect);
   void StopWatching();
 
   /// Whether the connection stays open after the next response.
   void SetKeepAlive(bool keep) { this->keep_alive = keep; }
   bool KeepAlive() const { return this->keep_alive; }
   /// Whether the caller has disconnected.
-  bool Left() const { return this->left; }
+  bool IsDisconnected() const { return this->disconnected; }
   /// Whether the head of a stream was written for the current request. No other
   /// response can be sent then.
-  bool StreamBegun() const { return this->stream_begun; }
+  bool StreamStarted() const { return this->stream_started; }
 
   /// Closes the connection at once, so that a partly written response does not
   /// look complete.
@@ -88,13 +88,13 @@
   void Abort(std::string_view why);
 
   /// Why the connection ended; empty while it is open.
-  std::string_view EndedBy() const { return this->ended_by; }
+  std::string_view EndReason() const { return this->end_reason; }
   /// How late the timer fired that ended the connection.
-  absl::Duration EndedLate() const { return this->ended_late; }
+  absl::Duration TimerLateness() const { return this->timer_lateness; }
   /// Duration of the last wait for a request.
-  absl::Duration Idle() const;
+  absl::Duration IdleTime() const;
   /// Whether a response to the last request was written, at least its head.
-  bool Answered() const { return this->answered; }
+  bool Responded() const { return this->responded; }
 
   /// Closes the connection after the last response. Stops sending first and
   /// reads until the caller closes: a close with unread bytes would make TCP
@@ -103,7 +103,7 @@
 
  private:
   boost::asio::awaitable<bool> WaitForRequest();
-  void AwaitDisconnect(std::function<void()> on_left);
+  void AwaitDisconnect(std::function<void()> on_disconnect);
   boost::asio::awaitable<bool> Write(std::string text);
   void StartTimeout(absl::Duration time, std::string_view why);
   void StartIdleTimeout(absl::Duration idle_limit);
@@ -116,14 +116,14 @@
   const LimitsInForce limits;
   const Clock clock;
   StepTimer timer;
-  std::string_view ended_by;  ///< text of static lifetime
-  absl::Duration ended_late;
+  std::string_view end_reason;  ///< text of static lifetime
+  absl::Duration timer_lateness;
   Instant wait_start;  ///< of the last wait for a request
   std::optional<Instant> wait_end;
-  bool answered = false;
+  bool responded = false;
   bool keep_alive = true;
-  bool left = false;
-  bool stream_begun = false;
+  bool disconnected = false;
+  bool stream_started = false;
   int watch = 0;    ///< number of the active watch; 0: none is active
   int watches = 0;  ///< number of watches started
   /// Shared with the watch's handler, which may run after the destructor.
--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -121,7 +121,7 @@
 }
 
 Status Gateway::Run() {
-  if (!this->listeners.Bound().Ok()) return this->listeners.Bound();
+  if (!this->listeners.BindStatus().Ok()) return this->listeners.BindStatus();
   this->tasks.KeepRunning("accept callers", [this] {
     return this->AcceptCallers(this->listeners.callers);
   });
@@ -211,16 +211,16 @@
 
 void Gateway::RecordConnectionEnd(const CallerLink& connection, int requests) {
   const std::string_view why =
-      connection.EndedBy().empty() ? "served" : connection.EndedBy();
+      connection.EndReason().empty() ? "served" : connection.EndReason();
   this->metrics.Count("caller_connections_ended",
                       fmt::format("why=\"{}\"", why));
   const auto config = this->fleet.Config();
   this->log.Write("connection", "ended",
                   {{"why", why},
                    {"requests", requests},
-                   {"answered", requests == 0 || connection.Answered()},
-                   {"idle_ms", connection.Idle()},
-                   {"timer_late_ms", connection.EndedLate()},
+                   {"answered", requests == 0 || connection.Responded()},
+                   {"idle_ms", connection.IdleTime()},
+                   {"timer_late_ms", connection.TimerLateness()},
                    {"config", config == nullptr ? 0 : config->version}});
 }
 
@@ -251,7 +251,7 @@
       connection.SetKeepAlive(false);
       co_await connection.WriteAnswer(error_status, {}, "");
     }
-    if (connection.Left()) co_return requests;
+    if (connection.IsDisconnected()) co_return requests;
     if (!connection.KeepAlive()) {
       co_await connection.CloseSoftly();
       co_return requests;
--- a/dragonflyglade/gateway/listeners.cc
+++ b/dragonflyglade/gateway/listeners.cc
@@ -54,9 +54,9 @@
 }
 
 void Listeners::RecordError(const error_code& error, const Endpoint& endpoint) {
-  if (!error || !this->bound.Ok()) return;
-  this->bound = MakeFailure(Errc::kConnectFailed, "listen", endpoint.ToString(),
-                            error.message());
+  if (!error || !this->bind_status.Ok()) return;
+  this->bind_status = MakeFailure(Errc::kConnectFailed, "listen",
+                                  endpoint.ToString(), error.message());
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/listeners.h
+++ b/dragonflyglade/gateway/listeners.h
@@ -18,7 +18,7 @@
   Listeners(boost::asio::io_context& context, GatewaySettings& settings);
 
   /// Errors: kConnectFailed, naming the first address that could not be bound.
-  const Status& Bound() const { return this->bound; }
+  const Status& BindStatus() const { return this->bind_status; }
 
   boost::asio::ip::tcp::acceptor callers;
   boost::asio::ip::tcp::acceptor readiness;
@@ -32,7 +32,7 @@
   void RecordError(const boost::system::error_code& error,
                    const Endpoint& endpoint);
 
-  Status bound = Done{};
+  Status bind_status = Done{};
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -84,8 +84,8 @@
 
 asio::awaitable<void> Pipeline::AnswerFailure(
     RequestJob& job, const std::exception_ptr& failure) {
-  this->tasks.Failed("serve request", failure);
-  if (job.connection.Answered() && !job.connection.StreamBegun()) co_return;
+  this->tasks.ReportFailure("serve request", failure);
+  if (job.connection.Responded() && !job.connection.StreamStarted()) co_return;
   Refusal refusal = MakeRefusal(RefusalCode::kInternal, "the gateway failed");
   co_await this->Refuse(job, std::move(refusal));
 }
@@ -182,7 +182,7 @@
   NextStep next = NextStep::kTryAnother;
   while (next == NextStep::kTryAnother) {
     const std::shared_ptr<TargetState> target = co_await this->FindTarget(job);
-    if (job.connection.Left()) {
+    if (job.connection.IsDisconnected()) {
       this->RecordOutcome(job, "caller left", 0);
       co_return;
     }
@@ -228,8 +228,8 @@
     ChoiceCandidate candidate;
     candidate.id = record.id;
     candidate.slots = record.slots;
-    candidate.requests = target->Requests(now);
-    candidate.unread_tokens = target->Unread(now);
+    candidate.requests = target->EstimatedRequests(now);
+    candidate.unread_tokens = target->EstimatedUnreadTokens(now);
     candidate.same_zone = record.zone == this->settings.zone;
     candidate.fault_share = target->FaultShare();
     candidates.push_back(candidate);
@@ -262,7 +262,7 @@
 
 // Delays the request while its target processes earlier prompts, and then
 // chooses a target again.
-asio::awaitable<std::shared_ptr<TargetState>> Pipeline::Pace(
+asio::awaitable<std::shared_ptr<TargetState>> Pipeline::DelayForPacing(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const absl::Duration objective =
       job.config->routes.PauseObjective(job.service->name);
@@ -270,9 +270,9 @@
   const Instant until =
       wait_start + LongestPacing(job.route->latency_objective);
   Instant now = wait_start;
-  while (target != nullptr && now < until && !job.connection.Left()) {
-    const absl::Duration hold =
-        PacingHold(target->AheadOfPace(now), job.UnreadTokens(), objective);
+  while (target != nullptr && now < until && !job.connection.IsDisconnected()) {
+    const absl::Duration hold = PacingHold(target->TokensAheadOfPace(now),
+                                           job.UnreadTokens(), objective);
     if (hold <= absl::ZeroDuration()) break;
     co_await Sleep(this->context, std::min(hold, until - now));
     now = this->clock.Now();
@@ -286,7 +286,7 @@
     RequestJob& job) {
   std::shared_ptr<TargetState> target = this->Choose(job);
   if (!job.IsEngineWork()) co_return target;
-  if (target != nullptr) target = co_await this->Pace(job, target);
+  if (target != nullptr) target = co_await this->DelayForPacing(job, target);
   if (target != nullptr) co_return target;
   const Instant wait_start = this->clock.Now();
   const Instant until =
@@ -296,7 +296,7 @@
                        job.request.use.adapter};
   this->demand.BeginWait(name);
   Instant now = wait_start;
-  while (target == nullptr && now < until && !job.connection.Left()) {
+  while (target == nullptr && now < until && !job.connection.IsDisconnected()) {
     co_await this->fleet.Changed().Wait(
         std::min(kCallerCheckInterval, until - now));
     now = this->clock.Now();
@@ -333,7 +333,7 @@
 asio::awaitable<void> Pipeline::Refuse(RequestJob& job, Refusal refusal) {
   // The caller has received a part of the stream, and no target can resume it.
   // A refusal sent now would appear as bytes in the middle of the stream.
-  if (job.connection.StreamBegun()) {
+  if (job.connection.StreamStarted()) {
     this->AbortStream(job);
     co_return;
   }
@@ -389,7 +389,7 @@
        {"expected_ms", job.expected_wait},
        {"first_ms", first},
        {"total_ms", now - job.started},
-       {"connection", job.connection.EndedBy()}});
+       {"connection", job.connection.EndReason()}});
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -66,7 +66,7 @@
   boost::asio::awaitable<void> Forward(RequestJob& job);
   boost::asio::awaitable<std::shared_ptr<TargetState>> FindTarget(
       RequestJob& job);
-  boost::asio::awaitable<std::shared_ptr<TargetState>> Pace(
+  boost::asio::awaitable<std::shared_ptr<TargetState>> DelayForPacing(
       RequestJob& job, std::shared_ptr<TargetState> target);
   int MaxInFlightAtTarget(const ServiceSpec& service) const;
   std::shared_ptr<TargetState> Choose(RequestJob& job);
@@ -74,9 +74,10 @@
   std::shared_ptr<TargetState> ChooseAmong(RequestJob& job, bool last_resort);
   boost::asio::awaitable<NextStep> Attempt(RequestJob& job,
                                            std::shared_ptr<TargetState> target);
-  boost::asio::awaitable<NextStep> Relay(RequestJob& job, TargetState& target,
-                                         TargetExchange& exchange,
-                                         const AnswerHead& head);
+  boost::asio::awaitable<NextStep> RelayStream(RequestJob& job,
+                                               TargetState& target,
+                                               TargetExchange& exchange,
+                                               const AnswerHead& head);
   boost::asio::awaitable<bool> RelayEvents(RequestJob& job,
                                            const AnswerHead& head,
                                            std::string_view events, bool ended);
@@ -89,9 +90,9 @@
   boost::asio::awaitable<NextStep> AfterLost(RequestJob& job,
                                              TargetState& target,
                                              const Lost& lost);
-  boost::asio::awaitable<NextStep> AfterWhole(RequestJob& job,
-                                              TargetState& target,
-                                              const WholeAnswer& answer);
+  boost::asio::awaitable<NextStep> AfterResponse(RequestJob& job,
+                                                 TargetState& target,
+                                                 const WholeAnswer& answer);
   bool MayRetry(RequestJob& job, bool may_have_run);
   RetryBudget& RetryBudgetOf(std::string_view service);
   Refusal NoTargetRefusal(const RequestJob& job) const;
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -47,19 +47,19 @@
   InFlightGuard(TargetState& target, double tokens, std::string resident,
                 Instant now)
       : target(target), tokens(tokens), resident(std::move(resident)) {
-    this->target.Sent(tokens, this->resident, now);
+    this->target.RecordSent(tokens, this->resident, now);
   }
   ~InFlightGuard() {
-    this->FirstOutput();
-    this->target.Ended(this->resident);
+    this->RecordFirstOutput();
+    this->target.RecordEnd(this->resident);
   }
   InFlightGuard(const InFlightGuard&) = delete;
   InFlightGuard& operator=(const InFlightGuard&) = delete;
 
-  void FirstOutput() {
+  void RecordFirstOutput() {
     if (this->prompt_done) return;
     this->prompt_done = true;
-    this->target.FirstOutput(this->tokens);
+    this->target.RecordFirstOutput(this->tokens);
   }
 
  private:
@@ -104,7 +104,7 @@
   ExchangeOutcome outcome = co_await exchange.Run(
       address, job.request.id, std::move(head), job.request.body,
       job.deadline + kResponseTravelTime);
-  guard.FirstOutput();
+  guard.RecordFirstOutput();
   this->metrics.Count(exchange.Reused() ? "target_connections_reused"
                                         : "target_connections");
   NextStep next = NextStep::kDone;
@@ -120,12 +120,12 @@
   } else if (const auto* response = std::get_if<WholeAnswer>(&outcome)) {
     job.attempts += 1;
     job.executions += 1;
-    next = co_await this->AfterWhole(job, *target, *response);
+    next = co_await this->AfterResponse(job, *target, *response);
   } else {
     job.attempts += 1;
     job.executions += 1;
-    next = co_await this->Relay(job, *target, exchange,
-                                std::get<StreamHead>(outcome).head);
+    next = co_await this->RelayStream(job, *target, exchange,
+                                      std::get<StreamHead>(outcome).head);
   }
   job.exchange = nullptr;
   co_return next;
@@ -161,11 +161,11 @@
 
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterNotSent(
     RequestJob& job, TargetState& target, const NotSent& not_sent) {
-  if (job.connection.Left()) {
+  if (job.connection.IsDisconnected()) {
     this->RecordOutcome(job, "caller left", 0);
     co_return NextStep::kDone;
   }
-  target.Learn(TargetResult::kUnreachable, this->clock.Now());
+  target.RecordResult(TargetResult::kUnreachable, this->clock.Now());
   this->log.Write(
       "request", "not sent",
       {{"id", job.request.id}, {"target", job.target}, {"why", not_sent.why}});
@@ -185,12 +185,12 @@
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterDeclined(
     RequestJob& job, TargetState& target, const Declined& declined) {
   const Instant now = this->clock.Now();
-  if (job.connection.Left()) {
+  if (job.connection.IsDisconnected()) {
     this->RecordOutcome(job, "caller left", 0);
     co_return NextStep::kDone;
   }
   if (declined.head.load.has_value()) {
-    target.Reported(*declined.head.load, now);
+    target.SetLoadReport(*declined.head.load, now);
   }
   const ModelUse& use = job.request.use;
   if (!declined.head.wrong_target) {
@@ -200,7 +200,7 @@
     const ModelName name{job.service->name, use.model, use.adapter};
     this->channel.ReportLack(job.target, name);
   } else {
-    target.Learn(TargetResult::kUnreachable, now);
+    target.RecordResult(TargetResult::kUnreachable, now);
   }
   this->log.Write("request", "declined",
                   {{"id", job.request.id},
@@ -218,11 +218,11 @@
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterLost(RequestJob& job,
                                                         TargetState& target,
                                                         const Lost& lost) {
-  if (job.connection.Left()) {
+  if (job.connection.IsDisconnected()) {
     this->RecordOutcome(job, "caller left", 0);
     co_return NextStep::kDone;
   }
-  target.Learn(TargetResult::kFault, this->clock.Now());
+  target.RecordResult(TargetResult::kFault, this->clock.Now());
   this->log.Write("request", "lost",
                   {{"id", job.request.id},
                    {"target", job.target},
@@ -232,7 +232,7 @@
   job.events.Restart();
   // A stream whose events have no ids cannot be resumed.
   const bool resumable =
-      !job.connection.StreamBegun() || !job.events.LastId().empty();
+      !job.connection.StreamStarted() || !job.events.LastId().empty();
   if (!lost.timed_out && resumable && this->MayRetry(job, true)) {
     co_return NextStep::kTryAnother;
   }
@@ -244,14 +244,14 @@
   co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::NextStep> Pipeline::AfterWhole(
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterResponse(
     RequestJob& job, TargetState& target, const WholeAnswer& answer) {
   const Instant now = this->clock.Now();
   const AnswerHead& head = answer.head;
-  if (head.load.has_value()) target.Reported(*head.load, now);
+  if (head.load.has_value()) target.SetLoadReport(*head.load, now);
   const bool invalid =
       head.encoded || (IsSuccess(head.status) &&
-                       (!head.is_signed || job.connection.StreamBegun()));
+                       (!head.is_signed || job.connection.StreamStarted()));
   if (invalid) {
     const Lost lost{"answer is not signed, is encoded or is no stream"};
     co_return co_await this->AfterLost(job, target, lost);
@@ -261,7 +261,8 @@
     co_return co_await this->AfterLost(job, target, lost);
   }
   const bool failed = head.status >= 500;
-  target.Learn(failed ? TargetResult::kFault : TargetResult::kSound, now);
+  target.RecordResult(failed ? TargetResult::kFault : TargetResult::kSound,
+                      now);
   job.first_output = now;
   if (failed && this->MayRetry(job, true)) {
     this->log.Write("request", "failed at target",
@@ -270,7 +271,7 @@
                      {"status", head.status}});
     co_return NextStep::kTryAnother;
   }
-  if (job.connection.StreamBegun()) {
+  if (job.connection.StreamStarted()) {
     this->AbortStream(job);
     co_return NextStep::kDone;
   }
@@ -280,12 +281,11 @@
   co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::NextStep> Pipeline::Relay(RequestJob& job,
-                                                    TargetState& target,
-                                                    TargetExchange& exchange,
-                                                    const AnswerHead& head) {
+asio::awaitable<Pipeline::NextStep> Pipeline::RelayStream(
+    RequestJob& job, TargetState& target, TargetExchange& exchange,
+    const AnswerHead& head) {
   if (head.load.has_value()) {
-    target.Reported(*head.load, this->clock.Now());
+    target.SetLoadReport(*head.load, this->clock.Now());
   }
   if (!IsSuccess(head.status) || !head.is_signed || head.encoded) {
     const Lost lost{"stream is not signed, is encoded or has an error status"};
@@ -312,7 +312,7 @@
       co_return NextStep::kDone;
     }
     if (!ended) continue;
-    target.Learn(TargetResult::kSound, this->clock.Now());
+    target.RecordResult(TargetResult::kSound, this->clock.Now());
     this->RecordOutcome(job, "answered", head.status);
     co_return NextStep::kDone;
   }
@@ -325,8 +325,8 @@
   if (!events.empty() && !job.first_output.has_value()) {
     job.first_output = this->clock.Now();
   }
-  bool written = !job.connection.Left();
-  if (!job.connection.StreamBegun() && (!events.empty() || ended)) {
+  bool written = !job.connection.IsDisconnected();
+  if (!job.connection.StreamStarted() && (!events.empty() || ended)) {
     written = co_await job.connection.BeginStream(head.status, head.passed_on,
                                                   events);
   } else if (!events.empty()) {
--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -103,19 +103,19 @@
   this->avoid_until = std::max(this->avoid_until, now + kFullBackoff);
 }
 
-void TargetState::Sent(double prompt_tokens, const std::string& resident,
-                       Instant now) {
+void TargetState::RecordSent(double prompt_tokens, const std::string& resident,
+                             Instant now) {
   this->pace.Add(prompt_tokens, now);
   if (!resident.empty()) this->residents_in_use[resident] += 1;
   this->in_flight += 1;
   this->unread_tokens += prompt_tokens;
 }
 
-void TargetState::FirstOutput(double prompt_tokens) {
+void TargetState::RecordFirstOutput(double prompt_tokens) {
   this->unread_tokens = std::max(0.0, this->unread_tokens - prompt_tokens);
 }
 
-void TargetState::Ended(const std::string& resident) {
+void TargetState::RecordEnd(const std::string& resident) {
   this->in_flight -= 1;
   const auto used = this->residents_in_use.find(resident);
   if (used == this->residents_in_use.end()) return;
@@ -123,7 +123,7 @@
   if (used->second <= 0) this->residents_in_use.erase(used);
 }
 
-void TargetState::Reported(const LoadReport& newer, Instant now) {
+void TargetState::SetLoadReport(const LoadReport& newer, Instant now) {
   this->report = newer;
   this->reported_at = now;
   this->in_flight_at_report = this->in_flight;
@@ -140,7 +140,7 @@
   this->pace.Add(prompt_tokens, now);
 }
 
-double TargetState::Requests(Instant now) const {
+double TargetState::EstimatedRequests(Instant now) const {
   if (this->others_at.has_value() &&
       now - *this->others_at < kSummaryLifetime) {
     return this->in_flight + this->others_requests;
@@ -155,7 +155,7 @@
   return this->in_flight;
 }
 
-double TargetState::Unread(Instant now) const {
+double TargetState::EstimatedUnreadTokens(Instant now) const {
   const double known = this->unread_tokens + this->others_sent.Level(now);
   if (this->others_at.has_value() &&
       now - *this->others_at < kSummaryLifetime) {
@@ -164,7 +164,7 @@
   return known;
 }
 
-void TargetState::Learn(TargetResult result, Instant now) {
+void TargetState::RecordResult(TargetResult result, Instant now) {
   const double fault = result == TargetResult::kSound ? 0 : 1;
   this->fault_share += kFaultWeight * (fault - this->fault_share);
   if (result != TargetResult::kUnreachable) {
--- a/dragonflyglade/gateway/target_state.h
+++ b/dragonflyglade/gateway/target_state.h
@@ -61,11 +61,12 @@
   /// Counts a request as in flight at the target.
   /// @param prompt_tokens tokens that the target is expected to process
   /// @param resident ResidentKey of its model or adapter; empty if none
-  void Sent(double prompt_tokens, const std::string& resident, Instant now);
+  void RecordSent(double prompt_tokens, const std::string& resident,
+                  Instant now);
   /// The target has processed the prompt of a request.
-  void FirstOutput(double prompt_tokens);
+  void RecordFirstOutput(double prompt_tokens);
   /// A request is no longer in flight.
-  void Ended(const std::string& resident);
+  void RecordEnd(const std::string& resident);
   /// Requests of this instance in flight, by ResidentKey.
   const std::map<std::string, int>& ResidentsInUse() const {
     return this->residents_in_use;
@@ -74,7 +75,7 @@
   double UnreadTokens() const { return this->unread_tokens; }
 
   /// Stores the load that the target stated in a response.
-  void Reported(const LoadReport& report, Instant now);
+  void SetLoadReport(const LoadReport& report, Instant now);
   /// Stores the load that other instances put on the target, from the leader's
   /// latest summary.
   /// @param requests their requests in flight
@@ -84,17 +85,17 @@
   void OthersSent(double prompt_tokens, Instant now);
 
   /// Estimate of the requests in flight at the target, of all instances.
-  double Requests(Instant now) const;
+  double EstimatedRequests(Instant now) const;
   /// Estimate of the prompt tokens that the target has yet to process.
-  double Unread(Instant now) const;
+  double EstimatedUnreadTokens(Instant now) const;
   /// Prompt tokens sent in excess of the pace; see PacingHold.
-  double AheadOfPace(Instant now) const { return this->pace.Level(now); }
+  double TokensAheadOfPace(Instant now) const { return this->pace.Level(now); }
 
   /// Records that the target declined a request because it was full.
   void MarkFull(Instant now);
 
   /// Updates the health estimate with the result of a request.
-  void Learn(TargetResult result, Instant now);
+  void RecordResult(TargetResult result, Instant now);
   /// Whether requests should go elsewhere for now: the target is full or was
   /// unreachable.
   bool Avoided(Instant now) const { return now < this->avoid_until; }
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-void Tasks::Failed(std::string_view name, const std::exception_ptr& exception) {
+void Tasks::ReportFailure(std::string_view name,
+                          const std::exception_ptr& exception) {
   this->metrics.Count("task_failures", fmt::format("task=\"{}\"", name));
   this->log.Write("task", "failed",
                   {{"task", name}, {"why", WhatOf(exception)}});
@@ -26,7 +27,7 @@
 void Tasks::Spawn(std::string_view name, boost::asio::awaitable<void> task) {
   boost::asio::co_spawn(this->context, std::move(task),
                         [this, name](const std::exception_ptr& exception) {
-                          if (exception) this->Failed(name, exception);
+                          if (exception) this->ReportFailure(name, exception);
                         });
 }
 
@@ -42,7 +43,7 @@
   while (true) {
     const std::exception_ptr failure = co_await Caught(make());
     if (!failure) co_return;
-    this->Failed(name, failure);
+    this->ReportFailure(name, failure);
     co_await Sleep(this->context, kRestartDelay);
   }
 }
@@ -53,7 +54,7 @@
       this->context.run();
       return;
     } catch (...) {
-      this->Failed("handler", std::current_exception());
+      this->ReportFailure("handler", std::current_exception());
     }
   }
 }
--- a/dragonflyglade/gateway/tasks.h
+++ b/dragonflyglade/gateway/tasks.h
@@ -37,7 +37,8 @@
   void RunLoop();
 
   /// Logs and counts an exception that a task has caught itself.
-  void Failed(std::string_view name, const std::exception_ptr& exception);
+  void ReportFailure(std::string_view name,
+                     const std::exception_ptr& exception);
 
  private:
   boost::asio::awaitable<void> RunWithRestart(std::string_view name,
