--- a/dragonflyglade/caller/caller_request.h
+++ b/dragonflyglade/caller/caller_request.h
@@ -33,16 +33,16 @@
 };
 
 /// An answer that comes in parts.
-struct StreamAnswer {
+struct StreamResponse {
   std::shared_ptr<EventStream> stream;
 };
 
-using CallerAnswer = std::variant<WholeAnswer, StreamAnswer, Refusal>;
+using CallerResponse = std::variant<WholeAnswer, StreamResponse, Refusal>;
 
 /// An answer with the id of its request.
-struct CallerReply {
+struct IdentifiedResponse {
   std::string request_id;
-  CallerAnswer answer;
+  CallerResponse answer;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/caller_server.cc
+++ b/dragonflyglade/caller/caller_server.cc
@@ -38,7 +38,7 @@
 
 void WriteRefusal(const Refusal& refusal, const std::string& request_id,
                   httplib::Response& response) {
-  const RefusalRule& rule = RuleOf(refusal.code);
+  const RefusalRule& rule = RefusalRuleFor(refusal.code);
   response.status = rule.http_status;
   response.set_content(RefusalBody(refusal, request_id), kJson);
   if (!rule.retry_later) return;
@@ -58,7 +58,7 @@
     return write(SseEvent(data->text));
   }
   // A comment now and then shows both ends that the connection lives.
-  if (std::holds_alternative<StreamQuiet>(part)) return write(": wait\n\n");
+  if (std::holds_alternative<StreamTimeout>(part)) return write(": wait\n\n");
   if (const auto* refusal = std::get_if<Refusal>(&part)) {
     write(SseErrorEvent(RefusalBody(*refusal, request_id)));
   }
@@ -108,12 +108,12 @@
                                 httplib::Response& response) {
   ++this->active;
   const absl::Cleanup ended = [this] { --this->active; };
-  const CallerReply reply = this->handler.Handle(RequestOf(wire));
+  const IdentifiedResponse reply = this->handler.Handle(RequestOf(wire));
   response.set_header("X-Request-Id", reply.request_id);
   if (this->closing) response.set_header("Connection", "close");
   if (const auto* refusal = std::get_if<Refusal>(&reply.answer)) {
     WriteRefusal(*refusal, reply.request_id, response);
-  } else if (const auto* stream = std::get_if<StreamAnswer>(&reply.answer)) {
+  } else if (const auto* stream = std::get_if<StreamResponse>(&reply.answer)) {
     this->AnswerStream(stream->stream, reply.request_id, response);
   } else {
     const auto& whole = std::get<WholeAnswer>(reply.answer);
@@ -123,7 +123,7 @@
 }
 
 void CallerServer::Impl::Route() {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   http.set_payload_max_length(this->handler.Limits().max_body);
   http.Get("/healthz", [](const httplib::Request&, httplib::Response& r) {
     r.set_content("{\"status\":\"ok\"}", kJson);
--- a/dragonflyglade/caller/completion_runner.cc
+++ b/dragonflyglade/caller/completion_runner.cc
@@ -8,7 +8,7 @@
 
 #include "absl/cleanup/cleanup.h"
 #include "dragonflyglade/caller/paths.h"
-#include "dragonflyglade/caller/place.h"
+#include "dragonflyglade/caller/reservation.h"
 #include "dragonflyglade/caller/sse.h"
 #include "dragonflyglade/net/log.h"
 
@@ -69,10 +69,10 @@
 
 // One try at one target.
 struct CompletionRunner::Attempt {
-  Attempt(TargetPlace place, EngineClient engine)
+  Attempt(TargetReservation place, EngineClient engine)
       : place(std::move(place)), engine(std::move(engine)) {}
 
-  TargetPlace place;
+  TargetReservation place;
   EngineClient engine;
   int status = 0;
   std::string echoed_id;
@@ -83,11 +83,14 @@
   std::optional<Failure> failure;
 };
 
-CompletionRunner::CompletionRunner(
-    AdmissionGate& gate, Dispatcher& dispatcher, TargetBook& targets,
-    StreamRegistry& registry, const CatalogHolder& catalog, DemandBook& demand,
-    RetryBudget& retries, Metrics& metrics, CallerLimits limits,
-    TargetCallOptions call_options, std::string_view zone, Clock clock)
+CompletionRunner::CompletionRunner(AdmissionGate& gate, Dispatcher& dispatcher,
+                                   TargetRegistry& targets,
+                                   StreamRegistry& registry,
+                                   const CatalogHolder& catalog,
+                                   DemandTracker& demand, RetryBudget& retries,
+                                   Metrics& metrics, CallerLimits limits,
+                                   TargetCallOptions call_options,
+                                   std::string_view zone, Clock clock)
     : gate(gate),
       dispatcher(dispatcher),
       targets(targets),
@@ -101,8 +104,8 @@
       zone(zone),
       clock(clock) {}
 
-CallerAnswer CompletionRunner::Run(const CallContext& context,
-                                   const CallerRequest& request) {
+CallerResponse CompletionRunner::Run(const CallContext& context,
+                                     const CallerRequest& request) {
   auto parsed = ParseCompletion(request.path, request.body, *context.catalog,
                                 context.workspace, context.request_class);
   if (auto* refusal = std::get_if<Refusal>(&parsed)) return *refusal;
@@ -135,13 +138,13 @@
     return Refusal{RefusalCode::kKeyWithdrawn, "the key was withdrawn"};
   }
   this->demand.Add(job->request.model, job->request.Cost());
-  this->retries.RequestMade();
+  this->retries.RecordRequest();
   this->tasks.Run([this, job] { this->Produce(*job); });
   if (!job->request.stream) return this->Collect(*job);
   if (std::optional<Refusal> failure = job->stream->WaitForStart()) {
     return *failure;
   }
-  return StreamAnswer{job->stream};
+  return StreamResponse{job->stream};
 }
 
 void CompletionRunner::Produce(Job& job) {
@@ -162,8 +165,8 @@
       absl::ToDoubleSeconds(this->clock.Now() - job.started));
 }
 
-std::variant<TargetPlace, Refusal> CompletionRunner::FindPlace(Job& job) {
-  TargetNeed need;
+std::variant<TargetReservation, Refusal> CompletionRunner::FindPlace(Job& job) {
+  TargetRequirements need;
   need.pool = job.request.pool;
   need.model = job.request.model;
   need.adapter = job.request.adapter;
@@ -171,10 +174,10 @@
   need.prefix = job.request.prefix;
   need.tokens = job.request.Cost();
   need.avoid = job.failed_targets;
-  return WaitForPlace(
+  return WaitForReservation(
       this->dispatcher, need,
-      PlaceRequest{job.context.workspace, job.context.request_class,
-                   job.place_deadline, job.request.model});
+      ReservationRequest{job.context.workspace, job.context.request_class,
+                         job.place_deadline, job.request.model});
 }
 
 void CompletionRunner::TryTargets(Job& job) {
@@ -184,27 +187,28 @@
       job.stream->Fail(*refusal);
       return;
     }
-    if (this->AttemptOnce(job, std::get<TargetPlace>(place))) return;
-    job.failed_targets.insert(std::get<TargetPlace>(place).target);
+    if (this->AttemptOnce(job, std::get<TargetReservation>(place))) return;
+    job.failed_targets.insert(std::get<TargetReservation>(place).target);
   }
   job.stream->Fail(
       Refusal{RefusalCode::kTargetLost, "several targets failed this request"});
 }
 
 // True when the request has its final answer.
-bool CompletionRunner::AttemptOnce(Job& job, const TargetPlace& place) {
+bool CompletionRunner::AttemptOnce(Job& job, const TargetReservation& place) {
   Attempt attempt(place, EngineClient(Endpoint{place.address, place.port},
                                       place.target, this->call_options));
   EngineRequest request{job.path, job.request.body, job.context.request_id};
-  PlaceOutcome outcome = PlaceOutcome::kNeutral;
+  RequestOutcome outcome = RequestOutcome::kNeutral;
   absl::Cleanup release = [&] { this->dispatcher.Release(place, outcome); };
-  this->ReadFrom(job, attempt, EngineClient::RequestFor(request));
+  this->ReadFrom(job, attempt, EngineClient::MakeCompletionRequest(request));
   for (int i = 0; i < kMostResumes && this->Resume(job, attempt); ++i) {
   }
   outcome = this->Judge(job, attempt);
   std::move(release).Invoke();
   if (attempt.complete) {
-    this->targets.NotePrefix(place.pool, place.target, job.request.prefix);
+    this->targets.RecordCachedPrefix(place.pool, place.target,
+                                     job.request.prefix);
     job.stream->Finish();
     return true;
   }
@@ -231,7 +235,7 @@
   job.stream->OnCancel([call] { call->Cancel(); });
   attempt.failure.reset();
   attempt.reader = SseReader();
-  const auto on_head = [&](const HttpHead& head) {
+  const auto on_head = [&](const HttpResponseHead& head) {
     attempt.status = head.status;
     attempt.echoed_id = head.request_id;
     return true;
@@ -294,28 +298,29 @@
   }
   if (job.stream->Cancelled() || !attempt.failure.has_value()) return false;
   const int before = job.delivered;
-  this->ReadFrom(job, attempt,
-                 EngineClient::ResumeFor(job.context.request_id, before));
+  this->ReadFrom(
+      job, attempt,
+      EngineClient::MakeResumeRequest(job.context.request_id, before));
   if (attempt.complete) {
     this->metrics.Count("dragonflyglade_streams_resumed_total");
   }
   return !attempt.complete && attempt.status == kHttpOk;
 }
 
-PlaceOutcome CompletionRunner::Judge(Job& job, const Attempt& attempt) {
-  if (attempt.complete) return PlaceOutcome::kGood;
+RequestOutcome CompletionRunner::Judge(Job& job, const Attempt& attempt) {
+  if (attempt.complete) return RequestOutcome::kSucceeded;
   if (attempt.caller_gone || job.stream->Cancelled()) {
-    return PlaceOutcome::kNeutral;
+    return RequestOutcome::kNeutral;
   }
   if (attempt.failure.has_value()) {
     if (attempt.failure->code == Errc::kConnectFailed) {
       // A target that refuses connections is on its way out or gone.
       this->metrics.Count("dragonflyglade_target_connect_failures_total");
     }
-    return PlaceOutcome::kTargetFault;
+    return RequestOutcome::kTargetFault;
   }
-  return attempt.status >= kHttpServerError ? PlaceOutcome::kTargetFault
-                                            : PlaceOutcome::kNeutral;
+  return attempt.status >= kHttpServerError ? RequestOutcome::kTargetFault
+                                            : RequestOutcome::kNeutral;
 }
 
 bool CompletionRunner::MayRetry(const Job& job, const Attempt& attempt) {
@@ -326,13 +331,13 @@
   const bool may_help =
       attempt.failure.has_value() || attempt.status >= kHttpServerError ||
       attempt.status == kHttpNotFound || attempt.status == kHttpTooManyRequests;
-  if (!may_help || !this->retries.TakeRetry()) return false;
+  if (!may_help || !this->retries.TryConsumeRetry()) return false;
   this->metrics.Count("dragonflyglade_retries_total");
   return true;
 }
 
 // Puts a whole answer together from the stream.
-CallerAnswer CompletionRunner::Collect(Job& job) {
+CallerResponse CompletionRunner::Collect(Job& job) {
   const bool is_chat = job.path == kChatPath;
   std::string text;
   json last = json::object();
--- a/dragonflyglade/caller/completion_runner.h
+++ b/dragonflyglade/caller/completion_runner.h
@@ -10,7 +10,7 @@
 #include "dragonflyglade/caller/completion_request.h"
 #include "dragonflyglade/caller/stream_registry.h"
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
 #include "dragonflyglade/decision/retry_budget.h"
 #include "dragonflyglade/net/task_group.h"
 #include "dragonflyglade/operator/metrics.h"
@@ -28,14 +28,14 @@
 class CompletionRunner {
  public:
   CompletionRunner(AdmissionGate& gate, Dispatcher& dispatcher,
-                   TargetBook& targets, StreamRegistry& registry,
-                   const CatalogHolder& catalog, DemandBook& demand,
+                   TargetRegistry& targets, StreamRegistry& registry,
+                   const CatalogHolder& catalog, DemandTracker& demand,
                    RetryBudget& retries, Metrics& metrics, CallerLimits limits,
                    TargetCallOptions call_options, std::string_view zone,
                    Clock clock);
 
   /// Answers a completion request whose key is good.
-  CallerAnswer Run(const CallContext& context, const CallerRequest& request);
+  CallerResponse Run(const CallContext& context, const CallerRequest& request);
 
   /// Streams and calls under way.
   int Running() const { return this->tasks.Running(); }
@@ -46,20 +46,20 @@
 
   void Produce(Job& job);
   void TryTargets(Job& job);
-  bool AttemptOnce(Job& job, const TargetPlace& place);
+  bool AttemptOnce(Job& job, const TargetReservation& place);
   void ReadFrom(Job& job, Attempt& attempt, const HttpRequest& request);
   bool Resume(Job& job, Attempt& attempt);
-  PlaceOutcome Judge(Job& job, const Attempt& attempt);
+  RequestOutcome Judge(Job& job, const Attempt& attempt);
   bool MayRetry(const Job& job, const Attempt& attempt);
-  std::variant<TargetPlace, Refusal> FindPlace(Job& job);
-  CallerAnswer Collect(Job& job);
+  std::variant<TargetReservation, Refusal> FindPlace(Job& job);
+  CallerResponse Collect(Job& job);
 
   AdmissionGate& gate;
   Dispatcher& dispatcher;
-  TargetBook& targets;
+  TargetRegistry& targets;
   StreamRegistry& registry;
   const CatalogHolder& catalog;
-  DemandBook& demand;
+  DemandTracker& demand;
   RetryBudget& retries;
   Metrics& metrics;
   const CallerLimits limits;
--- a/dragonflyglade/caller/event_stream.h
+++ b/dragonflyglade/caller/event_stream.h
@@ -21,8 +21,8 @@
 /// The stream ended whole.
 struct StreamDone {};
 /// Nothing came in time.
-struct StreamQuiet {};
-using StreamPart = std::variant<StreamData, StreamDone, StreamQuiet, Refusal>;
+struct StreamTimeout {};
+using StreamPart = std::variant<StreamData, StreamDone, StreamTimeout, Refusal>;
 
 /// Carries a stream's events from the thread that reads a target to the one
 /// that writes to the caller. Bounded: a slow caller slows its own reader.
--- a/dragonflyglade/caller/instance_answer.cc
+++ b/dragonflyglade/caller/instance_selection.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/caller/instance_answer.h"
+#include "dragonflyglade/caller/instance_selection.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -25,11 +25,11 @@
 }  // namespace
 
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& question,
+    absl::Span<const MemberStatus> members, const InstanceQuery& question,
     absl::Span<const std::string> share_holders) {
-  std::vector<const MemberStatement*> usable;
+  std::vector<const MemberStatus*> usable;
   std::vector<std::string> names;
-  for (const MemberStatement& member : members) {
+  for (const MemberStatus& member : members) {
     const bool heard = member.incarnation != 0;
     if (!heard || member.leaving || member.state != MemberState::kAlive) {
       continue;
@@ -42,7 +42,7 @@
     homes = RendezvousOwners(question.model, names, kModelHomes);
   }
   std::vector<InstanceChoice> choices;
-  for (const MemberStatement* member : usable) {
+  for (const MemberStatus* member : usable) {
     double weight =
         std::max(kLeastWeight, 1.0 - member->load_permille / kFullLoad);
     if (member->info.zone == question.zone) weight *= kZoneFactor;
--- a/dragonflyglade/caller/instance_answer.h
+++ b/dragonflyglade/caller/instance_selection.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
-#define DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
+#ifndef DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
+#define DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
 
 #include <cstdint>
 #include <string>
@@ -22,7 +22,7 @@
 };
 
 /// What a caller asks by: its availability zone, model and workspace.
-struct InstanceQuestion {
+struct InstanceQuery {
   std::string zone;
   std::string model;
   std::string workspace;
@@ -34,7 +34,7 @@
 /// caller's zone, and by holding a share of its workspace's rate, which saves
 /// a loan for each request.
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& question,
+    absl::Span<const MemberStatus> members, const InstanceQuery& question,
     absl::Span<const std::string> share_holders);
 
 /// The JSON of the answer.
@@ -43,4 +43,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
+#endif  // DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
--- a/dragonflyglade/caller/request_handler.cc
+++ b/dragonflyglade/caller/request_handler.cc
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "dragonflyglade/caller/instance_answer.h"
+#include "dragonflyglade/caller/instance_selection.h"
 #include "dragonflyglade/caller/paths.h"
 #include "dragonflyglade/net/log.h"
 #include "dragonflyglade/operator/caller_key.h"
@@ -53,7 +53,7 @@
 }  // namespace
 
 RequestHandler::RequestHandler(const CatalogHolder& catalog,
-                               const Freshness& freshness,
+                               const ConfigFreshness& freshness,
                                const Membership& membership,
                                CompletionRunner& completions,
                                ServiceRunner& services, Metrics& metrics,
@@ -68,15 +68,15 @@
       keep(keep) {}
 
 std::variant<ServingState, Refusal> RequestHandler::Readiness() const {
-  const auto [listed, alive] = this->membership.ListedAndAlive();
-  switch (this->freshness.Right(Reach{listed, alive})) {
-    case AdmissionRight::kFresh:
-    case AdmissionRight::kOutage:
+  const auto [listed, alive] = this->membership.CountListedAndAlive();
+  switch (this->freshness.Right(PeerReachability{listed, alive})) {
+    case ConfigFreshnessState::kFresh:
+    case ConfigFreshnessState::kStoreOutage:
       break;
-    case AdmissionRight::kNeverReady:
+    case ConfigFreshnessState::kNeverComplete:
       return Refusal{RefusalCode::kNotReady,
                      "the configuration is not complete yet"};
-    case AdmissionRight::kCutOff:
+    case ConfigFreshnessState::kCutOff:
       return Refusal{RefusalCode::kConfigurationStale,
                      "the configuration may be out of date here"};
   }
@@ -84,13 +84,13 @@
                                          : ServingState::kServing;
 }
 
-CallerReply RequestHandler::Handle(const CallerRequest& request) {
-  CallerReply reply;
+IdentifiedResponse RequestHandler::Handle(const CallerRequest& request) {
+  IdentifiedResponse reply;
   reply.request_id = RandomHex(kRequestIdBytes);
   reply.answer = this->Answer(request, reply.request_id);
   this->metrics.Count("dragonflyglade_requests_total");
   if (const auto* refusal = std::get_if<Refusal>(&reply.answer)) {
-    const std::string_view code = RuleOf(refusal->code).name;
+    const std::string_view code = RefusalRuleFor(refusal->code).name;
     this->metrics.Count("dragonflyglade_refusals_total",
                         fmt::format("code=\"{}\"", code));
     LogFor(LogPart::kCaller).debug("Refused {}: {}.", reply.request_id, code);
@@ -98,8 +98,8 @@
   return reply;
 }
 
-CallerAnswer RequestHandler::Answer(const CallerRequest& request,
-                                    const std::string& request_id) {
+CallerResponse RequestHandler::Answer(const CallerRequest& request,
+                                      const std::string& request_id) {
   if (request.path.size() + request.query.size() > this->limits.max_path) {
     return Refusal{RefusalCode::kBadRequest, "the path is too long"};
   }
@@ -125,11 +125,11 @@
   }
   CallContext context;
   context.catalog = this->catalog.Get();
-  const auto checked = CheckCallerKey(*context.catalog, shown);
-  if (const auto* problem = std::get_if<KeyProblem>(&checked)) {
+  const auto checked = FindKeyRecord(*context.catalog, shown);
+  if (const auto* problem = std::get_if<KeyError>(&checked)) {
     // Malformed and unknown keys get the same answer: it tells nothing about
     // which keys there are.
-    if (*problem != KeyProblem::kWithdrawn) {
+    if (*problem != KeyError::kWithdrawn) {
       return Refusal{RefusalCode::kUnknownKey, "the key is not known"};
     }
     return Refusal{RefusalCode::kKeyWithdrawn, "the key was withdrawn"};
@@ -154,8 +154,8 @@
   return context;
 }
 
-CallerAnswer RequestHandler::RunAuthenticated(const CallContext& context,
-                                              const CallerRequest& request) {
+CallerResponse RequestHandler::RunAuthenticated(const CallContext& context,
+                                                const CallerRequest& request) {
   CallContext own = context;
   if (!request.request_class.empty()) {
     const std::optional<RequestClass> wanted =
@@ -187,12 +187,12 @@
   return NotFound(request);
 }
 
-CallerAnswer RequestHandler::AnswerInstances(
+CallerResponse RequestHandler::AnswerInstances(
     const CallerRequest& request) const {
   if (request.method != "GET") {
     return Refusal{RefusalCode::kMethodNotAllowed, "expected GET"};
   }
-  InstanceQuestion question;
+  InstanceQuery question;
   question.zone = QueryValue(request.query, "zone");
   question.model = QueryValue(request.query, "model");
   question.workspace = QueryValue(request.query, "workspace");
@@ -201,7 +201,7 @@
   const Allotment* allotment =
       FindRecord(catalog->allotments, question.workspace);
   if (allotment != nullptr) {
-    for (const HolderShare& holder : allotment->holders) {
+    for (const OwnerShare& holder : allotment->holders) {
       if (holder.share > 0) holders.push_back(holder.instance);
     }
   }
@@ -211,7 +211,7 @@
   return answer;
 }
 
-CallerAnswer RequestHandler::AnswerModels(const CallContext& context) const {
+CallerResponse RequestHandler::AnswerModels(const CallContext& context) const {
   json list = json::array();
   const auto add = [&list](const std::string& name) {
     list.push_back(
--- a/dragonflyglade/caller/request_handler.h
+++ b/dragonflyglade/caller/request_handler.h
@@ -10,7 +10,7 @@
 #include "dragonflyglade/caller/caller_request.h"
 #include "dragonflyglade/caller/completion_runner.h"
 #include "dragonflyglade/caller/service_runner.h"
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/operator/metrics.h"
@@ -24,13 +24,13 @@
 /// part that runs it. Thread-safe.
 class RequestHandler {
  public:
-  RequestHandler(const CatalogHolder& catalog, const Freshness& freshness,
+  RequestHandler(const CatalogHolder& catalog, const ConfigFreshness& freshness,
                  const Membership& membership, CompletionRunner& completions,
                  ServiceRunner& services, Metrics& metrics, CallerLimits limits,
                  absl::Duration keep);
 
   /// Answers any request.
-  CallerReply Handle(const CallerRequest& request);
+  IdentifiedResponse Handle(const CallerRequest& request);
 
   /// Whether new work is taken, and if not, why.
   std::variant<ServingState, Refusal> Readiness() const;
@@ -41,17 +41,17 @@
   const CallerLimits& Limits() const { return this->limits; }
 
  private:
-  CallerAnswer Answer(const CallerRequest& request,
-                      const std::string& request_id);
-  CallerAnswer AnswerInstances(const CallerRequest& request) const;
-  CallerAnswer AnswerModels(const CallContext& context) const;
+  CallerResponse Answer(const CallerRequest& request,
+                        const std::string& request_id);
+  CallerResponse AnswerInstances(const CallerRequest& request) const;
+  CallerResponse AnswerModels(const CallContext& context) const;
   std::variant<CallContext, Refusal> Authenticate(
       const CallerRequest& request, const std::string& request_id) const;
-  CallerAnswer RunAuthenticated(const CallContext& context,
-                                const CallerRequest& request);
+  CallerResponse RunAuthenticated(const CallContext& context,
+                                  const CallerRequest& request);
 
   const CatalogHolder& catalog;
-  const Freshness& freshness;
+  const ConfigFreshness& freshness;
   const Membership& membership;
   CompletionRunner& completions;
   ServiceRunner& services;
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -7,7 +7,7 @@
 
 #include "absl/time/clock.h"
 #include "dragonflyglade/caller/paths.h"
-#include "dragonflyglade/caller/place.h"
+#include "dragonflyglade/caller/reservation.h"
 #include "dragonflyglade/net/log.h"
 #include "dragonflyglade/operator/caller_key.h"
 
@@ -75,8 +75,8 @@
       zone(zone),
       clock(clock) {}
 
-CallerAnswer ServiceRunner::Run(const CallContext& context,
-                                const CallerRequest& request) {
+CallerResponse ServiceRunner::Run(const CallContext& context,
+                                  const CallerRequest& request) {
   std::string_view rest = request.path;
   rest.remove_prefix(kServicePrefix.size());
   const std::size_t slash = rest.find('/');
@@ -112,13 +112,13 @@
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
   job.place_deadline = this->clock.Now() + waits.place_wait;
   const Instant started = this->clock.Now();
-  CallerAnswer answer = !job.repeatable && !request.idempotency_key.empty()
-                            ? this->RunClaimed(job)
-                            : this->Send(job).answer;
+  CallerResponse answer = !job.repeatable && !request.idempotency_key.empty()
+                              ? this->RunWithClaim(job)
+                              : this->Send(job).answer;
   // A call that a refusal kept from running cost nothing.
   const auto* refusal = std::get_if<Refusal>(&answer);
   const bool not_run =
-      refusal != nullptr && RuleOf(refusal->code).ran == Ran::kNo;
+      refusal != nullptr && RefusalRuleFor(refusal->code).ran == Ran::kNo;
   this->gate.Settle(std::get<Admission>(admitted),
                     not_run ? 0 : service->cost_tokens);
   this->metrics.Observe(
@@ -128,21 +128,21 @@
   return answer;
 }
 
-std::variant<TargetPlace, Refusal> ServiceRunner::FindPlace(
+std::variant<TargetReservation, Refusal> ServiceRunner::FindPlace(
     const Job& job, const std::set<std::string>& avoid) {
-  TargetNeed need;
+  TargetRequirements need;
   need.pool = job.service->pool;
   need.zone = this->zone;
   need.tokens = job.service->cost_tokens;
   need.avoid = avoid;
-  return WaitForPlace(
+  return WaitForReservation(
       this->dispatcher, need,
-      PlaceRequest{job.context->workspace, job.service->request_class,
-                   job.place_deadline, job.service->name});
+      ReservationRequest{job.context->workspace, job.service->request_class,
+                         job.place_deadline, job.service->name});
 }
 
-Result<HttpReply> ServiceRunner::CallTarget(const Job& job,
-                                            const TargetPlace& place) const {
+Result<HttpResponse> ServiceRunner::CallTarget(
+    const Job& job, const TargetReservation& place) const {
   HttpOptions options;
   options.connect_timeout = this->call_options.connect_timeout;
   options.read_timeout = this->call_options.read_timeout;
@@ -165,10 +165,10 @@
 }
 
 ServiceRunner::CallEnd ServiceRunner::EndOf(
-    const Job& job, const Result<HttpReply>& reply) const {
+    const Job& job, const Result<HttpResponse>& reply) const {
   CallEnd end;
   if (reply.Ok()) {
-    const HttpReply& whole = reply.Value();
+    const HttpResponse& whole = reply.Value();
     if (!whole.head.request_id.empty() &&
         whole.head.request_id != job.context->request_id) {
       end.answer = Refusal{RefusalCode::kAnswerMismatch,
@@ -205,7 +205,7 @@
 // twice. Only a failure to connect proves that no byte arrived; after any
 // other failure a call that may not be repeated ends with "unknown".
 ServiceRunner::CallEnd ServiceRunner::Send(const Job& job) {
-  this->retries.RequestMade();
+  this->retries.RecordRequest();
   std::set<std::string> avoid;
   CallEnd end;
   for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
@@ -218,10 +218,10 @@
       end.certainly_not_run = true;
       return end;
     }
-    const TargetPlace& found = std::get<TargetPlace>(place);
-    const Result<HttpReply> reply = this->CallTarget(job, found);
-    this->dispatcher.Release(
-        found, reply.Ok() ? PlaceOutcome::kGood : PlaceOutcome::kTargetFault);
+    const TargetReservation& found = std::get<TargetReservation>(place);
+    const Result<HttpResponse> reply = this->CallTarget(job, found);
+    this->dispatcher.Release(found, reply.Ok() ? RequestOutcome::kSucceeded
+                                               : RequestOutcome::kTargetFault);
     if (!reply.Ok()) {
       LogFor(LogPart::kTarget).warn("{}.", reply.Error().ToString());
     }
@@ -232,45 +232,46 @@
     if (reply.Ok()) return end;
     avoid.insert(found.target);
     if (end.certainly_not_run) continue;
-    if (!job.repeatable || !this->retries.TakeRetry()) return end;
+    if (!job.repeatable || !this->retries.TryConsumeRetry()) return end;
     this->metrics.Count("dragonflyglade_retries_total");
   }
   return end;
 }
 
-ClaimStep ServiceRunner::TakeClaim(const std::string& key, const Claim& claim) {
+ClaimStep ServiceRunner::AcquireClaim(const std::string& key,
+                                      const Claim& claim) {
   const Instant deadline = this->clock.Now() + kClaimDeadline;
   while (true) {
-    const ClaimWrite write = this->claims.Create(key, claim);
+    const ClaimWriteResult write = this->claims.Create(key, claim);
     const bool may_retry = this->clock.Now() + kClaimPause < deadline;
-    ClaimStep step = AfterClaimWrite(claim, write, may_retry);
-    if (!std::holds_alternative<TryAgain>(step)) return step;
+    ClaimStep step = DecideClaimStep(claim, write, may_retry);
+    if (!std::holds_alternative<RetryClaimWrite>(step)) return step;
     absl::SleepFor(kClaimPause);
   }
 }
 
-CallerAnswer ServiceRunner::RunClaimed(const Job& job) {
-  const std::string key =
-      ClaimStore::KeyFor(job.context->workspace, job.request->idempotency_key);
+CallerResponse ServiceRunner::RunWithClaim(const Job& job) {
+  const std::string key = ClaimStore::ClaimKeyFor(job.context->workspace,
+                                                  job.request->idempotency_key);
   Claim claim;
   claim.nonce = RandomHex(kNonceBytes);
   claim.digest =
       Sha256Hex(fmt::format("{}\n{}\n{}\n{}", job.service->name,
                             job.request->method, job.path, job.request->body));
-  const ClaimStep step = this->TakeClaim(key, claim);
-  if (const auto* dispatch = std::get_if<Dispatch>(&step)) {
-    return this->SendClaimed(job, key, dispatch->revision, claim);
+  const ClaimStep step = this->AcquireClaim(key, claim);
+  if (const auto* dispatch = std::get_if<DispatchCall>(&step)) {
+    return this->SendWithClaim(job, key, dispatch->revision, claim);
   }
-  if (const auto* replay = std::get_if<Replay>(&step)) {
+  if (const auto* replay = std::get_if<ReplayResponse>(&step)) {
     this->metrics.Count("dragonflyglade_claims_replayed_total");
     return WholeAnswer{replay->answer.status, replay->answer.content_type,
                        replay->answer.body};
   }
-  if (std::holds_alternative<KeyReused>(step)) {
+  if (std::holds_alternative<IdempotencyKeyReused>(step)) {
     return Refusal{RefusalCode::kIdempotencyKeyReused,
                    "this Idempotency-Key came with another request before"};
   }
-  if (std::holds_alternative<InDoubt>(step)) {
+  if (std::holds_alternative<InProgressOrUnknown>(step)) {
     return Refusal{RefusalCode::kClaimInDoubt,
                    "a call with this Idempotency-Key is under way or its "
                    "outcome is not known"};
@@ -279,8 +280,10 @@
                  "the call could not be claimed; it was not sent"};
 }
 
-CallerAnswer ServiceRunner::SendClaimed(const Job& job, const std::string& key,
-                                        std::int64_t revision, Claim claim) {
+CallerResponse ServiceRunner::SendWithClaim(const Job& job,
+                                            const std::string& key,
+                                            std::int64_t revision,
+                                            Claim claim) {
   CallEnd end = this->Send(job);
   if (end.certainly_not_run) {
     this->claims.Release(key, revision);
@@ -294,7 +297,7 @@
       claim.state = ClaimState::kUnknown;
     } else {
       claim.answer =
-          StoredAnswer{answer->status, answer->content_type, answer->body};
+          StoredResponse{answer->status, answer->content_type, answer->body};
     }
   }
   this->claims.Finish(key, revision, claim);
--- a/dragonflyglade/caller/service_runner.h
+++ b/dragonflyglade/caller/service_runner.h
@@ -30,7 +30,7 @@
                 Clock clock);
 
   /// Answers "/v1/services/<name>/<path>" for a key that is good.
-  CallerAnswer Run(const CallContext& context, const CallerRequest& request);
+  CallerResponse Run(const CallContext& context, const CallerRequest& request);
 
  private:
   /// A call on its way to a service.
@@ -44,20 +44,21 @@
   };
   /// How a call ended, as far as its claim is concerned.
   struct CallEnd {
-    CallerAnswer answer;
+    CallerResponse answer;
     ClaimState state = ClaimState::kUnknown;
     bool certainly_not_run = false;
   };
 
   CallEnd Send(const Job& job);
-  CallEnd EndOf(const Job& job, const Result<HttpReply>& reply) const;
-  std::variant<TargetPlace, Refusal> FindPlace(
+  CallEnd EndOf(const Job& job, const Result<HttpResponse>& reply) const;
+  std::variant<TargetReservation, Refusal> FindPlace(
       const Job& job, const std::set<std::string>& avoid);
-  Result<HttpReply> CallTarget(const Job& job, const TargetPlace& place) const;
-  CallerAnswer RunClaimed(const Job& job);
-  ClaimStep TakeClaim(const std::string& key, const Claim& claim);
-  CallerAnswer SendClaimed(const Job& job, const std::string& key,
-                           std::int64_t revision, Claim claim);
+  Result<HttpResponse> CallTarget(const Job& job,
+                                  const TargetReservation& place) const;
+  CallerResponse RunWithClaim(const Job& job);
+  ClaimStep AcquireClaim(const std::string& key, const Claim& claim);
+  CallerResponse SendWithClaim(const Job& job, const std::string& key,
+                               std::int64_t revision, Claim claim);
 
   AdmissionGate& gate;
   Dispatcher& dispatcher;
--- a/dragonflyglade/gateway/caller_link.cc
+++ b/dragonflyglade/gateway/caller_connection.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 
 #include <array>
 #include <boost/asio/redirect_error.hpp>
@@ -28,7 +28,7 @@
 // milliseconds, longer if packets are lost. If the gateway closed the
 // connection meanwhile, the caller could not know whether its request ran.
 constexpr absl::Duration kIdleGrace = absl::Seconds(1);
-// How long CloseSoftly waits for the caller to close its end.
+// How long CloseGracefully waits for the caller to close its end.
 constexpr absl::Duration kCloseTimeout = absl::Milliseconds(500);
 // A caller that reads nothing for this long is treated as disconnected.
 constexpr absl::Duration kWriteTimeout = absl::Seconds(10);
@@ -62,8 +62,9 @@
 
 }  // namespace
 
-CallerLink::CallerLink(asio::io_context& context, tcp::socket socket,
-                       LimitsInForce limits, Clock clock)
+CallerConnection::CallerConnection(asio::io_context& context,
+                                   tcp::socket socket,
+                                   CallerLimitsProvider limits, Clock clock)
     : socket(std::move(socket)),
       limits(std::move(limits)),
       clock(std::move(clock)),
@@ -75,27 +76,27 @@
   this->socket.set_option(tcp::no_delay(true), ignored);
 }
 
-CallerLink::~CallerLink() {
+CallerConnection::~CallerConnection() {
   *this->alive = false;
   this->Abort("served");
 }
 
-void CallerLink::Abort(std::string_view why) {
+void CallerConnection::Abort(std::string_view why) {
   if (this->end_reason.empty()) this->end_reason = why;
   error_code ignored;
   this->socket.close(ignored);
 }
 
-absl::Duration CallerLink::IdleTime() const {
+absl::Duration CallerConnection::IdleTime() const {
   return this->wait_end.value_or(this->clock.Now()) - this->wait_start;
 }
 
-void CallerLink::StartTimeout(absl::Duration time, std::string_view why) {
+void CallerConnection::StartTimeout(absl::Duration time, std::string_view why) {
   this->timer.Start(
       time, [this, why](absl::Duration late) { this->OnTimeout(why, late); });
 }
 
-void CallerLink::OnTimeout(std::string_view why, absl::Duration late) {
+void CallerConnection::OnTimeout(std::string_view why, absl::Duration late) {
   if (this->end_reason.empty()) this->timer_lateness = late;
   this->Abort(why);
 }
@@ -103,11 +104,11 @@
 // Callers apply the idle timeout of the configuration that is current when they
 // send, so a configuration that raises the timeout applies to connections that
 // are already idle, too.
-void CallerLink::StartIdleTimeout(absl::Duration idle_limit) {
-  const Instant end = this->wait_start + idle_limit + kIdleGrace;
-  const auto expired = [this, idle_limit](absl::Duration late) {
+void CallerConnection::StartIdleTimeout(absl::Duration max_idle_time) {
+  const Instant end = this->wait_start + max_idle_time + kIdleGrace;
+  const auto expired = [this, max_idle_time](absl::Duration late) {
     const absl::Duration limit = this->limits().idle_timeout;
-    if (limit > idle_limit) {
+    if (limit > max_idle_time) {
       this->StartIdleTimeout(limit);
     } else {
       this->OnTimeout("idle", late);
@@ -116,16 +117,16 @@
   this->timer.Start(end - this->clock.Now(), expired);
 }
 
-ReadResult CallerLink::ReadFailure(const error_code& error) {
+ReadResult CallerConnection::ReadFailure(const error_code& error) {
   if (IsHttpError(error)) return MalformedRequest{StatusForError(error)};
   const bool closed = error == http::error::end_of_stream ||
                       error == http::error::partial_message ||
                       error == asio::error::eof;
   this->Abort(closed ? "caller closed" : "caller cut off");
-  return CallerLeft{};
+  return CallerDisconnected{};
 }
 
-asio::awaitable<bool> CallerLink::WaitForRequest() {
+asio::awaitable<bool> CallerConnection::WaitForRequest() {
   this->wait_start = this->clock.Now();
   this->wait_end.reset();
   if (this->buffer.size() > 0) co_return true;
@@ -138,10 +139,10 @@
   co_return !error;
 }
 
-asio::awaitable<ReadResult> CallerLink::Read() {
+asio::awaitable<ReadResult> CallerConnection::Read() {
   this->stream_started = false;
   const bool readable = co_await this->WaitForRequest();
-  if (!readable) co_return CallerLeft{};
+  if (!readable) co_return CallerDisconnected{};
   const CallerLimits limits = this->limits();
   this->StartTimeout(limits.header_timeout, "head not whole in time");
   Parser parser;
@@ -155,7 +156,7 @@
   const auto expect = parser.get()[http::field::expect];
   if (absl::EqualsIgnoreCase({expect.data(), expect.size()}, "100-continue")) {
     const bool written = co_await this->Write("HTTP/1.1 100 Continue\r\n\r\n");
-    if (!written) co_return CallerLeft{};
+    if (!written) co_return CallerDisconnected{};
   }
   this->StartTimeout(kBodyTimeout, "body not whole in time");
   co_await http::async_read(this->socket, this->buffer, parser,
@@ -164,18 +165,18 @@
   if (error) co_return this->ReadFailure(error);
   // The timeout may have closed the connection in the same turn of the event
   // loop that read the last bytes. No response could be written then.
-  if (!this->end_reason.empty()) co_return CallerLeft{};
+  if (!this->end_reason.empty()) co_return CallerDisconnected{};
   this->keep_alive = parser.get().keep_alive();
   this->responded = false;
   co_return MakeReceivedRequest(parser);
 }
 
-std::optional<absl::Duration> CallerLink::KeepAliveTimeout() const {
+std::optional<absl::Duration> CallerConnection::KeepAliveTimeout() const {
   if (!this->keep_alive) return std::nullopt;
   return this->limits().idle_timeout;
 }
 
-asio::awaitable<bool> CallerLink::Write(std::string text) {
+asio::awaitable<bool> CallerConnection::Write(std::string text) {
   if (this->disconnected) co_return false;
   this->StartTimeout(kWriteTimeout, "caller takes nothing");
   error_code error;
@@ -189,42 +190,44 @@
   co_return !error;
 }
 
-asio::awaitable<bool> CallerLink::WriteAnswer(int status, HeaderFields fields,
-                                              std::string_view body) {
-  std::string text = AnswerText(status, fields, BodyFraming::kLength,
-                                body.size(), this->KeepAliveTimeout());
+asio::awaitable<bool> CallerConnection::WriteResponse(int status,
+                                                      HeaderFields fields,
+                                                      std::string_view body) {
+  std::string text = ResponseHeadText(status, fields, BodyFraming::kLength,
+                                      body.size(), this->KeepAliveTimeout());
   text.append(body);
   this->responded = co_await this->Write(std::move(text));
   co_return this->responded;
 }
 
-asio::awaitable<bool> CallerLink::BeginStream(int status, HeaderFields fields,
-                                              std::string_view first) {
+asio::awaitable<bool> CallerConnection::BeginStream(int status,
+                                                    HeaderFields fields,
+                                                    std::string_view first) {
   this->stream_started = true;
-  std::string text = AnswerText(status, fields, BodyFraming::kChunked, 0,
-                                this->KeepAliveTimeout());
+  std::string text = ResponseHeadText(status, fields, BodyFraming::kChunked, 0,
+                                      this->KeepAliveTimeout());
   if (!first.empty()) text += ChunkText(first);
   this->responded = co_await this->Write(std::move(text));
   co_return this->responded;
 }
 
-asio::awaitable<bool> CallerLink::WritePart(std::string_view bytes) {
+asio::awaitable<bool> CallerConnection::WritePart(std::string_view bytes) {
   if (bytes.empty()) co_return true;
   co_return co_await this->Write(ChunkText(bytes));
 }
 
-asio::awaitable<bool> CallerLink::EndStream() {
+asio::awaitable<bool> CallerConnection::EndStream() {
   co_return co_await this->Write(std::string(kLastChunk));
 }
 
-void CallerLink::WatchForLeaving(std::function<void()> on_disconnect) {
+void CallerConnection::WatchForDisconnect(std::function<void()> on_disconnect) {
   // Buffered bytes of the next request would hide the end of the connection.
   if (this->buffer.size() > 0) return;
   this->watch = ++this->watches;
   this->AwaitDisconnect(std::move(on_disconnect));
 }
 
-void CallerLink::AwaitDisconnect(std::function<void()> on_disconnect) {
+void CallerConnection::AwaitDisconnect(std::function<void()> on_disconnect) {
   this->socket.async_wait(
       tcp::socket::wait_read, [this, alive = this->alive, number = this->watch,
                                on_disconnect = std::move(on_disconnect)](
@@ -232,7 +235,7 @@
         if (!*alive || this->watch != number || error) return;
         const SocketState state = PeekSocket(this->socket);
         if (state == SocketState::kBytes) return;
-        if (state == SocketState::kQuiet) {
+        if (state == SocketState::kNoData) {
           this->AwaitDisconnect(std::move(on_disconnect));
           return;
         }
@@ -245,14 +248,14 @@
       });
 }
 
-void CallerLink::StopWatching() {
+void CallerConnection::StopWatching() {
   if (this->watch == 0) return;
   this->watch = 0;
   error_code ignored;
   this->socket.cancel(ignored);
 }
 
-asio::awaitable<void> CallerLink::CloseSoftly() {
+asio::awaitable<void> CallerConnection::CloseGracefully() {
   error_code error;
   this->socket.shutdown(tcp::socket::shutdown_send, error);
   this->StartTimeout(kCloseTimeout, "served");
--- a/dragonflyglade/gateway/caller_link.h
+++ b/dragonflyglade/gateway/caller_connection.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
-#define DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
+#define DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -23,7 +23,7 @@
 
 /// The head and body of a received request.
 struct ReceivedRequest {
-  HttpHeadText head;
+  HttpMessageHead head;
   std::string method;          ///< storage that head.method refers to
   std::string path_and_query;  ///< storage that head.path_and_query refers to
   std::string body;
@@ -34,31 +34,32 @@
   int status = 400;
 };
 /// The caller closed the connection, or a timeout ended it.
-struct CallerLeft {};
-using ReadResult = std::variant<ReceivedRequest, MalformedRequest, CallerLeft>;
+struct CallerDisconnected {};
+using ReadResult =
+    std::variant<ReceivedRequest, MalformedRequest, CallerDisconnected>;
 
 /// Returns the limits of the current configuration.
-using LimitsInForce = std::function<CallerLimits()>;
+using CallerLimitsProvider = std::function<CallerLimits()>;
 
 /// A caller's connection: reads requests, writes responses, and detects that
 /// the caller disconnects while a request is in progress. Runs on one event
 /// loop.
-class CallerLink {
+class CallerConnection {
  public:
-  CallerLink(boost::asio::io_context& context,
-             boost::asio::ip::tcp::socket socket, LimitsInForce limits,
-             Clock clock);
-  ~CallerLink();
-  CallerLink(const CallerLink&) = delete;
-  CallerLink& operator=(const CallerLink&) = delete;
+  CallerConnection(boost::asio::io_context& context,
+                   boost::asio::ip::tcp::socket socket,
+                   CallerLimitsProvider limits, Clock clock);
+  ~CallerConnection();
+  CallerConnection(const CallerConnection&) = delete;
+  CallerConnection& operator=(const CallerConnection&) = delete;
 
   /// Reads the next request, within the limits on size and time.
   boost::asio::awaitable<ReadResult> Read();
 
   /// Writes a complete response.
   /// @return false if the write failed or the caller has disconnected
-  boost::asio::awaitable<bool> WriteAnswer(int status, HeaderFields fields,
-                                           std::string_view body);
+  boost::asio::awaitable<bool> WriteResponse(int status, HeaderFields fields,
+                                             std::string_view body);
 
   /// Writes the head of a chunked response and its first bytes, if any.
   /// @return false if the write failed or the caller has disconnected
@@ -70,7 +71,7 @@
   boost::asio::awaitable<bool> EndStream();
 
   /// Calls back once if the caller disconnects while no read is in progress.
-  void WatchForLeaving(std::function<void()> on_disconnect);
+  void WatchForDisconnect(std::function<void()> on_disconnect);
   void StopWatching();
 
   /// Whether the connection stays open after the next response.
@@ -99,21 +100,21 @@
   /// Closes the connection after the last response. Stops sending first and
   /// reads until the caller closes: a close with unread bytes would make TCP
   /// reset the connection, and the caller could lose the response.
-  boost::asio::awaitable<void> CloseSoftly();
+  boost::asio::awaitable<void> CloseGracefully();
 
  private:
   boost::asio::awaitable<bool> WaitForRequest();
   void AwaitDisconnect(std::function<void()> on_disconnect);
   boost::asio::awaitable<bool> Write(std::string text);
   void StartTimeout(absl::Duration time, std::string_view why);
-  void StartIdleTimeout(absl::Duration idle_limit);
+  void StartIdleTimeout(absl::Duration max_idle_time);
   void OnTimeout(std::string_view why, absl::Duration late);
   std::optional<absl::Duration> KeepAliveTimeout() const;
   ReadResult ReadFailure(const boost::system::error_code& error);
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  const LimitsInForce limits;
+  const CallerLimitsProvider limits;
   const Clock clock;
   StepTimer timer;
   std::string_view end_reason;  ///< text of static lifetime
@@ -132,4 +133,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
--- a/dragonflyglade/gateway/caught.cc
+++ b/dragonflyglade/gateway/catch_exception.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 // A scope guard would not do: at shutdown, suspended coroutines are destroyed
 // after the objects that the guard would access.
-boost::asio::awaitable<std::exception_ptr> Caught(
+boost::asio::awaitable<std::exception_ptr> CatchException(
     boost::asio::awaitable<void> coroutine) {
   try {
     co_await std::move(coroutine);
@@ -16,7 +16,7 @@
   co_return nullptr;
 }
 
-std::string WhatOf(const std::exception_ptr& exception) {
+std::string ExceptionText(const std::exception_ptr& exception) {
   try {
     std::rethrow_exception(exception);
   } catch (const std::exception& error) {
--- a/dragonflyglade/gateway/gateway_settings.h
+++ b/dragonflyglade/gateway/gateway_settings.h
@@ -6,7 +6,7 @@
 
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/failure.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/net/endpoint.h"
 
 namespace dragonflyglade::gateway {
@@ -30,7 +30,7 @@
   /// the main load of the store, so it is longer.
   absl::Duration unlisted_lease_ttl = absl::Seconds(8);
   /// Minimum time between the orders of two successive leaders to one target.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
   /// Time from the signal to stop until the process must have ended.
   absl::Duration stop_within = absl::Seconds(8);
   /// How long callers may cache the list of instances.
@@ -38,7 +38,7 @@
 
   /// Whether the fleet has never run before, so that no quota can be spent.
   bool first_start = false;
-  QuotaAllowance quota_allowance;
+  QuotaTolerance quota_allowance;
   double retry_share = 0.1;  ///< retries per request
   double retry_slack = 10;   ///< further retries per window, in the whole fleet
   /// Window in which loads from the weight storage are counted.
@@ -53,7 +53,8 @@
 /// Copies those newer settings that may change while the process runs. Names,
 /// addresses and the machine's capacity stay.
 /// @return whether another setting differs, which takes effect after a restart
-bool TakeLimitsOver(const GatewaySettings& newer, GatewaySettings& settings);
+bool ApplyReloadableSettings(const GatewaySettings& newer,
+                             GatewaySettings& settings);
 
 /// Parses and checks the text of a settings file; errors as
 /// ReadGatewaySettings.
--- a/dragonflyglade/gateway/http_text.h
+++ b/dragonflyglade/gateway/http_text.h
@@ -16,7 +16,8 @@
 
 /// Formats the head of a request, with Content-Length if it may have a body.
 /// @param host value of the Host field, unless the request's fields have one
-std::string RequestText(const HttpCallText& call, std::string_view host);
+std::string RequestHeadText(const OutgoingHttpRequest& call,
+                            std::string_view host);
 
 /// How the end of a response's body is marked.
 enum class BodyFraming { kLength, kChunked };
@@ -25,9 +26,9 @@
 /// @param length size of the body in bytes; used with kLength only
 /// @param keep_alive idle timeout to announce; without one the response
 ///     announces that the connection closes
-std::string AnswerText(int status, const HeaderFields& fields,
-                       BodyFraming framing, std::size_t length,
-                       std::optional<absl::Duration> keep_alive);
+std::string ResponseHeadText(int status, const HeaderFields& fields,
+                             BodyFraming framing, std::size_t length,
+                             std::optional<absl::Duration> keep_alive);
 
 /// Formats a chunk of a chunked body; the bytes must not be empty.
 std::string ChunkText(std::string_view bytes);
@@ -37,9 +38,9 @@
 
 /// Converts the header of a request or response that Beast has parsed.
 template <bool is_request>
-HttpHeadText ConvertHead(const boost::beast::http::header<is_request>& header,
-                         bool keep_alive) {
-  HttpHeadText head;
+HttpMessageHead ConvertHead(
+    const boost::beast::http::header<is_request>& header, bool keep_alive) {
+  HttpMessageHead head;
   if constexpr (is_request) {
     head.method = {header.method_string().data(),
                    header.method_string().size()};
--- a/dragonflyglade/gateway/loop_watch.h
+++ b/dragonflyglade/gateway/loop_lag_monitor.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
-#define DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
+#define DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
 
 #include <boost/asio/io_context.hpp>
 
@@ -13,10 +13,10 @@
 /// Measures the lag of the event loop, which a long handler or a lack of CPU
 /// time causes. Observes it in the metric `loop_late_seconds`, and logs a high
 /// lag as `process` `held up`.
-class LoopWatch {
+class LoopLagMonitor {
  public:
-  LoopWatch(boost::asio::io_context& context, Metrics& metrics, EventLog& log,
-            Clock clock);
+  LoopLagMonitor(boost::asio::io_context& context, Metrics& metrics,
+                 EventLog& log, Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
@@ -30,4 +30,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
--- a/dragonflyglade/gateway/messages.h
+++ b/dragonflyglade/gateway/messages.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "absl/time/time.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/decision/route_table.h"
 
 namespace dragonflyglade::gateway {
@@ -45,13 +45,14 @@
   std::optional<absl::Duration> deadline;  ///< time that the caller waits
   ModelUse use;
   std::optional<std::string> resume_after;  ///< id of the last event received
-  HeaderFields passed_on;  ///< end-to-end fields that the gateway doesn't set
+  HeaderFields
+      forwarded_fields;  ///< end-to-end fields that the gateway doesn't set
   std::string body;
   bool keep_alive = true;
 };
 
 /// The values that the gateway adds to a request which it forwards.
-struct TargetStamp {
+struct ForwardingContext {
   std::string target;           ///< id of the target that must respond
   std::string workspace;        ///< empty on routes without keys
   absl::Duration time_left;     ///< until the request's deadline
@@ -67,7 +68,7 @@
 };
 
 /// The head of a target's response.
-struct AnswerHead {
+struct ResponseHead {
   int status = 0;
   std::string request_id;     ///< empty if the response names no request
   bool not_executed = false;  ///< the target didn't run the request
@@ -78,7 +79,7 @@
   bool closes = false;  ///< the connection ends after this response
   std::optional<absl::Duration> keep_alive;  ///< idle timeout of the target
   std::optional<LoadReport> load;
-  HeaderFields passed_on;  ///< end-to-end fields
+  HeaderFields forwarded_fields;  ///< end-to-end fields
 };
 
 /// A model that an engine serves.
@@ -113,7 +114,7 @@
   std::optional<int> priority;  ///< overrides the route's priority
   QuotaLimit quota;
   bool counts_tokens = false;  ///< the quota counts tokens, else requests
-  double plain_tokens = 1;     ///< cost of a request that states no tokens
+  double default_tokens = 1;   ///< cost of a request that states no tokens
 };
 
 /// Size and time limits of callers' requests and connections.
@@ -131,7 +132,7 @@
   std::map<std::string, ServiceSpec, std::less<>> services;
   std::map<std::string, WorkspaceSpec, std::less<>> workspaces;
   std::map<std::string, std::string, std::less<>> workspace_of_key;
-  bool wants_keys = false;
+  bool requires_keys = false;
   CallerLimits limits;
 };
 
@@ -178,17 +179,17 @@
 };
 
 /// An engine's response to an order.
-enum class OrderAnswer {
-  kAccepted,      ///< the order is in progress
-  kAlreadyHolds,  ///< the engine has nothing to do
-  kConflict,      ///< another order is in progress, or the count differs
-  kFenced,        ///< the engine has seen a higher fencing token
+enum class OrderResponse {
+  kAccepted,        ///< the order is in progress
+  kAlreadyApplied,  ///< the engine has nothing to do
+  kConflict,        ///< another order is in progress, or the count differs
+  kFenced,          ///< the engine has seen a higher fencing token
   kInvalid,
   kWrongTarget,
 };
 
 /// A caller's query for the addresses of instances.
-struct DirectoryQuestion {
+struct DirectoryQuery {
   std::string host;
   std::string zone;
 };
--- a/dragonflyglade/gateway/peek_socket.h
+++ b/dragonflyglade/gateway/peek_socket.h
@@ -7,7 +7,7 @@
 
 /// The result that a read from a socket would have.
 enum class SocketState {
-  kQuiet,   ///< open, without unread bytes
+  kNoData,  ///< open, without unread bytes
   kBytes,   ///< has unread bytes
   kClosed,  ///< the peer has closed its sending side
   kFailed,  ///< reset, timed out, or closed on this side
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -14,13 +14,13 @@
 #include "dragonflyglade/decision/refusal.h"
 #include "dragonflyglade/decision/retry_budget.h"
 #include "dragonflyglade/gateway/awaitable.h"
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_channel.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/gateway_settings.h"
 #include "dragonflyglade/gateway/model_demand.h"
-#include "dragonflyglade/gateway/quota_desk.h"
+#include "dragonflyglade/gateway/quota_admission.h"
 #include "dragonflyglade/gateway/target_exchange.h"
 #include "dragonflyglade/gateway/tasks.h"
 #include "dragonflyglade/gateway/wire_format.h"
@@ -37,12 +37,12 @@
  public:
   Pipeline(boost::asio::io_context& context, const GatewaySettings& settings,
            const WireFormat& wire, FleetState& fleet, ModelDemand& demand,
-           QuotaDesk& quotas, FleetChannel& channel, Metrics& metrics,
+           QuotaAdmission& quotas, FleetChannel& channel, Metrics& metrics,
            EventLog& log, Tasks& tasks, Clock clock);
 
   /// Serves the request and responds on the caller's connection.
   boost::asio::awaitable<void> Serve(CallerRequest request,
-                                     CallerLink& connection);
+                                     CallerConnection& connection);
 
   /// Announces that the process ends at this time at the latest. After a short
   /// grace period the pipeline refuses requests whose timeout ends later.
@@ -77,9 +77,9 @@
   boost::asio::awaitable<NextStep> RelayStream(RequestJob& job,
                                                TargetState& target,
                                                TargetExchange& exchange,
-                                               const AnswerHead& head);
+                                               const ResponseHead& head);
   boost::asio::awaitable<bool> RelayEvents(RequestJob& job,
-                                           const AnswerHead& head,
+                                           const ResponseHead& head,
                                            std::string_view events, bool ended);
   boost::asio::awaitable<NextStep> AfterNotSent(RequestJob& job,
                                                 TargetState& target,
@@ -105,7 +105,7 @@
   const WireFormat& wire;
   FleetState& fleet;
   ModelDemand& demand;
-  QuotaDesk& quotas;
+  QuotaAdmission& quotas;
   FleetChannel& channel;
   Metrics& metrics;
   EventLog& log;
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -74,7 +74,7 @@
 asio::awaitable<Pipeline::NextStep> Pipeline::Attempt(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const Instant now = this->clock.Now();
-  TargetStamp stamp;
+  ForwardingContext stamp;
   stamp.target = target->Record().id;
   stamp.time_left = job.deadline - now;
   stamp.resume_after = job.events.LastId().empty()
@@ -82,16 +82,17 @@
                            : std::optional<std::string>(job.events.LastId());
   if (job.workspace != nullptr) stamp.workspace = job.workspace->name;
   if (job.IsEngineWork()) {
-    stamp.priority = UrgencyOf(
+    stamp.priority = EngineRequestPriority(
         job.route->priority,
         job.workspace == nullptr ? std::nullopt : job.workspace->priority);
   }
   job.target = stamp.target;
   job.tried.insert(stamp.target);
-  HttpCallText call{job.request.method, job.request.path_and_query,
-                    this->wire.target_fields(job.request, stamp), ""};
+  OutgoingHttpRequest call{job.request.method, job.request.path_and_query,
+                           this->wire.target_request_fields(job.request, stamp),
+                           ""};
   call.body = std::move(job.request.body);
-  std::string head = RequestText(call, job.request.host);
+  std::string head = RequestHeadText(call, job.request.host);
   job.request.body = std::move(call.body);
   const std::string address = target->Record().address;
   TargetExchange exchange(this->context, target->connections, this->wire,
@@ -99,7 +100,7 @@
   job.exchange = &exchange;
   InFlightGuard guard(*target, job.UnreadTokens(), job.Resident(), now);
   if (job.IsEngineWork()) {
-    this->channel.NoteSent(job.target, job.UnreadTokens());
+    this->channel.BroadcastSentPrompt(job.target, job.UnreadTokens());
   }
   ExchangeOutcome outcome = co_await exchange.Run(
       address, job.request.id, std::move(head), job.request.body,
@@ -135,9 +136,9 @@
   const Instant now = this->clock.Now();
   if (job.deadline - now < kMinAttemptTime) return false;
   if (job.attempts >= kMaxAttempts) return false;
-  if (may_have_run && !job.MayRunAgain()) return false;
+  if (may_have_run && !job.MayReexecute()) return false;
   if (may_have_run && job.executions >= job.route->max_targets) return false;
-  if (this->RetryBudgetOf(job.service->name).TakeRetry()) return true;
+  if (this->RetryBudgetOf(job.service->name).TryConsumeRetry()) return true;
   this->metrics.Count("retries_refused");
   this->log.Write("retry", "no retry budget left",
                   {{"id", job.request.id}, {"service", job.service->name}});
@@ -171,7 +172,7 @@
       {{"id", job.request.id}, {"target", job.target}, {"why", not_sent.why}});
   job.not_sent += 1;
   job.unreachable.insert(job.target);
-  if (not_sent.refused) this->channel.ReportRefusing(job.target);
+  if (not_sent.refused) this->channel.ReportConnectionRefused(job.target);
   const bool time_left = job.deadline - this->clock.Now() >= kMinAttemptTime;
   if (time_left && job.not_sent < kMaxAttempts) co_return NextStep::kTryAnother;
   Refusal refusal =
@@ -196,9 +197,9 @@
   if (!declined.head.wrong_target) {
     target.MarkFull(now);
   } else if (job.IsEngineWork()) {
-    target.MarkAbsent(use.model, use.adapter, now);
+    target.MarkNotResident(use.model, use.adapter, now);
     const ModelName name{job.service->name, use.model, use.adapter};
-    this->channel.ReportLack(job.target, name);
+    this->channel.ReportMissingModel(job.target, name);
   } else {
     target.RecordResult(TargetResult::kUnreachable, now);
   }
@@ -222,7 +223,7 @@
     this->RecordOutcome(job, "caller left", 0);
     co_return NextStep::kDone;
   }
-  target.RecordResult(TargetResult::kFault, this->clock.Now());
+  target.RecordResult(TargetResult::kFailure, this->clock.Now());
   this->log.Write("request", "lost",
                   {{"id", job.request.id},
                    {"target", job.target},
@@ -247,7 +248,7 @@
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterResponse(
     RequestJob& job, TargetState& target, const WholeAnswer& answer) {
   const Instant now = this->clock.Now();
-  const AnswerHead& head = answer.head;
+  const ResponseHead& head = answer.head;
   if (head.load.has_value()) target.SetLoadReport(*head.load, now);
   const bool invalid =
       head.encoded || (IsSuccess(head.status) &&
@@ -261,7 +262,7 @@
     co_return co_await this->AfterLost(job, target, lost);
   }
   const bool failed = head.status >= 500;
-  target.RecordResult(failed ? TargetResult::kFault : TargetResult::kSound,
+  target.RecordResult(failed ? TargetResult::kFailure : TargetResult::kSuccess,
                       now);
   job.first_output = now;
   if (failed && this->MayRetry(job, true)) {
@@ -275,15 +276,15 @@
     this->AbortStream(job);
     co_return NextStep::kDone;
   }
-  const bool written = co_await job.connection.WriteAnswer(
-      head.status, head.passed_on, answer.body);
+  const bool written = co_await job.connection.WriteResponse(
+      head.status, head.forwarded_fields, answer.body);
   this->RecordOutcome(job, written ? "answered" : "caller left", head.status);
   co_return NextStep::kDone;
 }
 
 asio::awaitable<Pipeline::NextStep> Pipeline::RelayStream(
     RequestJob& job, TargetState& target, TargetExchange& exchange,
-    const AnswerHead& head) {
+    const ResponseHead& head) {
   if (head.load.has_value()) {
     target.SetLoadReport(*head.load, this->clock.Now());
   }
@@ -292,11 +293,11 @@
     co_return co_await this->AfterLost(job, target, lost);
   }
   while (true) {
-    const StreamPiece result = co_await exchange.Read();
+    const StreamReadResult result = co_await exchange.Read();
     if (const auto* lost = std::get_if<Lost>(&result)) {
       co_return co_await this->AfterLost(job, target, *lost);
     }
-    const bool ended = std::holds_alternative<StreamEnded>(result);
+    const bool ended = std::holds_alternative<EndOfStream>(result);
     const std::string_view events =
         ended ? std::string_view()
               : job.events.Add(std::get<StreamBytes>(result).bytes);
@@ -312,14 +313,14 @@
       co_return NextStep::kDone;
     }
     if (!ended) continue;
-    target.RecordResult(TargetResult::kSound, this->clock.Now());
+    target.RecordResult(TargetResult::kSuccess, this->clock.Now());
     this->RecordOutcome(job, "answered", head.status);
     co_return NextStep::kDone;
   }
 }
 
 asio::awaitable<bool> Pipeline::RelayEvents(RequestJob& job,
-                                            const AnswerHead& head,
+                                            const ResponseHead& head,
                                             std::string_view events,
                                             bool ended) {
   if (!events.empty() && !job.first_output.has_value()) {
@@ -327,8 +328,8 @@
   }
   bool written = !job.connection.IsDisconnected();
   if (!job.connection.StreamStarted() && (!events.empty() || ended)) {
-    written = co_await job.connection.BeginStream(head.status, head.passed_on,
-                                                  events);
+    written = co_await job.connection.BeginStream(
+        head.status, head.forwarded_fields, events);
   } else if (!events.empty()) {
     written = co_await job.connection.WritePart(events);
   }
--- a/dragonflyglade/gateway/request_job.h
+++ b/dragonflyglade/gateway/request_job.h
@@ -12,7 +12,7 @@
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/refusal.h"
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 #include "dragonflyglade/gateway/event_splitter.h"
 #include "dragonflyglade/gateway/messages.h"
 #include "dragonflyglade/gateway/target_exchange.h"
@@ -23,7 +23,7 @@
 /// The state of one request in the pipeline.
 struct RequestJob {
   CallerRequest request;
-  CallerLink& connection;
+  CallerConnection& connection;
   std::shared_ptr<const GatewayConfig> config;
   const Route* route = nullptr;
   const WorkspaceSpec* workspace = nullptr;
@@ -40,20 +40,20 @@
   TargetExchange* exchange = nullptr;
   EventSplitter events;
   std::optional<Instant> first_output;
-  absl::Duration expected_wait;   ///< at the chosen target
+  absl::Duration expected_first_output_delay;  ///< at the chosen target
   absl::Duration admission_time;  ///< time until the quota decision
   absl::Duration target_wait;     ///< time spent waiting for a target
-  absl::Duration pacing_time;     ///< time spent in pacing, see PacingHold
+  absl::Duration pacing_time;     ///< time spent in pacing, see PacingDelay
   std::size_t candidates = 0;     ///< targets considered in the last choice
 
-  RequestJob(CallerRequest request, CallerLink& connection)
+  RequestJob(CallerRequest request, CallerConnection& connection)
       : request(std::move(request)), connection(connection) {}
 
   bool IsEngineWork() const { return !this->request.use.model.empty(); }
   /// Whether the request may be repeated at another target after a target may
   /// have executed it.
-  bool MayRunAgain() const {
-    return this->route->MayRunAgain() || this->route->resumable;
+  bool MayReexecute() const {
+    return this->route->MayReexecute() || this->route->resumable;
   }
   /// Tokens of the prompt prefix that other requests share.
   double SharedTokens() const;
--- a/dragonflyglade/gateway/step_timer.cc
+++ b/dragonflyglade/gateway/step_timer.cc
@@ -15,10 +15,10 @@
 }  // namespace
 
 StepTimer::StepTimer(boost::asio::io_context& context, Clock clock,
-                     std::function<bool()> bytes_wait)
+                     std::function<bool()> has_unread_bytes)
     : timer(context),
       clock(std::move(clock)),
-      bytes_wait(std::move(bytes_wait)) {}
+      has_unread_bytes(std::move(has_unread_bytes)) {}
 
 StepTimer::~StepTimer() { *this->step += 1; }
 
@@ -57,7 +57,8 @@
 bool StepTimer::MustCheckAgain(ExpiryChecks& checks) const {
   const Instant now = this->clock.Now();
   if (!checks.first.has_value()) checks.first = now;
-  checks.without_bytes = this->bytes_wait() ? 0 : checks.without_bytes + 1;
+  checks.without_bytes =
+      this->has_unread_bytes() ? 0 : checks.without_bytes + 1;
   if (checks.without_bytes >= kChecksWithoutBytes) return false;
   return now - *checks.first < kMaxCheckTime;
 }
--- a/dragonflyglade/gateway/step_timer.h
+++ b/dragonflyglade/gateway/step_timer.h
@@ -24,9 +24,9 @@
   /// @param late time since the end of the step's time
   using Expired = std::function<void(absl::Duration late)>;
 
-  /// @param bytes_wait returns whether the connection has unread bytes
+  /// @param has_unread_bytes returns whether the connection has unread bytes
   StepTimer(boost::asio::io_context& context, Clock clock,
-            std::function<bool()> bytes_wait);
+            std::function<bool()> has_unread_bytes);
   ~StepTimer();
   StepTimer(const StepTimer&) = delete;
   StepTimer& operator=(const StepTimer&) = delete;
@@ -50,7 +50,7 @@
 
   boost::asio::steady_timer timer;
   const Clock clock;
-  const std::function<bool()> bytes_wait;
+  const std::function<bool()> has_unread_bytes;
   /// Number of the current step; shared with the handlers, which may outlive
   /// the timer.
   std::shared_ptr<std::int64_t> step = std::make_shared<std::int64_t>(0);
--- a/dragonflyglade/gateway/target_connection.cc
+++ b/dragonflyglade/gateway/target_connection.cc
@@ -22,7 +22,7 @@
 // unread end means that the target closed it. Neither connection may be reused.
 bool HasNoData(TargetConnection& connection) {
   if (connection.buffer.size() > 0) return false;
-  return PeekSocket(connection.socket) == SocketState::kQuiet;
+  return PeekSocket(connection.socket) == SocketState::kNoData;
 }
 
 }  // namespace
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -172,7 +172,7 @@
       this->connection->socket, this->connection->buffer, *this->parser,
       asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return this->LostAfter(error);
-  this->head = this->wire.decode_answer(ConvertHead<false>(
+  this->head = this->wire.decode_response_head(ConvertHead<false>(
       this->parser->get().base(), this->parser->keep_alive()));
   co_return std::nullopt;
 }
@@ -249,10 +249,10 @@
   co_return WholeAnswer{this->head, std::move(response_body)};
 }
 
-asio::awaitable<StreamPiece> TargetExchange::Read() {
+asio::awaitable<StreamReadResult> TargetExchange::Read() {
   if (this->parser->is_done()) {
     this->Finish();
-    co_return StreamEnded{};
+    co_return EndOfStream{};
   }
   this->read_buffer.resize(kReadBytes);
   auto& buffer = this->parser->get().body();
--- a/dragonflyglade/gateway/target_exchange.h
+++ b/dragonflyglade/gateway/target_exchange.h
@@ -26,7 +26,7 @@
 };
 /// The target states that it did not execute the request.
 struct Declined {
-  AnswerHead head;
+  ResponseHead head;
 };
 /// The request was sent, but no valid response arrived: its outcome is unknown,
 /// the target may have executed it.
@@ -36,12 +36,12 @@
 };
 /// A complete response to this request, of the length that it states.
 struct WholeAnswer {
-  AnswerHead head;
+  ResponseHead head;
   std::string body;
 };
 /// The head of an event stream; Read returns the body.
 struct StreamHead {
-  AnswerHead head;
+  ResponseHead head;
 };
 using ExchangeOutcome =
     std::variant<NotSent, Declined, Lost, WholeAnswer, StreamHead>;
@@ -51,8 +51,8 @@
   std::string_view bytes;  ///< valid until the next read
 };
 /// The stream ended completely, by its framing.
-struct StreamEnded {};
-using StreamPiece = std::variant<StreamBytes, StreamEnded, Lost>;
+struct EndOfStream {};
+using StreamReadResult = std::variant<StreamBytes, EndOfStream, Lost>;
 
 /// Exchanges one request and its response with one target on one connection.
 /// Runs on one event loop.
@@ -81,12 +81,12 @@
   /// Lets Run continue past its deadline while the response's body arrives, as
   /// long as the gap between two reads is no longer than this timeout. To be
   /// called before Run.
-  void WaitWhileBytesCome(absl::Duration timeout) {
+  void SetStallTimeout(absl::Duration timeout) {
     this->stall_timeout = timeout;
   }
 
   /// Reads the next bytes of a stream, after Run returned a StreamHead.
-  boost::asio::awaitable<StreamPiece> Read();
+  boost::asio::awaitable<StreamReadResult> Read();
 
   /// Closes the connection, which ends a running exchange.
   /// @param why reason, reported in the outcome
@@ -122,7 +122,7 @@
   std::shared_ptr<RequestWrite> write;
   std::optional<Parser> parser;
   std::string read_buffer;
-  AnswerHead head;
+  ResponseHead head;
   std::string aborted_by;  ///< empty: not aborted
   Instant give_up;
   std::optional<absl::Duration> stall_timeout;
--- a/dragonflyglade/gateway/target_state.h
+++ b/dragonflyglade/gateway/target_state.h
@@ -19,8 +19,8 @@
 
 /// The result of a request, as evidence of the health of its target.
 enum class TargetResult {
-  kSound,  ///< the target responded correctly
-  kFault,  ///< the target failed, lost the connection or returned an error
+  kSuccess,  ///< the target responded correctly
+  kFailure,  ///< the target failed, lost the connection or returned an error
   kUnreachable,
 };
 
@@ -45,18 +45,18 @@
 
   /// Records the target's own statement that the model or adapter is not
   /// resident. For a short time this overrides the target's record.
-  void MarkAbsent(std::string_view model, std::string_view adapter,
-                  Instant now);
+  void MarkNotResident(std::string_view model, std::string_view adapter,
+                       Instant now);
 
   /// Confirms that the residency which the leader reported last is still valid.
   /// @return false if none was reported since the target's process started
-  bool ConfirmPlaced(Instant now);
+  bool RefreshPlacement(Instant now);
   /// Stores the residency that the leader reported. While it is recent it
   /// overrides the target's record, which lags by a heartbeat.
   /// @param adapters the resident adapters, each as ResidentKey
   /// @param closing_models models that are about to be unloaded
-  void SetPlaced(std::set<std::string> adapters,
-                 std::set<std::string> closing_models, Instant now);
+  void SetPlacement(std::set<std::string> adapters,
+                    std::set<std::string> closing_models, Instant now);
 
   /// Counts a request as in flight at the target.
   /// @param prompt_tokens tokens that the target is expected to process
@@ -80,15 +80,15 @@
   /// latest summary.
   /// @param requests their requests in flight
   /// @param unread prompt tokens that the target has yet to process for them
-  void SetOthers(double requests, double unread, Instant now);
+  void SetOtherInstancesLoad(double requests, double unread, Instant now);
   /// Adds prompt tokens that another instance has just sent to the target.
-  void OthersSent(double prompt_tokens, Instant now);
+  void AddSentByOthers(double prompt_tokens, Instant now);
 
   /// Estimate of the requests in flight at the target, of all instances.
   double EstimatedRequests(Instant now) const;
   /// Estimate of the prompt tokens that the target has yet to process.
   double EstimatedUnreadTokens(Instant now) const;
-  /// Prompt tokens sent in excess of the pace; see PacingHold.
+  /// Prompt tokens sent in excess of the pace; see PacingDelay.
   double TokensAheadOfPace(Instant now) const { return this->pace.Level(now); }
 
   /// Records that the target declined a request because it was full.
@@ -98,9 +98,9 @@
   void RecordResult(TargetResult result, Instant now);
   /// Whether requests should go elsewhere for now: the target is full or was
   /// unreachable.
-  bool Avoided(Instant now) const { return now < this->avoid_until; }
+  bool IsAvoided(Instant now) const { return now < this->avoid_until; }
   /// Moving average of the share of requests that failed, from 0 to 1.
-  double FaultShare() const { return this->fault_share; }
+  double FaultShare() const { return this->failure_rate; }
 
   /// Set when the target's record left the store while the target may still be
   /// running.
@@ -123,9 +123,10 @@
   double others_requests = 0;
   double others_unread = 0;
   std::optional<Instant> others_at;
-  LeakyBucket others_sent{kReadPerMs};
-  LeakyBucket pace{kPacedPerMs};  ///< prompt tokens that all instances send
-  double fault_share = 0;
+  LeakyBucket others_sent{kPrefillTokensPerMs};
+  LeakyBucket pace{
+      kPacedPrefillTokensPerMs};  ///< prompt tokens that all instances send
+  double failure_rate = 0;
   int unreachable_in_row = 0;
   Instant avoid_until;
 };
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 #include "dragonflyglade/gateway/signal.h"
 
 namespace dragonflyglade::gateway {
@@ -21,7 +21,7 @@
                           const std::exception_ptr& exception) {
   this->metrics.Count("task_failures", fmt::format("task=\"{}\"", name));
   this->log.Write("task", "failed",
-                  {{"task", name}, {"why", WhatOf(exception)}});
+                  {{"task", name}, {"why", ExceptionText(exception)}});
 }
 
 void Tasks::Spawn(std::string_view name, boost::asio::awaitable<void> task) {
@@ -31,7 +31,7 @@
                         });
 }
 
-void Tasks::KeepRunning(std::string_view name, TaskFactory make) {
+void Tasks::SpawnWithRestart(std::string_view name, TaskFactory make) {
   this->Spawn(name, this->RunWithRestart(name, std::move(make)));
 }
 
@@ -41,7 +41,7 @@
 boost::asio::awaitable<void> Tasks::RunWithRestart(std::string_view name,
                                                    TaskFactory make) {
   while (true) {
-    const std::exception_ptr failure = co_await Caught(make());
+    const std::exception_ptr failure = co_await CatchException(make());
     if (!failure) co_return;
     this->ReportFailure(name, failure);
     co_await Sleep(this->context, kRestartDelay);
--- a/dragonflyglade/gateway/tasks.h
+++ b/dragonflyglade/gateway/tasks.h
@@ -30,7 +30,7 @@
   /// an exception.
   /// @param name as for Spawn
   /// @param make makes the task for each start
-  void KeepRunning(std::string_view name, TaskFactory make);
+  void SpawnWithRestart(std::string_view name, TaskFactory make);
 
   /// Runs the event loop until it is stopped. An exception from a handler is
   /// reported, and the loop goes on.
--- a/dragonflyglade/net/http_call.h
+++ b/dragonflyglade/net/http_call.h
@@ -26,7 +26,7 @@
 };
 
 /// An answer's beginning.
-struct HttpHead {
+struct HttpResponseHead {
   int status = 0;
   std::string content_type;
   std::string request_id;   ///< the echoed X-Request-Id; may be empty
@@ -34,8 +34,8 @@
 };
 
 /// A whole answer.
-struct HttpReply {
-  HttpHead head;
+struct HttpResponse {
+  HttpResponseHead head;
   std::string body;
 };
 
@@ -56,7 +56,7 @@
 class HttpCall {
  public:
   /// Called once the answer's head is there; false stops the call.
-  using OnHead = std::function<bool(const HttpHead&)>;
+  using OnHead = std::function<bool(const HttpResponseHead&)>;
   /// Called for each part of the body; false stops the call.
   using OnData = std::function<bool(std::string_view)>;
 
@@ -70,7 +70,7 @@
                 const OnData& on_data);
 
   /// Sends the request and collects the answer. Call once.
-  Result<HttpReply> Run(const HttpRequest& request);
+  Result<HttpResponse> Run(const HttpRequest& request);
 
   /// Ends the call from another thread.
   void Cancel();
--- a/dragonflyglade/net/http_server.h
+++ b/dragonflyglade/net/http_server.h
@@ -21,7 +21,7 @@
   ~HttpServer();
 
   /// The library's server, to set routes on before Start.
-  httplib::Server& Library();
+  httplib::Server& HttplibServer();
 
   /// Binds and begins to answer.
   /// @return the port, which the system chose if it was 0
--- a/dragonflyglade/net/worker.h
+++ b/dragonflyglade/net/periodic_worker.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_NET_WORKER_H_
-#define DRAGONFLYGLADE_NET_WORKER_H_
+#ifndef DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
+#define DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
 
 #include <functional>
 #include <thread>
@@ -11,13 +11,13 @@
 
 /// A thread that does a job again and again, with a pause after each. A job
 /// that throws is logged, and done again after a second.
-class Worker {
+class PeriodicWorker {
  public:
   /// Does the job once; returns the pause until the next time.
   using Job = std::function<absl::Duration()>;
 
-  explicit Worker(Job job);
-  ~Worker();
+  explicit PeriodicWorker(Job job);
+  ~PeriodicWorker();
 
   void Start();
 
@@ -43,4 +43,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_NET_WORKER_H_
+#endif  // DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
--- a/dragonflyglade/net/socket_options.cc
+++ b/dragonflyglade/net/socket_options.cc
@@ -22,7 +22,7 @@
 // Failure: a device between the two ends forgets the connection; both ends
 // see it open, and a write or a read waits for good. Keepalive probes find it
 // while idle, and the user timeout finds it while data is unacknowledged.
-void WatchForSilence(int socket) {
+void EnableDeadPeerDetection(int socket) {
   Set(socket, SOL_SOCKET, SO_KEEPALIVE, kOn);
   Set(socket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
   Set(socket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds);
@@ -33,9 +33,9 @@
 
 // The HTTP library would share the port between processes, and a second
 // instance started by mistake would take half of the connections unnoticed.
-void ListenAlone(int socket) {
+void ConfigureListenSocket(int socket) {
   Set(socket, SOL_SOCKET, SO_REUSEADDR, kOn);
-  WatchForSilence(socket);
+  EnableDeadPeerDetection(socket);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/net/socket_options.h
+++ b/dragonflyglade/net/socket_options.h
@@ -4,11 +4,11 @@
 namespace dragonflyglade {
 
 /// Makes the kernel notice a connection that went silent for good.
-void WatchForSilence(int socket);
+void EnableDeadPeerDetection(int socket);
 
 /// Options of a listening socket: its port is never shared with another
 /// process, and is free again right after a restart.
-void ListenAlone(int socket);
+void ConfigureListenSocket(int socket);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/net/text.h
+++ b/dragonflyglade/net/text.h
@@ -9,15 +9,15 @@
 namespace dragonflyglade {
 
 /// Abseil's views, which are a type of their own in Debian 12, as ours.
-inline std::string_view View(absl::string_view text) {
+inline std::string_view ToStdView(absl::string_view text) {
   return {text.data(), text.size()};
 }
-inline absl::string_view AbslView(std::string_view text) {
+inline absl::string_view ToAbslView(std::string_view text) {
   return {text.data(), text.size()};
 }
 
 /// A copy of a view of Abseil's.
-inline std::string Copy(absl::string_view text) {
+inline std::string ToStdString(absl::string_view text) {
   return {text.data(), text.size()};
 }
 
--- a/dragonflyglade/operator/caller_key.cc
+++ b/dragonflyglade/operator/caller_key.cc
@@ -77,10 +77,10 @@
 // guess a digest byte by byte, and one that comes sooner for an unknown id
 // tells which ids exist. The whole digest is always computed and compared,
 // for an unknown id against a digest that nothing has.
-std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
-                                                   std::string_view text) {
+std::variant<KeyRecord, KeyError> FindKeyRecord(const Catalog& catalog,
+                                                std::string_view text) {
   const Result<CallerKey> key = ParseCallerKey(text);
-  if (!key.Ok()) return KeyProblem::kMalformed;
+  if (!key.Ok()) return KeyError::kMalformed;
   const KeyRecord* record = FindRecord(catalog.keys, key.Value().id);
   static const std::string kNobody(std::size_t{2} * SHA256_DIGEST_LENGTH, '0');
   const std::string salt = record == nullptr ? kNobody : record->salt;
@@ -89,8 +89,8 @@
   const bool same =
       expected.size() == digest.size() &&
       CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
-  if (record == nullptr || !same) return KeyProblem::kUnknown;
-  if (record->withdrawn) return KeyProblem::kWithdrawn;
+  if (record == nullptr || !same) return KeyError::kUnknown;
+  if (record->withdrawn) return KeyError::kWithdrawn;
   return *record;
 }
 
--- a/dragonflyglade/operator/caller_key.h
+++ b/dragonflyglade/operator/caller_key.h
@@ -37,11 +37,11 @@
 std::string RandomHex(std::size_t bytes);
 
 /// Why a key does not let a request in.
-enum class KeyProblem { kMalformed, kUnknown, kWithdrawn };
+enum class KeyError { kMalformed, kUnknown, kWithdrawn };
 
 /// Finds the record that a shown key belongs to.
-std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
-                                                   std::string_view text);
+std::variant<KeyRecord, KeyError> FindKeyRecord(const Catalog& catalog,
+                                                std::string_view text);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/operator/commands.cc
+++ b/dragonflyglade/operator/commands.cc
@@ -311,7 +311,7 @@
     fmt::print(output.out, "{}", StatusText(status.Value()));
   } catch (const json::exception& error) {
     return Failed(output,
-                  MakeFailure(Errc::kBadAnswer, "show status",
+                  MakeFailure(Errc::kMalformedResponse, "show status",
                               instance.Value().ToString(), error.what()));
   }
   return kExitDone;
--- a/dragonflyglade/operator/config_editor.cc
+++ b/dragonflyglade/operator/config_editor.cc
@@ -122,14 +122,14 @@
 // and is told of a conflict with himself. The audit segment has a key of its
 // own and is written in the same transaction, so its presence tells whether
 // the change took effect.
-Result<std::int64_t> ConfigEditor::Commit(const std::vector<KvExpect>& expects,
-                                          std::vector<KvWrite> writes,
-                                          const std::string& audit_key) {
-  const Result<KvTxnReply> reply = this->kv.Txn(expects, writes);
+Result<std::int64_t> ConfigEditor::Commit(
+    const std::vector<KvCondition>& expects, std::vector<KvWrite> writes,
+    const std::string& audit_key) {
+  const Result<KvTxnResult> reply = this->kv.Txn(expects, writes);
   if (reply.Ok()) {
     if (reply.Value().succeeded) return reply.Value().revision;
     std::vector<std::string> changed;
-    for (const KvExpect& expect : expects) {
+    for (const KvCondition& expect : expects) {
       const auto& found = reply.Value().found;
       const auto entry =
           std::find_if(found.begin(), found.end(),
@@ -159,7 +159,7 @@
 
 Result<std::int64_t> ConfigEditor::Apply(const std::vector<RecordDraft>& drafts,
                                          std::string_view action) {
-  std::vector<KvExpect> expects;
+  std::vector<KvCondition> expects;
   std::vector<KvWrite> writes;
   for (const RecordDraft& draft : drafts) {
     const std::string key = draft.key.ToString();
@@ -169,7 +169,7 @@
       if (!current.Ok()) return current;
       expected = current.Value();
     }
-    expects.push_back(KvExpect{key, expected});
+    expects.push_back(KvCondition{key, expected});
     writes.push_back(
         KvWrite{key, draft.value.dump(), 0, draft.value.is_null()});
   }
--- a/dragonflyglade/operator/config_editor.h
+++ b/dragonflyglade/operator/config_editor.h
@@ -65,7 +65,7 @@
 
  private:
   Result<std::int64_t> CurrentRevision(const std::string& key) const;
-  Result<std::int64_t> Commit(const std::vector<KvExpect>& expects,
+  Result<std::int64_t> Commit(const std::vector<KvCondition>& expects,
                               std::vector<KvWrite> writes,
                               const std::string& audit_key);
   std::string AuditSegment(const std::vector<RecordDraft>& drafts,
--- a/dragonflyglade/operator/status_server.h
+++ b/dragonflyglade/operator/status_server.h
@@ -27,7 +27,7 @@
   std::unique_ptr<Impl> impl;
 };
 
-/// Asks an instance for its status. Errors: kUnavailable, kBadAnswer.
+/// Asks an instance for its status. Errors: kUnavailable, kMalformedResponse.
 Result<nlohmann::json> FetchStatus(const Endpoint& instance);
 
 /// The status in lines for people.
--- a/dragonflyglade/peer/heartbeat_loop.cc
+++ b/dragonflyglade/peer/heartbeat_loop.cc
@@ -20,9 +20,9 @@
       worker([this] { return this->Round(); }),
       news([this] {
         if (this->has_news.exchange(false)) {
-          for (const MemberStatement& member :
-               this->membership.RandomLive(kNewsFanout, "")) {
-            this->ExchangeWith(member);
+          for (const MemberStatus& member :
+               this->membership.SampleAlive(kNewsFanout, "")) {
+            this->ExchangeHeartbeats(member);
           }
         }
         return absl::InfiniteDuration();
@@ -38,12 +38,12 @@
   this->news.Stop();
 }
 
-void HeartbeatLoop::SpreadNews() {
+void HeartbeatLoop::PropagateUpdates() {
   this->has_news = true;
   this->news.Wake();
 }
 
-bool HeartbeatLoop::ExchangeWith(const MemberStatement& member) {
+bool HeartbeatLoop::ExchangeHeartbeats(const MemberStatus& member) {
   const Instant asked_at = this->clock.Now();
   const Result<wire::Heartbeat> reply = this->peers.Exchange(
       PeerEndpoint(member), this->heartbeats.Make(member.info.name));
@@ -55,8 +55,8 @@
 }
 
 bool HeartbeatLoop::AnswersThroughOthers(std::string_view name) {
-  for (const MemberStatement& helper :
-       this->membership.RandomLive(kHelpers, name)) {
+  for (const MemberStatus& helper :
+       this->membership.SampleAlive(kHelpers, name)) {
     const Result<bool> answer = this->peers.Probe(PeerEndpoint(helper), name);
     if (answer.Ok() && answer.Value()) return true;
   }
@@ -66,14 +66,14 @@
 absl::Duration HeartbeatLoop::Round() {
   this->membership.Tick();
   const absl::Duration period = this->membership.Period();
-  const std::optional<MemberStatement> next = this->membership.NextToProbe();
+  const std::optional<MemberStatus> next = this->membership.NextToProbe();
   if (!next.has_value()) return period;
-  if (this->ExchangeWith(*next)) return period;
+  if (this->ExchangeHeartbeats(*next)) return period;
   if (this->AnswersThroughOthers(next->info.name)) return period;
   if (next->state == MemberState::kAlive) {
     LogFor(LogPart::kPeer).info("No answer from {}.", next->info.name);
   }
-  this->membership.Missed(next->info.name);
+  this->membership.ReportProbeFailure(next->info.name);
   return period;
 }
 
--- a/dragonflyglade/peer/heartbeat_loop.h
+++ b/dragonflyglade/peer/heartbeat_loop.h
@@ -5,7 +5,7 @@
 
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/peer/heartbeat.h"
 #include "dragonflyglade/peer/peer_client.h"
 
@@ -21,11 +21,11 @@
   void Stop();
 
   /// Exchanges heartbeats with an instance now. False if it did not answer.
-  bool ExchangeWith(const MemberStatement& member);
+  bool ExchangeHeartbeats(const MemberStatus& member);
 
   /// Sends heartbeats to a few instances at once, so that news spreads
   /// without waiting for the periods.
-  void SpreadNews();
+  void PropagateUpdates();
 
  private:
   absl::Duration Round();
@@ -35,8 +35,8 @@
   HeartbeatExchange& heartbeats;
   PeerClient& peers;
   const Clock clock;
-  Worker worker;
-  Worker news;
+  PeriodicWorker worker;
+  PeriodicWorker news;
   std::atomic<bool> has_news{false};
 };
 
--- a/dragonflyglade/peer/peer_client.h
+++ b/dragonflyglade/peer/peer_client.h
@@ -25,14 +25,14 @@
   absl::Duration call_timeout = absl::Milliseconds(300);
   absl::Duration borrow_timeout = absl::Milliseconds(50);
   /// Connections idle for longer are not used again.
-  absl::Duration idle_limit = absl::Seconds(5);
-  std::size_t idle_per_peer = 4;
+  absl::Duration max_idle_time = absl::Seconds(5);
+  std::size_t max_idle_per_peer = 4;
 };
 
 /// Calls to other instances, by Thrift's compact protocol in frames.
 ///
 /// Thread-safe. Errors: kConnectFailed, kTimeout, kConnectionLost,
-/// kBadAnswer.
+/// kMalformedResponse.
 class PeerClient {
  public:
   PeerClient(PeerOptions options, Clock clock);
--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -26,8 +26,8 @@
 
 ClaimStore::~ClaimStore() { this->worker.Stop(); }
 
-std::string ClaimStore::KeyFor(std::string_view workspace,
-                               std::string_view idempotency_key) {
+std::string ClaimStore::ClaimKeyFor(std::string_view workspace,
+                                    std::string_view idempotency_key) {
   return fmt::format("claim/{}/{}", workspace, Sha256Hex(idempotency_key));
 }
 
@@ -48,12 +48,13 @@
   return this->lease;
 }
 
-ClaimWrite ClaimStore::Create(const std::string& key, const Claim& claim) {
+ClaimWriteResult ClaimStore::Create(const std::string& key,
+                                    const Claim& claim) {
   const Result<std::int64_t> lease = this->Lease();
   if (!lease.Ok()) return ClaimNotWritten{};
-  const KvExpect absent{key, 0};
-  const KvWrite write{key, EncodeClaim(claim), lease.Value(), false};
-  const Result<KvTxnReply> reply = this->kv.Txn({absent}, {write});
+  const KvCondition absent{key, 0};
+  const KvWrite write{key, SerializeClaim(claim), lease.Value(), false};
+  const Result<KvTxnResult> reply = this->kv.Txn({absent}, {write});
   if (!reply.Ok()) {
     if (reply.Error().code == Errc::kOutcomeUnknown) {
       return ClaimOutcomeUnknown{};
@@ -73,12 +74,12 @@
   // the last one still lives for as long as claims are kept.
   const Result<std::int64_t> granted = this->Lease();
   const std::int64_t lease = granted.Ok() ? granted.Value() : this->LastLease();
-  KvWrite write{key, EncodeClaim(claim), lease, false};
-  this->Enqueue(Ending{KvExpect{key, revision}, std::move(write)});
+  KvWrite write{key, SerializeClaim(claim), lease, false};
+  this->Enqueue(Ending{KvCondition{key, revision}, std::move(write)});
 }
 
 void ClaimStore::Release(const std::string& key, std::int64_t revision) {
-  this->Enqueue(Ending{KvExpect{key, revision}, KvWrite{key, "", 0, true}});
+  this->Enqueue(Ending{KvCondition{key, revision}, KvWrite{key, "", 0, true}});
 }
 
 void ClaimStore::Enqueue(Ending ending) {
@@ -91,7 +92,7 @@
 }
 
 bool ClaimStore::WriteOne(const Ending& ending) {
-  const Result<KvTxnReply> reply =
+  const Result<KvTxnResult> reply =
       this->kv.Txn({ending.expect}, {ending.write});
   // An answered comparison is final either way: if it failed, an earlier
   // attempt whose answer was lost did the write.
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -10,7 +10,7 @@
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/claim.h"
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/store/kv_client.h"
 
 namespace dragonflyglade {
@@ -26,11 +26,11 @@
   ~ClaimStore();
 
   /// "claim/<workspace>/<hash of the idempotency key>".
-  static std::string KeyFor(std::string_view workspace,
-                            std::string_view idempotency_key);
+  static std::string ClaimKeyFor(std::string_view workspace,
+                                 std::string_view idempotency_key);
 
   /// Tries once to create a claim.
-  ClaimWrite Create(const std::string& key, const Claim& claim);
+  ClaimWriteResult Create(const std::string& key, const Claim& claim);
 
   /// Writes how a claimed call ended; goes on trying in the background.
   void Finish(const std::string& key, std::int64_t revision,
@@ -48,7 +48,7 @@
 
  private:
   struct Ending {
-    KvExpect expect;
+    KvCondition expect;
     KvWrite write;
   };
 
@@ -66,7 +66,7 @@
   Instant lease_until ABSL_GUARDED_BY(lease_mutex) = -absl::InfiniteDuration();
   mutable absl::Mutex mutex;
   std::deque<Ending> endings ABSL_GUARDED_BY(mutex);
-  Worker worker;
+  PeriodicWorker worker;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/store/kv_client.cc
+++ b/dragonflyglade/store/kv_client.cc
@@ -20,11 +20,11 @@
   try {
     return decode(json::parse(text.Value()));
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, step, kPeer, error.what());
+    return MakeFailure(Errc::kMalformedResponse, step, kPeer, error.what());
   }
 }
 
-class WatchHandle : public KvWatch {
+class WatchHandle : public KvWatchHandle {
  public:
   explicit WatchHandle(std::shared_ptr<HttpCall> call)
       : call(std::move(call)) {}
@@ -54,7 +54,7 @@
     const std::size_t index = (this->preferred + i) % count;
     ++this->calls;
     HttpCall call(this->options.endpoints[index], http, kPeer);
-    Result<HttpReply> reply = call.Run(request);
+    Result<HttpResponse> reply = call.Run(request);
     if (reply.Ok() && reply.Value().head.status == kHttpOk) {
       this->preferred = index;
       return std::move(reply.Value().body);
@@ -82,14 +82,14 @@
       DecodeRange);
 }
 
-Result<KvTxnReply> KvClient::Txn(absl::Span<const KvExpect> expects,
-                                 absl::Span<const KvWrite> writes) const {
-  Result<KvTxnReply> reply = Decoded(
+Result<KvTxnResult> KvClient::Txn(absl::Span<const KvCondition> expects,
+                                  absl::Span<const KvWrite> writes) const {
+  Result<KvTxnResult> reply = Decoded(
       "txn",
       this->Call("txn", "/v3/kv/txn", EncodeTxn(expects, writes).dump(), true),
       DecodeTxn);
   // A malformed answer to a write says nothing of its outcome either.
-  if (!reply.Ok() && reply.Error().code == Errc::kBadAnswer) {
+  if (!reply.Ok() && reply.Error().code == Errc::kMalformedResponse) {
     return MakeFailure(Errc::kOutcomeUnknown, "txn", kPeer,
                        reply.Error().detail);
   }
@@ -128,13 +128,13 @@
 
 Failure KvClient::Watch(
     std::string_view prefix, std::int64_t from_revision,
-    const std::function<void(std::shared_ptr<KvWatch>)>& on_start,
+    const std::function<void(std::shared_ptr<KvWatchHandle>)>& on_start,
     const OnEvents& on_events) const {
   HttpOptions http;
   http.connect_timeout = this->options.connect_timeout;
   // Progress notices come even when nothing changes, so a longer silence
   // means that the connection is dead, although it looks open.
-  http.read_timeout = this->options.watch_silence;
+  http.read_timeout = this->options.watch_read_timeout;
   const std::size_t index = this->preferred % this->options.endpoints.size();
   auto call =
       std::make_shared<HttpCall>(this->options.endpoints[index], http, kPeer);
@@ -171,12 +171,12 @@
     }
     return true;
   };
-  const auto on_head = [](const HttpHead& head) {
+  const auto on_head = [](const HttpResponseHead& head) {
     return head.status == kHttpOk;
   };
   const Status status = call->Stream(request, on_head, on_data);
   if (!malformed.empty()) {
-    return MakeFailure(Errc::kBadAnswer, "watch", kPeer, malformed);
+    return MakeFailure(Errc::kMalformedResponse, "watch", kPeer, malformed);
   }
   if (status.Ok()) {
     return MakeFailure(Errc::kConnectionLost, "watch", kPeer, "ended");
--- a/dragonflyglade/store/kv_client.h
+++ b/dragonflyglade/store/kv_client.h
@@ -42,7 +42,7 @@
 
 /// A condition of a transaction: the key's modification revision; 0 means
 /// that the key is not there.
-struct KvExpect {
+struct KvCondition {
   std::string key;
   std::int64_t mod_revision = 0;
 };
@@ -56,7 +56,7 @@
 };
 
 /// What a transaction did.
-struct KvTxnReply {
+struct KvTxnResult {
   bool succeeded = false;
   std::int64_t revision = 0;
   /// If it failed: the entries of the expected keys that are there.
@@ -75,13 +75,13 @@
   absl::Duration connect_timeout = absl::Milliseconds(300);
   absl::Duration call_timeout = absl::Seconds(1);
   /// Silence after which a watch is given up.
-  absl::Duration watch_silence = absl::Seconds(10);
+  absl::Duration watch_read_timeout = absl::Seconds(10);
 };
 
 /// A watch that another thread can end.
-class KvWatch {
+class KvWatchHandle {
  public:
-  virtual ~KvWatch() = default;
+  virtual ~KvWatchHandle() = default;
   virtual void Stop() = 0;
 };
 
@@ -91,7 +91,7 @@
 /// cannot be reached is passed over for the next.
 /// Errors of all calls: kUnavailable when nothing was changed;
 /// kOutcomeUnknown when a write may or may not have taken effect;
-/// kBadAnswer for an answer that cannot be read.
+/// kMalformedResponse for an answer that cannot be read.
 class KvClient {
  public:
   explicit KvClient(KvOptions options);
@@ -99,8 +99,8 @@
   Result<KvRange> Range(const KvQuery& query) const;
 
   /// Carries out all writes if all expectations hold, else none.
-  Result<KvTxnReply> Txn(absl::Span<const KvExpect> expects,
-                         absl::Span<const KvWrite> writes) const;
+  Result<KvTxnResult> Txn(absl::Span<const KvCondition> expects,
+                          absl::Span<const KvWrite> writes) const;
 
   /// @return the lease's id
   Result<std::int64_t> GrantLease(absl::Duration ttl) const;
@@ -117,9 +117,10 @@
   /// Watches a prefix from a revision on; returns when the watch ends.
   /// @param stop ends the watch when it is set and Stop is called on handle
   /// @param on_start takes the handle before the watch begins
-  Failure Watch(std::string_view prefix, std::int64_t from_revision,
-                const std::function<void(std::shared_ptr<KvWatch>)>& on_start,
-                const OnEvents& on_events) const;
+  Failure Watch(
+      std::string_view prefix, std::int64_t from_revision,
+      const std::function<void(std::shared_ptr<KvWatchHandle>)>& on_start,
+      const OnEvents& on_events) const;
 
   /// Calls made since the start, watches included.
   std::int64_t Calls() const { return this->calls; }
--- a/dragonflyglade/store/kv_codec.cc
+++ b/dragonflyglade/store/kv_codec.cc
@@ -41,11 +41,11 @@
   return message;
 }
 
-json EncodeTxn(absl::Span<const KvExpect> expects,
+json EncodeTxn(absl::Span<const KvCondition> expects,
                absl::Span<const KvWrite> writes) {
   json compare = json::array();
   json failure = json::array();
-  for (const KvExpect& expect : expects) {
+  for (const KvCondition& expect : expects) {
     compare.push_back({{"key", EncodeBytes(expect.key)},
                        {"target", "MOD"},
                        {"result", "EQUAL"},
@@ -110,8 +110,8 @@
   return range;
 }
 
-KvTxnReply DecodeTxn(const json& object) {
-  KvTxnReply reply;
+KvTxnResult DecodeTxn(const json& object) {
+  KvTxnResult reply;
   reply.revision = DecodeNumber(object.at("header"), "revision");
   reply.succeeded = object.value("succeeded", false);
   if (reply.succeeded) return reply;
--- a/dragonflyglade/store/kv_codec.h
+++ b/dragonflyglade/store/kv_codec.h
@@ -16,7 +16,7 @@
 std::string PrefixEnd(std::string_view prefix);
 
 nlohmann::json EncodeRange(const KvQuery& query);
-nlohmann::json EncodeTxn(absl::Span<const KvExpect> expects,
+nlohmann::json EncodeTxn(absl::Span<const KvCondition> expects,
                          absl::Span<const KvWrite> writes);
 nlohmann::json EncodeWatch(std::string_view prefix, std::int64_t from);
 
@@ -26,7 +26,7 @@
 /// Throw nlohmann::json::exception for anything malformed.
 KvEntry DecodeEntry(const nlohmann::json& object);
 KvRange DecodeRange(const nlohmann::json& object);
-KvTxnReply DecodeTxn(const nlohmann::json& object);
+KvTxnResult DecodeTxn(const nlohmann::json& object);
 std::vector<KvEvent> DecodeEvents(const nlohmann::json& result);
 
 std::string EncodeBytes(std::string_view bytes);
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -5,7 +5,7 @@
 
 namespace dragonflyglade {
 
-Dispatcher::Dispatcher(TargetBook& targets, DispatchOptions options,
+Dispatcher::Dispatcher(TargetRegistry& targets, DispatcherOptions options,
                        Clock clock)
     : targets(targets), options(options), clock(clock) {}
 
@@ -23,19 +23,21 @@
           ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex) {
             Waiter& waiter = *pool.waiters.at(entry.id);
             waiter.result = this->targets.Take(*waiter.need);
-            waiter.granted = std::holds_alternative<TargetPlace>(waiter.result);
+            waiter.granted =
+                std::holds_alternative<TargetReservation>(waiter.result);
             return waiter.granted;
           };
-  while (pool.queue.PopFirst(this->clock.Now(), try_place).has_value()) {
+  while (pool.queue.PopFirstDispatchable(this->clock.Now(), try_place)
+             .has_value()) {
   }
 }
 
-std::variant<TargetPlace, NoPlace, QueueIsFull> Dispatcher::Acquire(
-    const TargetNeed& need, std::string_view workspace,
-    RequestClass request_class, Instant deadline) {
+std::variant<TargetReservation, ReservationError, QueueFull>
+Dispatcher::Acquire(const TargetRequirements& need, std::string_view workspace,
+                    RequestClass request_class, Instant deadline) {
   PoolQueue& pool = this->QueueOf(need.pool);
   absl::MutexLock lock(&pool.mutex);
-  if (pool.queue.Size() >= this->options.queue_limit) return QueueIsFull{};
+  if (pool.queue.Size() >= this->options.queue_limit) return QueueFull{};
   Waiter waiter;
   waiter.need = &need;
   const std::uint64_t id = pool.next_id++;
@@ -49,18 +51,19 @@
     const absl::Duration left = deadline - this->clock.Now();
     if (left <= absl::ZeroDuration()) break;
     pool.mutex.AwaitWithTimeout(absl::Condition(&waiter.granted),
-                                std::min(left, this->options.recheck));
+                                std::min(left, this->options.recheck_interval));
     if (waiter.granted) break;
   }
   pool.waiters.erase(id);
   if (!waiter.granted) pool.queue.Remove(id);
-  if (const auto* place = std::get_if<TargetPlace>(&waiter.result)) {
+  if (const auto* place = std::get_if<TargetReservation>(&waiter.result)) {
     return *place;
   }
-  return std::get<NoPlace>(waiter.result);
+  return std::get<ReservationError>(waiter.result);
 }
 
-void Dispatcher::Release(const TargetPlace& place, PlaceOutcome outcome) {
+void Dispatcher::Release(const TargetReservation& place,
+                         RequestOutcome outcome) {
   this->targets.Finish(place, outcome);
   PoolQueue& pool = this->QueueOf(place.pool);
   absl::MutexLock lock(&pool.mutex);
--- a/dragonflyglade/target/engine_client.h
+++ b/dragonflyglade/target/engine_client.h
@@ -9,7 +9,7 @@
 
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/failure.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/http_call.h"
 
 namespace dragonflyglade {
@@ -50,7 +50,7 @@
 };
 
 /// What an engine said to an order.
-struct OrderReply {
+struct OrderResult {
   bool done = false;        ///< carried out (or was before)
   std::string boot_id;      ///< of the process that answered
   std::string explanation;  ///< if it refused
@@ -82,23 +82,24 @@
   std::shared_ptr<HttpCall> NewCall() const;
 
   /// The HTTP request of a completion.
-  static HttpRequest RequestFor(const EngineRequest& request);
+  static HttpRequest MakeCompletionRequest(const EngineRequest& request);
 
   /// The HTTP request that takes a stream up after so many events.
-  static HttpRequest ResumeFor(std::string_view request_id, int after_events);
+  static HttpRequest MakeResumeRequest(std::string_view request_id,
+                                       int after_events);
 
   Result<EngineReport> Report() const;
 
   /// Events after a sequence number. There may be gaps.
-  Result<std::vector<CacheEvent>> CacheEvents(std::int64_t after) const;
+  Result<std::vector<CacheEvent>> FetchCacheEvents(std::int64_t after) const;
 
   /// Errors: kConnectFailed if it certainly did not arrive; kOutcomeUnknown
   /// if it may have.
-  Result<OrderReply> Order(const EngineOrder& order) const;
+  Result<OrderResult> Order(const EngineOrder& order) const;
 
  private:
-  Result<HttpReply> Run(const HttpRequest& request,
-                        absl::Duration timeout) const;
+  Result<HttpResponse> Run(const HttpRequest& request,
+                           absl::Duration timeout) const;
 
   const Endpoint endpoint;
   const std::string peer;
--- a/tests/platform/gateway_stage.h
+++ b/tests/platform/gateway_harness.h
@@ -24,19 +24,20 @@
 /// Formats a target's response to a request.
 /// @param status status code and reason phrase
 /// @param more further header lines, each with its line end
-std::string AnswerBytes(const RawRequest& request, const std::string& status,
-                        const std::string& body, const std::string& more = "");
+std::string ResponseBytes(const RawRequest& request, const std::string& status,
+                          const std::string& body,
+                          const std::string& more = "");
 
 /// The response of a healthy target: signed, with the body "done".
-PlatformTargetStandIn::Script Sound(const RawRequest& request);
+PlatformTargetStandIn::Script SuccessfulResponse(const RawRequest& request);
 
 /// Runs a gateway in this process, with a store and two targets of one service
 /// as stand-ins.
-class GatewayStage {
+class GatewayHarness {
  public:
   struct Options {
     /// Response of both targets, unless another one is scripted.
-    PlatformTargetStandIn::Answer answer = Sound;
+    PlatformTargetStandIn::Answer answer = SuccessfulResponse;
     gateway::WireFormat wire = platform::MakeWireFormat();
     /// The object `limits` of the configuration.
     nlohmann::json limits = nlohmann::json::object();
@@ -55,23 +56,24 @@
     }
   };
 
-  explicit GatewayStage(PlatformTargetStandIn::Answer answer = Sound)
-      : GatewayStage(WithAnswer(std::move(answer))) {}
-  explicit GatewayStage(Options options);
-  ~GatewayStage();
-  GatewayStage(const GatewayStage&) = delete;
-  GatewayStage& operator=(const GatewayStage&) = delete;
+  explicit GatewayHarness(
+      PlatformTargetStandIn::Answer answer = SuccessfulResponse)
+      : GatewayHarness(WithAnswer(std::move(answer))) {}
+  explicit GatewayHarness(Options options);
+  ~GatewayHarness();
+  GatewayHarness(const GatewayHarness&) = delete;
+  GatewayHarness& operator=(const GatewayHarness&) = delete;
 
   /// Registers the second target and waits until the gateway knows it.
   void AddSecond();
 
   /// Scripts the response to the next request, whichever target receives it.
   /// @param later response to the next request at the other target
-  void NextAnywhere(PlatformTargetStandIn::Answer once,
-                    PlatformTargetStandIn::Answer later);
+  void ScriptNextRequest(PlatformTargetStandIn::Answer once,
+                         PlatformTargetStandIn::Answer later);
 
   /// Number of requests that the targets have received.
-  std::size_t Arrivals() const;
+  std::size_t RequestCount() const;
 
   /// Sends a request on a new connection and reads to the connection's end.
   Reply Call(const std::string& method, const std::string& path,
@@ -86,8 +88,9 @@
                    const std::string& key = "k1", const std::string& more = "");
 
   /// Formats a request with a new id that keeps the connection open.
-  std::string KeptText(const std::string& method, const std::string& path,
-                       const std::string& more = "");
+  std::string KeepAliveRequestText(const std::string& method,
+                                   const std::string& path,
+                                   const std::string& more = "");
 
   std::unique_ptr<boost::asio::ip::tcp::socket> Connect(
       const Endpoint& endpoint);
@@ -108,7 +111,7 @@
     return *value;
   }
 
-  bool HoldsDuty();
+  bool HoldsLeaderLease();
 
   /// Writes a target's record into the store.
   void PutTarget(const std::string& id, const PlatformTargetStandIn& target,
@@ -142,7 +145,7 @@
 class LoopBlocker {
  public:
   /// Returns once the loop is blocked.
-  explicit LoopBlocker(GatewayStage& stage);
+  explicit LoopBlocker(GatewayHarness& stage);
   ~LoopBlocker();
   LoopBlocker(const LoopBlocker&) = delete;
   LoopBlocker& operator=(const LoopBlocker&) = delete;
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -8,7 +8,7 @@
 
 #include "absl/synchronization/notification.h"
 #include "absl/time/clock.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
@@ -28,7 +28,7 @@
 // A caller that reuses its connection.
 class KeepAliveClient {
  public:
-  explicit KeepAliveClient(GatewayStage& stage)
+  explicit KeepAliveClient(GatewayHarness& stage)
       : stage(stage),
         socket(stage.Connect(stage.gateway->Settings().callers)) {}
 
@@ -40,7 +40,7 @@
   /// Reads the next response; empty if the connection ended without one.
   RawRequest Read() {
     RawRequest response;
-    if (!ReadRaw(*this->socket, this->buffer, response)) return {};
+    if (!ReadRawRequest(*this->socket, this->buffer, response)) return {};
     return response;
   }
 
@@ -52,12 +52,12 @@
   }
 
   int Call() {
-    this->Write(this->stage.KeptText("GET", "/any/"));
+    this->Write(this->stage.KeepAliveRequestText("GET", "/any/"));
     return this->ReadStatus();
   }
 
  private:
-  GatewayStage& stage;
+  GatewayHarness& stage;
   std::unique_ptr<tcp::socket> socket;
   std::string buffer;
 };
@@ -101,12 +101,12 @@
         {"within a long head", {{"header_timeout_ms", kHeadLimitMs}}, 10, 5000},
     };
     for (const BlockedLoopCase& item : cases) {
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       options.limits = item.limits;
-      GatewayStage stage(std::move(options));
+      GatewayHarness stage(std::move(options));
       KeepAliveClient caller(stage);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
-      const std::string text = stage.KeptText(
+      const std::string text = stage.KeepAliveRequestText(
           "GET", "/any/",
           "X-Padding: " + std::string(item.padding, 'x') + "\r\n");
       caller.Write(text.substr(0, item.bytes_before));
@@ -125,18 +125,18 @@
   // the complete response waits in the socket.
   void ForwardsAResponseThatArrivesInTimeWhileTheLoopIsBlocked() {
     constexpr std::size_t kBodyBytes = 50000;
-    GatewayStage stage;
+    GatewayHarness stage;
     std::unique_ptr<LoopBlocker> blocker;
     absl::Notification blocked;
     stage.first.Next([&](const RawRequest& request) {
       blocker = std::make_unique<LoopBlocker>(stage);
       blocked.Notify();
-      return Script{AnswerBytes(request, "200 OK", std::string(kBodyBytes, 'x'),
-                                kSigned)};
+      return Script{ResponseBytes(request, "200 OK",
+                                  std::string(kBodyBytes, 'x'), kSigned)};
     });
     KeepAliveClient caller(stage);
-    caller.Write(stage.KeptText("GET", "/any/",
-                                "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
+    caller.Write(stage.KeepAliveRequestText(
+        "GET", "/any/", "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
     blocked.WaitForNotification();
     absl::SleepFor(2 * kShortLimit);
     blocker.reset();
@@ -147,11 +147,11 @@
   // gateway must announce its idle timeout, and must keep the connection open
   // long enough for a request that is sent just within it.
   void KeepsTheConnectionForTheAnnouncedIdleTimeout() {
-    GatewayStage::Options options;
+    GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", 2 * kShortLimitMs}};
-    GatewayStage stage(std::move(options));
+    GatewayHarness stage(std::move(options));
     KeepAliveClient caller(stage);
-    caller.Write(stage.KeptText("GET", "/any/"));
+    caller.Write(stage.KeepAliveRequestText("GET", "/any/"));
     const RawRequest response = caller.Read();
     CPPUNIT_ASSERT_EQUAL(std::string("timeout=1"),
                          response.Field("Keep-Alive"));
@@ -168,9 +168,9 @@
         {"lowered", kLongLimitMs, kShortLimitMs},
     };
     for (const ChangedLimitCase& item : cases) {
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       options.limits = {{"idle_timeout_ms", item.before_ms}};
-      GatewayStage stage(std::move(options));
+      GatewayHarness stage(std::move(options));
       KeepAliveClient caller(stage);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
       json newer = stage.Config(2, "plain");
@@ -182,9 +182,9 @@
   }
 
   void ClosesAnIdleConnection() {
-    GatewayStage::Options options;
+    GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", kShortLimitMs}};
-    GatewayStage stage(std::move(options));
+    GatewayHarness stage(std::move(options));
     KeepAliveClient caller(stage);
     CPPUNIT_ASSERT_EQUAL(200, caller.Call());
     CPPUNIT_ASSERT_EQUAL(0, caller.ReadStatus());
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -17,51 +17,51 @@
 #include "absl/synchronization/notification.h"
 #include "absl/time/clock.h"
 #include "dragonflyglade/gateway/gateway.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
 
 using gateway::GatewaySettings;
-using Stage = GatewayStage;
+using Stage = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
 Script DeclinedResponse(const RawRequest& request) {
-  return {AnswerBytes(request, "503 Busy", "",
-                      "X-Dragonflyglade-Not-Executed: 1\r\n")};
+  return {ResponseBytes(request, "503 Busy", "",
+                        "X-Dragonflyglade-Not-Executed: 1\r\n")};
 }
 
 Script ClosedConnection(const RawRequest&) { return {"", true}; }
 
 Script TruncatedResponse(const RawRequest& request) {
-  std::string bytes = AnswerBytes(request, "200 OK", "done", kSigned);
+  std::string bytes = ResponseBytes(request, "200 OK", "done", kSigned);
   bytes.resize(bytes.size() - 2);
   return {bytes, true};
 }
 
 Script UnsignedResponse(const RawRequest& request) {
-  return {AnswerBytes(request, "200 OK", "done")};
+  return {ResponseBytes(request, "200 OK", "done")};
 }
 
 Script EncodedResponse(const RawRequest& request) {
-  return {AnswerBytes(request, "200 OK", "done",
-                      kSigned + "Content-Encoding: gzip\r\n")};
+  return {ResponseBytes(request, "200 OK", "done",
+                        kSigned + "Content-Encoding: gzip\r\n")};
 }
 
 Script ErrorResponse(const RawRequest& request) {
-  return {AnswerBytes(request, "500 Oops", "why", kSigned)};
+  return {ResponseBytes(request, "500 Oops", "why", kSigned)};
 }
 
 Script BusyWithoutNotExecuted(const RawRequest& request) {
-  return {AnswerBytes(request, "503 Busy", "", kSigned)};
+  return {ResponseBytes(request, "503 Busy", "", kSigned)};
 }
 
 Script LateResponseFirst(const RawRequest& request) {
   RawRequest other = request;
   other.head = "GET / HTTP/1.1\r\nX-Dragonflyglade-Attempt-Id: other\r\n\r\n";
-  return {AnswerBytes(other, "200 OK", "not yours", kSigned) +
-          AnswerBytes(request, "200 OK", "done", kSigned)};
+  return {ResponseBytes(other, "200 OK", "not yours", kSigned) +
+          ResponseBytes(request, "200 OK", "done", kSigned)};
 }
 
 std::string Chunk(const std::string& text) {
@@ -143,7 +143,7 @@
   // that it did not run. Idempotent requests are repeated at the other target.
   void RespondsByWhetherTheTargetMayHaveExecuted() {
     const std::vector<ExchangeCase> cases = {
-        {"successful answer", "/once/", Sound, 200, 1},
+        {"successful answer", "/once/", SuccessfulResponse, 200, 1},
         {"declined with the not-executed field", "/once/", DeclinedResponse,
          200, 2},
         {"closed without an answer", "/once/", ClosedConnection, 502, 1},
@@ -164,12 +164,12 @@
     for (const ExchangeCase& item : cases) {
       Stage stage;
       stage.AddSecond();
-      stage.NextAnywhere(item.first_response, Sound);
-      const std::size_t before = stage.Arrivals();
+      stage.ScriptNextRequest(item.first_response, SuccessfulResponse);
+      const std::size_t before = stage.RequestCount();
       const Stage::Reply reply = stage.Call("POST", item.path);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.requests,
-                                   stage.Arrivals() - before);
+                                   stage.RequestCount() - before);
       const bool has_signature =
           !reply.Field("X-Dragonflyglade-Server-Signature").empty();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -230,7 +230,7 @@
   void ResumesABrokenStreamAtAnotherTarget() {
     Stage stage(StreamedEvents);
     stage.AddSecond();
-    stage.NextAnywhere(BrokenStream, StreamedEvents);
+    stage.ScriptNextRequest(BrokenStream, StreamedEvents);
     const Stage::Reply reply = stage.Call("POST", "/resumed/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(reply.ended_whole);
@@ -280,13 +280,13 @@
   void RecordsSpendingInTheStore() {
     Stage stage;
     const std::string key(gateway::FleetState::kSpendsKey);
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/", "k3").status);
     stage.WaitFor([&] { return !stage.store.Get(key).empty(); });
     const Result<gateway::SpendRecord> record =
         gateway::DecodeSpendRecord(stage.store.Get(key));
     CPPUNIT_ASSERT(record.Ok());
-    const auto spent = gateway::FleetSpent(record.Value());
+    const auto spent = gateway::SpendingByWorkspace(record.Value());
     CPPUNIT_ASSERT(spent.at("large") >= 100);
     CPPUNIT_ASSERT(gateway::WasListed(record.Value(), "one"));
   }
@@ -297,13 +297,13 @@
   // meanwhile. It must retry while it serves its last callers.
   void ReleasesTheLeaderLeaseOnceTheStoreAccepts() {
     Stage stage;
-    const std::string key(gateway::FleetState::kDutyKey);
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
-    stage.store.TurnAwayWrites(true);
+    const std::string key(gateway::FleetState::kLeaderKey);
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
+    stage.store.RejectWrites(true);
     boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] { return !stage.HoldsDuty(); });
+    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT(!stage.store.Get(key).empty());
-    stage.store.TurnAwayWrites(false);
+    stage.store.RejectWrites(false);
     stage.WaitFor([&] { return stage.store.Get(key).empty(); });
   }
 
@@ -319,7 +319,7 @@
     boost::asio::write(*socket, boost::asio::buffer(text));
     stage.WaitFor([&] { return stage.first.Requests().size() == before + 1; });
     socket->close();
-    stage.WaitFor([&] { return stage.first.Hangups() == 1; });
+    stage.WaitFor([&] { return stage.first.ConnectionsClosedByPeer() == 1; });
   }
 
   void AppliesNewConfigurations() {
--- a/tests/platform/store_stand_in.cc
+++ b/tests/platform/store_stand_in.cc
@@ -63,7 +63,7 @@
     out.set_content(json{{"ttl_ms", ttl_ms}}.dump(), kJson);
   });
   this->port = this->server->bind_to_any_port("127.0.0.1");
-  this->worker = std::make_unique<Worker>([this] {
+  this->worker = std::make_unique<PeriodicWorker>([this] {
     this->server->listen_after_bind();
     return absl::InfiniteDuration();
   });
@@ -120,7 +120,7 @@
   for (const std::string& key : gone) this->Remove(key);
 }
 
-void PlatformStoreStandIn::EndLeases() {
+void PlatformStoreStandIn::RejectRenewals() {
   absl::MutexLock lock(&this->mutex);
   this->ended_leases = this->leases;
 }
@@ -141,7 +141,7 @@
   return found == this->items.end() ? 0 : found->second.lease;
 }
 
-void PlatformStoreStandIn::TurnAwayWrites(bool away) {
+void PlatformStoreStandIn::RejectWrites(bool away) {
   absl::MutexLock lock(&this->mutex);
   this->writes_turned_away = away;
 }
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -11,7 +11,7 @@
 #include "absl/time/clock.h"
 #include "absl/time/time.h"
 #include "dragonflyglade/net/endpoint.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 
 namespace httplib {
 class Server;
@@ -33,12 +33,12 @@
   void Delete(const std::string& key);
 
   /// Whether transactions are answered 503, and nothing is done.
-  void TurnAwayWrites(bool away);
+  void RejectWrites(bool away);
 
   /// Ends the leases that were not renewed in their time, with their keys.
   void ExpireLeases();
   /// All leases end, as far as renewals show; their keys stay for a while.
-  void EndLeases();
+  void RejectRenewals();
   /// Listings that were answered.
   int Listings() const;
   /// Renewals that were answered with success.
@@ -87,7 +87,7 @@
   bool closing ABSL_GUARDED_BY(mutex) = false;
   std::unique_ptr<httplib::Server> server;
   int port = 0;
-  std::unique_ptr<Worker> worker;
+  std::unique_ptr<PeriodicWorker> worker;
 };
 
 }  // namespace dragonflyglade
--- a/tests/platform/target_stand_in.h
+++ b/tests/platform/target_stand_in.h
@@ -48,7 +48,7 @@
 
   std::vector<RawRequest> Requests() const;
   /// Connections that the other end closed while the target was hanging.
-  int Hangups() const;
+  int ConnectionsClosedByPeer() const;
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
@@ -70,8 +70,8 @@
 };
 
 /// Reads one message with a Content-Length body, or none.
-bool ReadRaw(boost::asio::ip::tcp::socket& socket, std::string& buffer,
-             RawRequest& request);
+bool ReadRawRequest(boost::asio::ip::tcp::socket& socket, std::string& buffer,
+                    RawRequest& request);
 
 }  // namespace dragonflyglade
 
--- a/tests/standins/list_stand_in.cc
+++ b/tests/standins/discovery_stand_in.cc
@@ -1,9 +1,9 @@
-#include "tests/standins/list_stand_in.h"
+#include "tests/standins/discovery_stand_in.h"
 
 #include <httplib.h>
 
 #include "absl/time/clock.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -17,69 +17,70 @@
 
 }  // namespace
 
-ListStandIn::ListStandIn() : server(Endpoint{"127.0.0.1", 0}, kThreads) {
+DiscoveryStandIn::DiscoveryStandIn()
+    : server(Endpoint{"127.0.0.1", 0}, kThreads) {
   {
     absl::MutexLock lock(&this->mutex);
     this->Record();
   }
   const auto answer = [this](bool targets, httplib::Response& response) {
     absl::MutexLock lock(&this->mutex);
-    if (this->out) return LoseAnswer(response);
+    if (this->out) return DropResponse(response);
     const Snapshot& visible = this->Visible();
     response.set_content(targets ? visible.targets : visible.instances,
                          "application/json");
   };
-  this->server.Library().Get(
+  this->server.HttplibServer().Get(
       "/instances", [answer](const httplib::Request&, httplib::Response& r) {
         answer(false, r);
       });
-  this->server.Library().Get(
+  this->server.HttplibServer().Get(
       "/targets", [answer](const httplib::Request&, httplib::Response& r) {
         answer(true, r);
       });
 }
 
-ListStandIn::~ListStandIn() { this->server.Stop(); }
+DiscoveryStandIn::~DiscoveryStandIn() { this->server.Stop(); }
 
-Endpoint ListStandIn::Start() {
+Endpoint DiscoveryStandIn::Start() {
   return Endpoint{"127.0.0.1", this->server.Start("listen").Value()};
 }
 
-void ListStandIn::SetLag(absl::Duration lag) {
+void DiscoveryStandIn::SetLag(absl::Duration lag) {
   absl::MutexLock lock(&this->mutex);
   this->lag = lag;
 }
 
-void ListStandIn::SetOut(bool out) {
+void DiscoveryStandIn::SetUnavailable(bool out) {
   absl::MutexLock lock(&this->mutex);
   this->out = out;
 }
 
-void ListStandIn::PutInstance(const ListedInstance& instance) {
+void DiscoveryStandIn::PutInstance(const ListedInstance& instance) {
   absl::MutexLock lock(&this->mutex);
   this->instances[instance.info.name] = instance;
   this->Record();
 }
 
-void ListStandIn::RemoveInstance(const std::string& name) {
+void DiscoveryStandIn::RemoveInstance(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->instances.erase(name);
   this->Record();
 }
 
-void ListStandIn::PutTarget(const ListedTarget& target) {
+void DiscoveryStandIn::PutTarget(const ListedTarget& target) {
   absl::MutexLock lock(&this->mutex);
   this->targets[target.name] = target;
   this->Record();
 }
 
-void ListStandIn::RemoveTarget(const std::string& name) {
+void DiscoveryStandIn::RemoveTarget(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->targets.erase(name);
   this->Record();
 }
 
-void ListStandIn::Record() {
+void DiscoveryStandIn::Record() {
   ++this->version;
   json instances = json::array();
   for (const auto& [name, listed] : this->instances) {
@@ -109,7 +110,7 @@
   if (this->snapshots.size() > kSnapshots) this->snapshots.pop_front();
 }
 
-const ListStandIn::Snapshot& ListStandIn::Visible() {
+const DiscoveryStandIn::Snapshot& DiscoveryStandIn::Visible() {
   const absl::Time until = absl::Now() - this->lag;
   const Snapshot* visible = &this->snapshots.front();
   for (const Snapshot& snapshot : this->snapshots) {
--- a/tests/standins/list_stand_in.h
+++ b/tests/standins/discovery_stand_in.h
@@ -9,21 +9,21 @@
 #include "absl/synchronization/mutex.h"
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/http_server.h"
 
 namespace dragonflyglade {
 
 /// The platform's lists of instances and targets, which lag on command.
-class ListStandIn {
+class DiscoveryStandIn {
  public:
-  ListStandIn();
-  ~ListStandIn();
+  DiscoveryStandIn();
+  ~DiscoveryStandIn();
 
   Endpoint Start();
 
   void SetLag(absl::Duration lag);
-  void SetOut(bool out);
+  void SetUnavailable(bool out);
   void PutInstance(const ListedInstance& instance);
   void RemoveInstance(const std::string& name);
   void PutTarget(const ListedTarget& target);
--- a/tests/standins/faulty_answer.h
+++ b/tests/standins/drop_response.h
@@ -9,7 +9,7 @@
 
 /// Ends the connection after the head, so that the other end never gets a
 /// whole answer.
-void LoseAnswer(httplib::Response& response);
+void DropResponse(httplib::Response& response);
 
 }  // namespace dragonflyglade
 
--- a/tests/standins/engine_stand_in.cc
+++ b/tests/standins/engine_stand_in.cc
@@ -8,7 +8,7 @@
 
 #include "absl/time/clock.h"
 #include "dragonflyglade/decision/rendezvous.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -48,7 +48,7 @@
 }
 
 void EngineStandIn::Route() {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   using httplib::Request;
   using httplib::Response;
   const auto complete = [this](const Request& request, Response& response) {
@@ -122,7 +122,8 @@
         {{"sequence", this->cache_events.size() + 1}, {"prefix", prefix}});
   }
   const bool is_chat = body.contains("messages");
-  const json shown = this->behaviour.odd_model ? json(7) : json(model);
+  const json shown =
+      this->behaviour.reports_numeric_model ? json(7) : json(model);
   for (int i = 0; i < tokens; ++i) {
     // The words tell whose answer it is, so a mix-up shows.
     const std::string word =
@@ -300,7 +301,7 @@
     if (this->hold_orders > 0) {
       --this->hold_orders;
       this->held.push_back(HeldOrder{kind, body});
-      return LoseAnswer(response);
+      return DropResponse(response);
     }
   }
   if (kind == "load_model") absl::SleepFor(this->behaviour.load_delay);
@@ -309,7 +310,7 @@
     absl::MutexLock lock(&this->mutex);
     if (this->lose_orders > 0) {
       --this->lose_orders;
-      return LoseAnswer(response);
+      return DropResponse(response);
     }
   }
   json answer = {{"boot_id", boot_id}};
@@ -320,13 +321,13 @@
   response.set_content(answer.dump(), kJson);
 }
 
-void EngineStandIn::CutStreamsAfter(int events, int times) {
+void EngineStandIn::BreakStreamsAfter(int events, int times) {
   absl::MutexLock lock(&this->mutex);
   this->cut_after = events;
   this->cut_times = times;
 }
 
-void EngineStandIn::SetSilent(bool silent) {
+void EngineStandIn::SetUnresponsive(bool silent) {
   absl::MutexLock lock(&this->mutex);
   this->silent = silent;
 }
@@ -346,7 +347,7 @@
   this->echoed_id = id;
 }
 
-void EngineStandIn::LoseOrderAnswers(int count) {
+void EngineStandIn::DropOrderResponses(int count) {
   absl::MutexLock lock(&this->mutex);
   this->lose_orders = count;
 }
@@ -378,7 +379,7 @@
   this->reports.clear();
 }
 
-std::int64_t EngineStandIn::PeakBytes() const {
+std::int64_t EngineStandIn::PeakMemoryBytes() const {
   absl::MutexLock lock(&this->mutex);
   return this->peak;
 }
--- a/tests/standins/engine_stand_in.h
+++ b/tests/standins/engine_stand_in.h
@@ -30,7 +30,7 @@
   absl::Duration token_delay;
   absl::Duration load_delay;  ///< of a model order
   absl::Duration report_lag;
-  bool odd_model = false;  ///< events name their model by a number
+  bool reports_numeric_model = false;  ///< events name their model by a number
 };
 
 /// A model engine with finite memory, batches, orders and a boot id, which
@@ -43,15 +43,15 @@
   Endpoint Start();
 
   /// Streams of requests to come break after so many events; 0 for never.
-  void CutStreamsAfter(int events, int times);
+  void BreakStreamsAfter(int events, int times);
   /// Requests get no answer for this long, then none at all.
-  void SetSilent(bool silent);
+  void SetUnresponsive(bool silent);
   void SetRefusing(bool refusing);
   void SetLeaving(bool leaving);
   /// Answers carry this id in place of the request's; empty for the own one.
   void SetEchoedId(const std::string& id);
   /// The answers of the next orders are lost, after they are carried out.
-  void LoseOrderAnswers(int count);
+  void DropOrderResponses(int count);
   /// The next orders are carried out only when ReleaseOrders is called.
   void HoldOrders(int count);
   void ReleaseOrders();
@@ -61,7 +61,7 @@
   void Restart();
 
   /// The most memory that was ever asked of it at once.
-  std::int64_t PeakBytes() const;
+  std::int64_t PeakMemoryBytes() const;
   std::set<std::string> Resident() const;
   int Served() const;
   /// Completions that began.
--- a/tests/standins/relay_stand_in.cc
+++ b/tests/standins/faulty_tcp_proxy.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/relay_stand_in.h"
+#include "tests/standins/faulty_tcp_proxy.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -33,7 +33,7 @@
 }  // namespace
 
 // Both directions of one connection; the sockets close with the last user.
-struct RelayStandIn::Link {
+struct FaultyTcpProxy::Link {
   Link(int near, int far) : near(near), far(far) {}
   ~Link() {
     close(this->near);
@@ -54,9 +54,9 @@
   std::atomic<bool> broken{false};
 };
 
-RelayStandIn::RelayStandIn(Endpoint to) : to(std::move(to)) {}
+FaultyTcpProxy::FaultyTcpProxy(Endpoint to) : to(std::move(to)) {}
 
-RelayStandIn::~RelayStandIn() {
+FaultyTcpProxy::~FaultyTcpProxy() {
   {
     absl::MutexLock lock(&this->mutex);
     this->stopping = true;
@@ -71,7 +71,7 @@
   if (this->listener >= 0) close(this->listener);
 }
 
-Endpoint RelayStandIn::Start() {
+Endpoint FaultyTcpProxy::Start() {
   this->listener = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = AddressOf(Endpoint{"127.0.0.1", 0});
   socklen_t size = sizeof(address);
@@ -84,7 +84,7 @@
   return Endpoint{"127.0.0.1", ntohs(address.sin_port)};
 }
 
-void RelayStandIn::Accept() {
+void FaultyTcpProxy::Accept() {
   while (true) {
     {
       absl::MutexLock lock(&this->mutex);
@@ -112,7 +112,8 @@
   }
 }
 
-void RelayStandIn::Carry(const std::shared_ptr<Link>& link, int from, int to) {
+void FaultyTcpProxy::Carry(const std::shared_ptr<Link>& link, int from,
+                           int to) {
   std::array<char, kBufferBytes> buffer;
   while (!link->broken) {
     if (link->silent) {
@@ -134,14 +135,14 @@
   --this->carriers;
 }
 
-void RelayStandIn::SetCut(bool cut) {
+void FaultyTcpProxy::SetPartitioned(bool cut) {
   absl::MutexLock lock(&this->mutex);
   this->cut = cut;
   if (!cut) return;
   for (const auto& link : this->links) link->Break();
 }
 
-void RelayStandIn::SilenceOpen() {
+void FaultyTcpProxy::StallOpenConnections() {
   absl::MutexLock lock(&this->mutex);
   for (const auto& link : this->links) link->silent = true;
 }
--- a/tests/standins/relay_stand_in.h
+++ b/tests/standins/faulty_tcp_proxy.h
@@ -11,20 +11,20 @@
 namespace dragonflyglade {
 
 /// A stretch of network between two ends, which can be cut or go silent.
-class RelayStandIn {
+class FaultyTcpProxy {
  public:
   /// @param to where connections lead
-  explicit RelayStandIn(Endpoint to);
-  ~RelayStandIn();
+  explicit FaultyTcpProxy(Endpoint to);
+  ~FaultyTcpProxy();
 
   /// @return where to connect to
   Endpoint Start();
 
   /// Ends all connections and refuses new ones, or lets them through again.
-  void SetCut(bool cut);
+  void SetPartitioned(bool cut);
 
   /// Connections open now carry nothing more, but stay open; new ones work.
-  void SilenceOpen();
+  void StallOpenConnections();
 
  private:
   struct Link;
--- a/tests/standins/kv_stand_in.h
+++ b/tests/standins/kv_stand_in.h
@@ -25,15 +25,15 @@
   Endpoint Start();
 
   /// While out, nothing is carried out and no answer is whole.
-  void SetOut(bool out);
+  void SetUnavailable(bool out);
   /// Each answer waits this long.
   void SetDelay(absl::Duration delay);
   /// The next answers to transactions are lost after they took effect.
-  void LoseAnswers(int count);
+  void DropResponses(int count);
   /// Watches open now deliver nothing more, but stay open.
-  void SilenceWatches();
+  void StallWatches();
   /// Ends a lease, as if its time had run out.
-  void LapseLeases();
+  void ExpireAllLeases();
 
   /// Writes directly, as an operator may.
   std::int64_t Put(const std::string& key, const std::string& value);
--- a/tests/standins/ledger_stand_in.h
+++ b/tests/standins/ledger_stand_in.h
@@ -23,7 +23,7 @@
   Endpoint Start();
 
   /// The next answers to payouts are lost after they ran.
-  void LoseAnswers(int count);
+  void DropResponses(int count);
   /// Answers wait this long, after the call ran.
   void SetDelay(absl::Duration delay);
   void SetEchoedId(const std::string& id);
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -10,10 +10,10 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "tests/standins/discovery_stand_in.h"
 #include "tests/standins/engine_stand_in.h"
 #include "tests/standins/kv_stand_in.h"
 #include "tests/standins/ledger_stand_in.h"
-#include "tests/standins/list_stand_in.h"
 
 namespace dragonflyglade {
 namespace {
@@ -58,13 +58,13 @@
       this->list.PutTarget(TargetAt(fmt::format("engine-{}", i + 1),
                                     this->engines[i]->Start(), kEnginePool));
     }
-    this->control.Library().Post(
+    this->control.HttplibServer().Post(
         "/instances",
         [this](const httplib::Request& request, httplib::Response& response) {
           this->list.PutInstance(InstanceOf(json::parse(request.body)));
           response.set_content("{}", "application/json");
         });
-    this->control.Library().Get(
+    this->control.HttplibServer().Get(
         "/received",
         [this](const httplib::Request&, httplib::Response& response) {
           response.set_content(this->Received(), "text/plain");
@@ -86,7 +86,7 @@
   }
 
   KvStandIn kv;
-  ListStandIn list;
+  DiscoveryStandIn list;
   LedgerStandIn ledger;
   std::vector<std::unique_ptr<EngineStandIn>> engines;
   HttpServer control;
--- a/tests/unit/unit-peek-socket.cc
+++ b/tests/unit/unit-peek-socket.cc
@@ -38,7 +38,7 @@
   // has closed it.
   void DistinguishesIdleFromClosed() {
     const std::vector<PeekCase> cases = {
-        {"nothing", [](tcp::socket&, tcp::socket&) {}, SocketState::kQuiet},
+        {"nothing", [](tcp::socket&, tcp::socket&) {}, SocketState::kNoData},
         {"bytes",
          [](tcp::socket&, tcp::socket& other) {
            boost::asio::write(other, boost::asio::buffer("x", 1));
--- a/tests/unit/unit-records.cc
+++ b/tests/unit/unit-records.cc
@@ -29,7 +29,7 @@
 struct OfferCase {
   const char* name;
   std::vector<RecordVersion> offered;
-  std::vector<RecordFate> fates;
+  std::vector<ApplyResult> fates;
   double burst;  ///< in force in the end; 0: no rate
 };
 
@@ -85,42 +85,42 @@
     const std::vector<OfferCase> cases = {
         {"an older one comes late",
          {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 4, kOther)},
-         {RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kStale},
          20},
         {"the same one comes twice",
          {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 5, kOther)},
-         {RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kStale},
          20},
         {"an invalid one changes nothing",
          {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 6, "{}")},
-         {RecordFate::kInForce, RecordFate::kRejected},
+         {ApplyResult::kApplied, ApplyResult::kRejected},
          20},
         {"the last good one comes after the invalid one",
          {Version(kRateV1, 6, "{}"), Version(kRateV1, 5, kGoodV1)},
-         {RecordFate::kRejected, RecordFate::kInForce},
+         {ApplyResult::kRejected, ApplyResult::kApplied},
          20},
         {"a deletion stays",
          {Version(kRateV1, 5, kGoodV1),
           {kRateV1, 7, "", true},
           Version(kRateV1, 6, kOther)},
-         {RecordFate::kInForce, RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kApplied, ApplyResult::kStale},
          0},
         {"the newer schema counts",
          {Version(kRateV2, 5, kGoodV2), Version(kRateV1, 6, kOther)},
-         {RecordFate::kInForce, RecordFate::kInForce},
+         {ApplyResult::kApplied, ApplyResult::kApplied},
          30},
         {"a deleted newer schema does not bring the older one back",
          {Version(kRateV1, 5, kGoodV1), {kRateV2, 6, "", true}},
-         {RecordFate::kInForce, RecordFate::kInForce},
+         {ApplyResult::kApplied, ApplyResult::kApplied},
          0},
     };
     for (const OfferCase& item : cases) {
       RecordStore store(WhyInvalid);
       for (std::size_t i = 0; i < item.offered.size(); ++i) {
-        CPPUNIT_ASSERT_MESSAGE(item.name,
-                               store.Offer(item.offered[i]) == item.fates[i]);
+        CPPUNIT_ASSERT_MESSAGE(
+            item.name, store.ApplyVersion(item.offered[i]) == item.fates[i]);
       }
-      const auto catalog = BuildCatalog(9, store.Good());
+      const auto catalog = BuildCatalog(9, store.ValidRecords());
       const RateRecord* rate = FindRecord(catalog->rates, "w");
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.burst,
@@ -128,25 +128,25 @@
       // A follower that starts from this store ends in the same state.
       RecordStore follower(WhyInvalid);
       for (const RecordVersion& version : store.Since(0)) {
-        follower.Offer(version);
+        follower.ApplyVersion(version);
       }
-      const auto copy = BuildCatalog(9, follower.Good());
+      const auto copy = BuildCatalog(9, follower.ValidRecords());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, catalog->rates.size(),
                                    copy->rates.size());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, store.Rejected().size(),
-                                   follower.Rejected().size());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, store.RejectedRecords().size(),
+                                   follower.RejectedRecords().size());
     }
   }
 
   void RetiredSchemasDoNotCount() {
     RecordStore store(WhyInvalid);
-    store.Offer(Version(kRateV1, 5, kGoodV1));
-    store.Offer(
+    store.ApplyVersion(Version(kRateV1, 5, kGoodV1));
+    store.ApplyVersion(
         Version("config/retirement/v1/rate", 6, R"({"retired_up_to": 1})"));
-    CPPUNIT_ASSERT(BuildCatalog(6, store.Good())->rates.empty());
-    store.Offer(Version(kRateV2, 7, kGoodV2));
+    CPPUNIT_ASSERT(BuildCatalog(6, store.ValidRecords())->rates.empty());
+    store.ApplyVersion(Version(kRateV2, 7, kGoodV2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         BuildCatalog(7, store.Good())->rates.size());
+                         BuildCatalog(7, store.ValidRecords())->rates.size());
   }
 
   void DraftsAreCheckedWhole() {
--- a/tests/unit/unit-step-timer.cc
+++ b/tests/unit/unit-step-timer.cc
@@ -25,7 +25,7 @@
   /// Runs after the step's time is over, before the timer's handler.
   std::function<void(StepTimer&)> before_handler;
   /// Whether the timer's check finds unread bytes; checks count from 1.
-  std::function<bool(io_context&, StepTimer&, int check)> bytes_wait;
+  std::function<bool(io_context&, StepTimer&, int check)> has_unread_bytes;
   int expired;  ///< how often the step times out
 };
 
@@ -78,7 +78,7 @@
       boost::asio::steady_timer earlier(context, std::chrono::milliseconds(1));
       std::unique_ptr<StepTimer> timer;
       timer = std::make_unique<StepTimer>(context, Clock(SteadyClock()), [&] {
-        return item.bytes_wait(context, *timer, ++checks);
+        return item.has_unread_bytes(context, *timer, ++checks);
       });
       timer->Start(kStep, [&](absl::Duration late) {
         CPPUNIT_ASSERT_MESSAGE(item.what, late >= absl::ZeroDuration());
--- a/tests/unit/unit-threads.cc
+++ b/tests/unit/unit-threads.cc
@@ -11,8 +11,8 @@
 
 #include "absl/synchronization/notification.h"
 #include "dragonflyglade/net/http_server.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/net/task_group.h"
-#include "dragonflyglade/net/worker.h"
 #include "dragonflyglade/target/engine_client.h"
 
 namespace dragonflyglade {
@@ -40,7 +40,7 @@
   void AJobThatThrowsIsDoneAgain() {
     std::atomic<int> rounds{0};
     absl::Notification again;
-    Worker worker([&] {
+    PeriodicWorker worker([&] {
       if (++rounds == 1) throw std::runtime_error("once");
       if (rounds == 2) again.Notify();
       return absl::Milliseconds(1);
@@ -97,7 +97,7 @@
     };
     for (const OrderCase& item : cases) {
       HttpServer server({"127.0.0.1", 0}, 2);
-      server.Library().Post(
+      server.HttplibServer().Post(
           ".*", [&](const httplib::Request&, httplib::Response& response) {
             response.set_content(item.body, "application/json");
           });
@@ -105,7 +105,7 @@
       CPPUNIT_ASSERT(port.Ok());
       const EngineClient engine({"127.0.0.1", port.Value()}, "t",
                                 TargetCallOptions());
-      const Result<OrderReply> reply = engine.Order(EngineOrder());
+      const Result<OrderResult> reply = engine.Order(EngineOrder());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.understood, reply.Ok());
       if (!item.understood) {
         CPPUNIT_ASSERT_MESSAGE(item.what,
