--- a/dragonflyglade/gateway/signal.cc
+++ b/dragonflyglade/gateway/async_condition.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/signal.h"
+#include "dragonflyglade/gateway/async_condition.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -22,14 +22,14 @@
   co_await WaitFor(timer);
 }
 
-asio::awaitable<void> Signal::Wait(absl::Duration timeout) {
+asio::awaitable<void> AsyncCondition::Wait(absl::Duration timeout) {
   asio::steady_timer timer(this->context, absl::ToChronoNanoseconds(timeout));
   const auto position = this->waiting.insert(this->waiting.end(), &timer);
   co_await WaitFor(timer);
   this->waiting.erase(position);
 }
 
-void Signal::Notify() {
+void AsyncCondition::Notify() {
   for (asio::steady_timer* timer : this->waiting) timer->cancel();
 }
 
--- a/dragonflyglade/gateway/signal.h
+++ b/dragonflyglade/gateway/async_condition.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_SIGNAL_H_
-#define DRAGONFLYGLADE_GATEWAY_SIGNAL_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_ASYNC_CONDITION_H_
+#define DRAGONFLYGLADE_GATEWAY_ASYNC_CONDITION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,9 +16,10 @@
                                    absl::Duration time);
 
 /// A condition variable for coroutines on one event loop.
-class Signal {
+class AsyncCondition {
  public:
-  explicit Signal(boost::asio::io_context& context) : context(context) {}
+  explicit AsyncCondition(boost::asio::io_context& context)
+      : context(context) {}
 
   /// Waits for the next Notify.
   /// @param at_most timeout, after which Wait returns without a Notify
@@ -34,4 +35,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_SIGNAL_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_ASYNC_CONDITION_H_
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -119,7 +119,7 @@
   Tasks& tasks;
   const Clock clock;
   const Instant started;
-  Signal wake;
+  AsyncCondition wake;
   std::int64_t sequence = 0;
   /// What this instance had spent when it made a report, by its sequence.
   std::map<std::int64_t, std::map<std::string, double>> spent_at;
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -14,11 +14,11 @@
 #include "absl/types/span.h"
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/instance_choice.h"
+#include "dragonflyglade/gateway/async_condition.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/instance_record.h"
 #include "dragonflyglade/gateway/messages.h"
 #include "dragonflyglade/gateway/recent_changes.h"
-#include "dragonflyglade/gateway/signal.h"
 #include "dragonflyglade/gateway/spend_record.h"
 #include "dragonflyglade/gateway/store_types.h"
 #include "dragonflyglade/gateway/target_state.h"
@@ -105,7 +105,7 @@
   const RecentChanges& RecentUrgentChanges() const { return this->recent; }
 
   /// Notified at each change.
-  Signal& Changed() { return this->changed; }
+  AsyncCondition& Changed() { return this->changed; }
 
   /// The keys of our own.
   static std::string InstanceKey(std::string_view name);
@@ -141,7 +141,7 @@
   const WireFormat& wire;
   const Clock clock;
   EventLog& log;
-  Signal changed;
+  AsyncCondition changed;
   std::shared_ptr<const GatewayConfig> config;
   std::map<std::string, std::uint64_t, std::less<>> revisions;
   std::map<std::string, std::shared_ptr<TargetState>, std::less<>> targets;
--- a/dragonflyglade/gateway/loop_lag_monitor.cc
+++ b/dragonflyglade/gateway/loop_lag_monitor.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "dragonflyglade/gateway/signal.h"
+#include "dragonflyglade/gateway/async_condition.h"
 
 namespace dragonflyglade::gateway {
 namespace {
--- a/dragonflyglade/gateway/placement_controller.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -106,7 +106,7 @@
   Tasks& tasks;
   const Clock clock;
   ResidencyPlanner planner;
-  Signal wake;
+  AsyncCondition wake;
   bool acting = false;
   bool plan_wanted = false;
   std::map<std::string, std::shared_ptr<Engine>> engines;
--- a/dragonflyglade/gateway/quota_admission.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -75,7 +75,7 @@
   /// A question without an answer yet.
   struct Open {
     std::optional<QuotaVerdict> verdict;
-    Signal answered;
+    AsyncCondition answered;
 
     explicit Open(boost::asio::io_context& context) : answered(context) {}
   };
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -5,8 +5,8 @@
 #include <utility>
 #include <vector>
 
+#include "dragonflyglade/gateway/async_condition.h"
 #include "dragonflyglade/gateway/change_codec.h"
-#include "dragonflyglade/gateway/signal.h"
 
 namespace dragonflyglade::gateway {
 
--- a/dragonflyglade/gateway/store_sync_state.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/gateway/signal.h"
+#include "dragonflyglade/gateway/async_condition.h"
 
 namespace dragonflyglade::gateway {
 
@@ -70,7 +70,7 @@
   absl::Duration DigestAge() const;
 
   /// Notified at each word.
-  Signal& Changed() { return this->changed; }
+  AsyncCondition& Changed() { return this->changed; }
 
  private:
   void LookBehind(bool progress);
@@ -86,7 +86,7 @@
   Instant told_steady_since;
   std::optional<Instant> behind_since;
 
-  Signal changed;
+  AsyncCondition changed;
   std::function<void()> on_urgent;
 };
 
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -6,8 +6,8 @@
 #include <string>
 #include <utility>
 
+#include "dragonflyglade/gateway/async_condition.h"
 #include "dragonflyglade/gateway/catch_exception.h"
-#include "dragonflyglade/gateway/signal.h"
 
 namespace dragonflyglade::gateway {
 namespace {
