--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -87,12 +87,10 @@
   boost::asio::awaitable<NextStep> AfterDeclined(RequestJob& job,
                                                  TargetState& target,
                                                  const Declined& declined);
-  boost::asio::awaitable<NextStep> AfterLost(RequestJob& job,
-                                             TargetState& target,
-                                             const Lost& lost);
-  boost::asio::awaitable<NextStep> AfterResponse(RequestJob& job,
-                                                 TargetState& target,
-                                                 const WholeAnswer& answer);
+  boost::asio::awaitable<NextStep> AfterOutcomeUnknown(
+      RequestJob& job, TargetState& target, const OutcomeUnknown& unknown);
+  boost::asio::awaitable<NextStep> AfterResponse(
+      RequestJob& job, TargetState& target, const CompleteResponse& answer);
   bool MayRetry(RequestJob& job, bool may_have_run);
   RetryBudget& RetryBudgetOf(std::string_view service);
   Refusal NoTargetRefusal(const RequestJob& job) const;
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -114,11 +114,11 @@
   } else if (const auto* declined = std::get_if<Declined>(&outcome)) {
     job.attempts += 1;
     next = co_await this->AfterDeclined(job, *target, *declined);
-  } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
+  } else if (const auto* unknown = std::get_if<OutcomeUnknown>(&outcome)) {
     job.attempts += 1;
     job.executions += 1;
-    next = co_await this->AfterLost(job, *target, *lost);
-  } else if (const auto* response = std::get_if<WholeAnswer>(&outcome)) {
+    next = co_await this->AfterOutcomeUnknown(job, *target, *unknown);
+  } else if (const auto* response = std::get_if<CompleteResponse>(&outcome)) {
     job.attempts += 1;
     job.executions += 1;
     next = co_await this->AfterResponse(job, *target, *response);
@@ -216,9 +216,8 @@
   co_return NextStep::kDone;
 }
 
-asio::awaitable<Pipeline::NextStep> Pipeline::AfterLost(RequestJob& job,
-                                                        TargetState& target,
-                                                        const Lost& lost) {
+asio::awaitable<Pipeline::NextStep> Pipeline::AfterOutcomeUnknown(
+    RequestJob& job, TargetState& target, const OutcomeUnknown& unknown) {
   if (job.connection.IsDisconnected()) {
     this->RecordOutcome(job, "caller left", 0);
     co_return NextStep::kDone;
@@ -227,18 +226,18 @@
   this->log.Write("request", "lost",
                   {{"id", job.request.id},
                    {"target", job.target},
-                   {"why", lost.why},
+                   {"why", unknown.why},
                    {"last_event", job.events.LastId()},
                    {"attempts", job.attempts}});
   job.events.Restart();
   // A stream whose events have no ids cannot be resumed.
   const bool resumable =
       !job.connection.StreamStarted() || !job.events.LastId().empty();
-  if (!lost.timed_out && resumable && this->MayRetry(job, true)) {
+  if (!unknown.timed_out && resumable && this->MayRetry(job, true)) {
     co_return NextStep::kTryAnother;
   }
   Refusal refusal =
-      lost.timed_out
+      unknown.timed_out
           ? MakeRefusal(RefusalCode::kTargetTimeout, "no answer in time")
           : MakeRefusal(RefusalCode::kTargetLost, "the target broke off");
   co_await this->Refuse(job, std::move(refusal));
@@ -246,7 +245,7 @@
 }
 
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterResponse(
-    RequestJob& job, TargetState& target, const WholeAnswer& answer) {
+    RequestJob& job, TargetState& target, const CompleteResponse& answer) {
   const Instant now = this->clock.Now();
   const ResponseHead& head = answer.head;
   if (head.load.has_value()) target.SetLoadReport(*head.load, now);
@@ -254,12 +253,13 @@
       head.encoded || (IsSuccess(head.status) &&
                        (!head.is_signed || job.connection.StreamStarted()));
   if (invalid) {
-    const Lost lost{"answer is not signed, is encoded or is no stream"};
-    co_return co_await this->AfterLost(job, target, lost);
+    const OutcomeUnknown unknown{
+        "answer is not signed, is encoded or is no stream"};
+    co_return co_await this->AfterOutcomeUnknown(job, target, unknown);
   }
   if (ImpliesNotExecuted(head.status)) {
-    const Lost lost{"refused without the not-executed field"};
-    co_return co_await this->AfterLost(job, target, lost);
+    const OutcomeUnknown unknown{"refused without the not-executed field"};
+    co_return co_await this->AfterOutcomeUnknown(job, target, unknown);
   }
   const bool failed = head.status >= 500;
   target.RecordResult(failed ? TargetResult::kFailure : TargetResult::kSuccess,
@@ -289,13 +289,14 @@
     target.SetLoadReport(*head.load, this->clock.Now());
   }
   if (!IsSuccess(head.status) || !head.is_signed || head.encoded) {
-    const Lost lost{"stream is not signed, is encoded or has an error status"};
-    co_return co_await this->AfterLost(job, target, lost);
+    const OutcomeUnknown unknown{
+        "stream is not signed, is encoded or has an error status"};
+    co_return co_await this->AfterOutcomeUnknown(job, target, unknown);
   }
   while (true) {
     const StreamReadResult result = co_await exchange.Read();
-    if (const auto* lost = std::get_if<Lost>(&result)) {
-      co_return co_await this->AfterLost(job, target, *lost);
+    if (const auto* unknown = std::get_if<OutcomeUnknown>(&result)) {
+      co_return co_await this->AfterOutcomeUnknown(job, target, *unknown);
     }
     const bool ended = std::holds_alternative<EndOfStream>(result);
     const std::string_view events =
@@ -303,8 +304,8 @@
               : job.events.Add(std::get<StreamBytes>(result).bytes);
     if (job.events.OutOfOrder() || (ended && job.events.HasPartial())) {
       exchange.Abort("stream events out of order or incomplete");
-      const Lost broken{"stream events out of order or incomplete"};
-      co_return co_await this->AfterLost(job, target, broken);
+      const OutcomeUnknown broken{"stream events out of order or incomplete"};
+      co_return co_await this->AfterOutcomeUnknown(job, target, broken);
     }
     const bool written = co_await this->RelayEvents(job, head, events, ended);
     if (!written) {
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -89,7 +89,7 @@
   OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("orders");
-  if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
+  if (const auto* whole = std::get_if<CompleteResponse>(&outcome)) {
     co_return this->wire.decode_order_response(whole->head.status);
   }
   if (const auto* declined = std::get_if<Declined>(&outcome)) {
@@ -196,7 +196,7 @@
   OutgoingHttpRequest call = this->wire.encode_report_call(engine.id);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("engine_reports");
-  const auto* whole = std::get_if<WholeAnswer>(&outcome);
+  const auto* whole = std::get_if<CompleteResponse>(&outcome);
   const bool known = whole != nullptr && this->TakeReport(engine, whole->body);
   this->log.Write("placement", "inspected",
                   {{"target", engine.id},
--- a/dragonflyglade/gateway/store_client.cc
+++ b/dragonflyglade/gateway/store_client.cc
@@ -59,12 +59,12 @@
   StoreResponse reply = StoreOutcomeUnknown{};
   std::string_view result = "unknown";
   std::size_t bytes = 0;
-  if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
+  if (const auto* whole = std::get_if<CompleteResponse>(&outcome)) {
     bytes = whole->body.size();
     reply =
         this->wire.decode_store_response(call, whole->head.status, whole->body);
     result = "answered";
-  } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
+  } else if (const auto* lost = std::get_if<OutcomeUnknown>(&outcome)) {
     reply = StoreOutcomeUnknown{lost->why};
   } else if (std::holds_alternative<NotSent>(outcome)) {
     reply = StoreRefused{};
--- a/dragonflyglade/gateway/target_connection.cc
+++ b/dragonflyglade/gateway/target_connection.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::shared_ptr<TargetConnection> ConnectionPool::Take(Instant now) {
+std::shared_ptr<TargetConnection> ConnectionPool::Acquire(Instant now) {
   while (!this->idle.empty()) {
     std::shared_ptr<TargetConnection> last = std::move(this->idle.back());
     this->idle.pop_back();
@@ -36,9 +36,9 @@
   return nullptr;
 }
 
-void ConnectionPool::Return(std::shared_ptr<TargetConnection> connection,
-                            std::optional<absl::Duration> keep_alive,
-                            Instant now) {
+void ConnectionPool::Release(std::shared_ptr<TargetConnection> connection,
+                             std::optional<absl::Duration> keep_alive,
+                             Instant now) {
   const absl::Duration idle_timeout = keep_alive.has_value()
                                           ? *keep_alive - kIdleTimeoutMargin
                                           : kDefaultIdleTimeout;
--- a/dragonflyglade/gateway/target_connection.h
+++ b/dragonflyglade/gateway/target_connection.h
@@ -30,12 +30,12 @@
   /// expired, open, and without unread bytes. Unusable ones found on the way
   /// are closed.
   /// @return null if there is none
-  std::shared_ptr<TargetConnection> Take(Instant now);
+  std::shared_ptr<TargetConnection> Acquire(Instant now);
 
   /// Adds a connection whose exchange completed cleanly.
   /// @param keep_alive the idle timeout that the target stated, if it did
-  void Return(std::shared_ptr<TargetConnection> connection,
-              std::optional<absl::Duration> keep_alive, Instant now);
+  void Release(std::shared_ptr<TargetConnection> connection,
+               std::optional<absl::Duration> keep_alive, Instant now);
 
   std::size_t Idle() const { return this->idle.size(); }
   void Clear() { this->idle.clear(); }
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -107,7 +107,8 @@
   this->connection->socket.close(ignored);
 }
 
-Lost TargetExchange::LostAfter(const error_code& error) const {
+OutcomeUnknown TargetExchange::UnknownOutcomeAfter(
+    const error_code& error) const {
   if (!this->aborted_by.empty()) return {this->aborted_by, this->timed_out};
   return {error.message(), false};
 }
@@ -115,7 +116,7 @@
 asio::awaitable<std::optional<NotSent>> TargetExchange::Connect(
     std::string_view address, Instant give_up) {
   const Instant now = this->clock.Now();
-  this->connection = this->pool.Take(now);
+  this->connection = this->pool.Acquire(now);
   if (this->connection != nullptr) {
     this->reused = true;
     co_return std::nullopt;
@@ -162,7 +163,7 @@
       });
 }
 
-asio::awaitable<std::optional<Lost>> TargetExchange::ReadOneHead() {
+asio::awaitable<std::optional<OutcomeUnknown>> TargetExchange::ReadOneHead() {
   this->parser.emplace();
   this->parser->header_limit(kMaxHeadBytes);
   // ReadBody limits the size of complete bodies; streams have no limit.
@@ -171,17 +172,17 @@
   co_await http::async_read_header(
       this->connection->socket, this->connection->buffer, *this->parser,
       asio::redirect_error(asio::use_awaitable, error));
-  if (error) co_return this->LostAfter(error);
+  if (error) co_return this->UnknownOutcomeAfter(error);
   this->head = this->wire.decode_response_head(ConvertHead<false>(
       this->parser->get().base(), this->parser->keep_alive()));
   co_return std::nullopt;
 }
 
-asio::awaitable<std::optional<Lost>> TargetExchange::ReadHead(
+asio::awaitable<std::optional<OutcomeUnknown>> TargetExchange::ReadHead(
     std::string_view request_id) {
   for (int skipped = 0; skipped <= kMaxSkippedResponses; ++skipped) {
-    std::optional<Lost> lost = co_await this->ReadOneHead();
-    if (lost.has_value()) co_return lost;
+    std::optional<OutcomeUnknown> failure = co_await this->ReadOneHead();
+    if (failure.has_value()) co_return failure;
     constexpr int kFirstFinalStatus = 200;
     // Interim responses (1xx) carry nothing that is forwarded.
     if (this->head.status < kFirstFinalStatus) continue;
@@ -190,13 +191,13 @@
     // A late duplicate response to an earlier request on this connection. It is
     // read to its end and discarded; this request's own response follows.
     std::string dropped;
-    lost = co_await this->ReadBody(dropped);
-    if (lost.has_value()) co_return lost;
+    failure = co_await this->ReadBody(dropped);
+    if (failure.has_value()) co_return failure;
   }
-  co_return Lost{"got only answers to other requests", false};
+  co_return OutcomeUnknown{"got only answers to other requests", false};
 }
 
-asio::awaitable<std::optional<Lost>> TargetExchange::ReadBody(
+asio::awaitable<std::optional<OutcomeUnknown>> TargetExchange::ReadBody(
     std::string& body) {
   std::array<char, kReadBytes> chunk;
   while (!this->parser->is_done()) {
@@ -210,11 +211,11 @@
         asio::redirect_error(asio::use_awaitable, error));
     body.append(chunk.data(), chunk.size() - buffer.size);
     if (error && error != http::error::need_buffer) {
-      co_return this->LostAfter(error);
+      co_return this->UnknownOutcomeAfter(error);
     }
     this->RestartStallTimeout();
     if (body.size() > kMaxBodyBytes)
-      co_return Lost{"answer body too large", false};
+      co_return OutcomeUnknown{"answer body too large", false};
   }
   co_return std::nullopt;
 }
@@ -227,26 +228,26 @@
   this->give_up = give_up;
   this->StartStep(give_up, "no answer in time");
   this->StartWriting(std::move(head), body);
-  std::optional<Lost> lost = co_await this->ReadHead(request_id);
-  if (lost.has_value()) {
+  std::optional<OutcomeUnknown> failure = co_await this->ReadHead(request_id);
+  if (failure.has_value()) {
     if (this->write->done && this->write->bytes == 0) {
-      co_return NotSent{"nothing could be written: " + lost->why};
+      co_return NotSent{"nothing could be written: " + failure->why};
     }
-    co_return *lost;
+    co_return *failure;
   }
   if (this->head.event_stream && !this->head.not_executed) {
     co_return StreamHead{this->head};
   }
   std::string response_body;
-  lost = co_await this->ReadBody(response_body);
+  failure = co_await this->ReadBody(response_body);
   if (this->head.not_executed) {
     // The not-executed field alone decides; the body is not forwarded.
-    if (!lost.has_value()) this->Finish();
+    if (!failure.has_value()) this->Finish();
     co_return Declined{this->head};
   }
-  if (lost.has_value()) co_return *lost;
+  if (failure.has_value()) co_return *failure;
   this->Finish();
-  co_return WholeAnswer{this->head, std::move(response_body)};
+  co_return CompleteResponse{this->head, std::move(response_body)};
 }
 
 asio::awaitable<StreamReadResult> TargetExchange::Read() {
@@ -270,7 +271,7 @@
         std::string_view(this->read_buffer.data(), bytes_read)};
   }
   if (error && error != http::error::need_buffer) {
-    co_return this->LostAfter(error);
+    co_return this->UnknownOutcomeAfter(error);
   }
   co_return StreamBytes{};
 }
@@ -282,8 +283,8 @@
                         this->connection->buffer.size() == 0 &&
                         this->aborted_by.empty();
   if (reusable) {
-    this->pool.Return(std::move(this->connection), this->head.keep_alive,
-                      this->clock.Now());
+    this->pool.Release(std::move(this->connection), this->head.keep_alive,
+                       this->clock.Now());
   }
   this->connection = nullptr;
 }
--- a/dragonflyglade/gateway/target_exchange.h
+++ b/dragonflyglade/gateway/target_exchange.h
@@ -30,12 +30,12 @@
 };
 /// The request was sent, but no valid response arrived: its outcome is unknown,
 /// the target may have executed it.
-struct Lost {
+struct OutcomeUnknown {
   std::string why;
   bool timed_out = false;
 };
 /// A complete response to this request, of the length that it states.
-struct WholeAnswer {
+struct CompleteResponse {
   ResponseHead head;
   std::string body;
 };
@@ -43,8 +43,8 @@
 struct StreamHead {
   ResponseHead head;
 };
-using ExchangeOutcome =
-    std::variant<NotSent, Declined, Lost, WholeAnswer, StreamHead>;
+using ExchangeOutcome = std::variant<NotSent, Declined, OutcomeUnknown,
+                                     CompleteResponse, StreamHead>;
 
 /// The next bytes of a stream's body.
 struct StreamBytes {
@@ -52,7 +52,7 @@
 };
 /// The stream ended completely, by its framing.
 struct EndOfStream {};
-using StreamReadResult = std::variant<StreamBytes, EndOfStream, Lost>;
+using StreamReadResult = std::variant<StreamBytes, EndOfStream, OutcomeUnknown>;
 
 /// Exchanges one request and its response with one target on one connection.
 /// Runs on one event loop.
@@ -103,14 +103,16 @@
   boost::asio::awaitable<std::optional<NotSent>> Connect(
       std::string_view address, Instant give_up);
   void StartWriting(std::string head, std::string_view body);
-  boost::asio::awaitable<std::optional<Lost>> ReadHead(
+  boost::asio::awaitable<std::optional<OutcomeUnknown>> ReadHead(
       std::string_view request_id);
-  boost::asio::awaitable<std::optional<Lost>> ReadOneHead();
-  boost::asio::awaitable<std::optional<Lost>> ReadBody(std::string& body);
+  boost::asio::awaitable<std::optional<OutcomeUnknown>> ReadOneHead();
+  boost::asio::awaitable<std::optional<OutcomeUnknown>> ReadBody(
+      std::string& body);
   void StartStep(Instant until, std::string_view why);
   void RestartStallTimeout();
   bool HasUnreadBytes() const;
-  Lost LostAfter(const boost::system::error_code& error) const;
+  OutcomeUnknown UnknownOutcomeAfter(
+      const boost::system::error_code& error) const;
   void Finish();
 
   boost::asio::io_context& context;
