--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -90,7 +90,7 @@
   boost::asio::awaitable<NextStep> AfterOutcomeUnknown(
       RequestJob& job, TargetState& target, const OutcomeUnknown& unknown);
   boost::asio::awaitable<NextStep> AfterResponse(
-      RequestJob& job, TargetState& target, const CompleteResponse& answer);
+      RequestJob& job, TargetState& target, const CompleteResponse& response);
   bool MayRetry(RequestJob& job, bool may_have_run);
   RetryBudget& RetryBudgetOf(std::string_view service);
   Refusal NoTargetRefusal(const RequestJob& job) const;
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -245,9 +245,9 @@
 }
 
 asio::awaitable<Pipeline::NextStep> Pipeline::AfterResponse(
-    RequestJob& job, TargetState& target, const CompleteResponse& answer) {
+    RequestJob& job, TargetState& target, const CompleteResponse& response) {
   const Instant now = this->clock.Now();
-  const ResponseHead& head = answer.head;
+  const ResponseHead& head = response.head;
   if (head.load.has_value()) target.SetLoadReport(*head.load, now);
   const bool invalid =
       head.encoded || (IsSuccess(head.status) &&
@@ -277,7 +277,7 @@
     co_return NextStep::kDone;
   }
   const bool written = co_await job.connection.WriteResponse(
-      head.status, head.forwarded_fields, answer.body);
+      head.status, head.forwarded_fields, response.body);
   this->RecordOutcome(job, written ? "answered" : "caller left", head.status);
   co_return NextStep::kDone;
 }
--- a/tests/platform/gateway_harness.cc
+++ b/tests/platform/gateway_harness.cc
@@ -257,12 +257,13 @@
   return settings;
 }
 
-LoopBlocker::LoopBlocker(GatewayHarness& stage) {
+LoopBlocker::LoopBlocker(GatewayHarness& harness) {
   const auto held = std::make_shared<absl::Notification>();
-  boost::asio::post(stage.gateway->Context(), [held, release = this->release] {
-    held->Notify();
-    release->WaitForNotification();
-  });
+  boost::asio::post(harness.gateway->Context(),
+                    [held, release = this->release] {
+                      held->Notify();
+                      release->WaitForNotification();
+                    });
   held->WaitForNotification();
 }
 
--- a/tests/platform/gateway_harness.h
+++ b/tests/platform/gateway_harness.h
@@ -145,7 +145,7 @@
 class LoopBlocker {
  public:
   /// Returns once the loop is blocked.
-  explicit LoopBlocker(GatewayHarness& stage);
+  explicit LoopBlocker(GatewayHarness& harness);
   ~LoopBlocker();
   LoopBlocker(const LoopBlocker&) = delete;
   LoopBlocker& operator=(const LoopBlocker&) = delete;
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -28,9 +28,9 @@
 // A caller that reuses its connection.
 class KeepAliveClient {
  public:
-  explicit KeepAliveClient(GatewayHarness& stage)
-      : stage(stage),
-        socket(stage.Connect(stage.gateway->Settings().callers)) {}
+  explicit KeepAliveClient(GatewayHarness& harness)
+      : harness(harness),
+        socket(harness.Connect(harness.gateway->Settings().callers)) {}
 
   void Write(const std::string& text) {
     error_code error;
@@ -52,12 +52,12 @@
   }
 
   int Call() {
-    this->Write(this->stage.KeepAliveRequestText("GET", "/any/"));
+    this->Write(this->harness.KeepAliveRequestText("GET", "/any/"));
     return this->ReadStatus();
   }
 
  private:
-  GatewayHarness& stage;
+  GatewayHarness& harness;
   std::unique_ptr<tcp::socket> socket;
   std::string buffer;
 };
@@ -103,16 +103,16 @@
     for (const BlockedLoopCase& item : cases) {
       GatewayHarness::Options options;
       options.limits = item.limits;
-      GatewayHarness stage(std::move(options));
-      KeepAliveClient caller(stage);
+      GatewayHarness harness(std::move(options));
+      KeepAliveClient caller(harness);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
-      const std::string text = stage.KeepAliveRequestText(
+      const std::string text = harness.KeepAliveRequestText(
           "GET", "/any/",
           "X-Padding: " + std::string(item.padding, 'x') + "\r\n");
       caller.Write(text.substr(0, item.bytes_before));
       absl::SleepFor(kReadTime);
       {
-        LoopBlocker blocker(stage);
+        LoopBlocker blocker(harness);
         caller.Write(text.substr(item.bytes_before));
         absl::SleepFor(kPastShortLimit);
       }
@@ -125,17 +125,17 @@
   // the complete response waits in the socket.
   void ForwardsAResponseThatArrivesInTimeWhileTheLoopIsBlocked() {
     constexpr std::size_t kBodyBytes = 50000;
-    GatewayHarness stage;
+    GatewayHarness harness;
     std::unique_ptr<LoopBlocker> blocker;
     absl::Notification blocked;
-    stage.first.Next([&](const RawRequest& request) {
-      blocker = std::make_unique<LoopBlocker>(stage);
+    harness.first.Next([&](const RawRequest& request) {
+      blocker = std::make_unique<LoopBlocker>(harness);
       blocked.Notify();
       return Script{ResponseBytes(request, "200 OK",
                                   std::string(kBodyBytes, 'x'), kSigned)};
     });
-    KeepAliveClient caller(stage);
-    caller.Write(stage.KeepAliveRequestText(
+    KeepAliveClient caller(harness);
+    caller.Write(harness.KeepAliveRequestText(
         "GET", "/any/", "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
     blocked.WaitForNotification();
     absl::SleepFor(2 * kShortLimit);
@@ -149,9 +149,9 @@
   void KeepsTheConnectionForTheAnnouncedIdleTimeout() {
     GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", 2 * kShortLimitMs}};
-    GatewayHarness stage(std::move(options));
-    KeepAliveClient caller(stage);
-    caller.Write(stage.KeepAliveRequestText("GET", "/any/"));
+    GatewayHarness harness(std::move(options));
+    KeepAliveClient caller(harness);
+    caller.Write(harness.KeepAliveRequestText("GET", "/any/"));
     const RawRequest response = caller.Read();
     CPPUNIT_ASSERT_EQUAL(std::string("timeout=1"),
                          response.Field("Keep-Alive"));
@@ -170,12 +170,12 @@
     for (const ChangedLimitCase& item : cases) {
       GatewayHarness::Options options;
       options.limits = {{"idle_timeout_ms", item.before_ms}};
-      GatewayHarness stage(std::move(options));
-      KeepAliveClient caller(stage);
+      GatewayHarness harness(std::move(options));
+      KeepAliveClient caller(harness);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
-      json newer = stage.Config(2, "plain");
+      json newer = harness.Config(2, "plain");
       newer["limits"] = {{"idle_timeout_ms", item.after_ms}};
-      stage.PutConfig(newer);
+      harness.PutConfig(newer);
       absl::SleepFor(kPastShortLimit);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
     }
@@ -184,8 +184,8 @@
   void ClosesAnIdleConnection() {
     GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", kShortLimitMs}};
-    GatewayHarness stage(std::move(options));
-    KeepAliveClient caller(stage);
+    GatewayHarness harness(std::move(options));
+    KeepAliveClient caller(harness);
     CPPUNIT_ASSERT_EQUAL(200, caller.Call());
     CPPUNIT_ASSERT_EQUAL(0, caller.ReadStatus());
   }
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -23,7 +23,7 @@
 namespace {
 
 using gateway::GatewaySettings;
-using Stage = GatewayHarness;
+using Harness = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
@@ -162,14 +162,14 @@
          200, 2},
     };
     for (const ExchangeCase& item : cases) {
-      Stage stage;
-      stage.AddSecond();
-      stage.ScriptNextRequest(item.first_response, SuccessfulResponse);
-      const std::size_t before = stage.RequestCount();
-      const Stage::Reply reply = stage.Call("POST", item.path);
+      Harness harness;
+      harness.AddSecond();
+      harness.ScriptNextRequest(item.first_response, SuccessfulResponse);
+      const std::size_t before = harness.RequestCount();
+      const Harness::Reply reply = harness.Call("POST", item.path);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.requests,
-                                   stage.RequestCount() - before);
+                                   harness.RequestCount() - before);
       const bool has_signature =
           !reply.Field("X-Dragonflyglade-Server-Signature").empty();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -182,9 +182,9 @@
   }
 
   void ForwardsFieldsForTheTarget() {
-    Stage stage;
-    stage.Call("GET", "/any/x?y=1", "k1", "X-Mine: 5\r\n");
-    const RawRequest request = stage.first.Requests().back();
+    Harness harness;
+    harness.Call("GET", "/any/x?y=1", "k1", "X-Mine: 5\r\n");
+    const RawRequest request = harness.first.Requests().back();
     CPPUNIT_ASSERT_EQUAL(std::string("GET /any/x?y=1 HTTP/1.1"),
                          request.Line());
     CPPUNIT_ASSERT_EQUAL(std::string("5"), request.Field("X-Mine"));
@@ -211,15 +211,15 @@
         {"a key that is not known", "/any/", "nobody", 401, false},
         {"above the quota", "/any/", "k2", 429, true},
     };
-    Stage stage;
+    Harness harness;
     for (const RefusalCase& item : cases) {
-      const std::size_t before = stage.first.Requests().size();
-      const Stage::Reply reply = stage.Call("GET", item.path, item.key);
+      const std::size_t before = harness.first.Requests().size();
+      const Harness::Reply reply = harness.Call("GET", item.path, item.key);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.retry_after,
                                    !reply.Field("Retry-After").empty());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, before,
-                                   stage.first.Requests().size());
+                                   harness.first.Requests().size());
     }
   }
 
@@ -228,16 +228,16 @@
   // gateway discards the incomplete event, and the other target resumes after
   // the last complete one.
   void ResumesABrokenStreamAtAnotherTarget() {
-    Stage stage(StreamedEvents);
-    stage.AddSecond();
-    stage.ScriptNextRequest(BrokenStream, StreamedEvents);
-    const Stage::Reply reply = stage.Call("POST", "/resumed/");
+    Harness harness(StreamedEvents);
+    harness.AddSecond();
+    harness.ScriptNextRequest(BrokenStream, StreamedEvents);
+    const Harness::Reply reply = harness.Call("POST", "/resumed/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(reply.ended_whole);
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3) + Event(4),
                          DecodeChunked(reply.Body()));
-    const RawRequest one = stage.first.Requests().back();
-    const RawRequest other = stage.second.Requests().back();
+    const RawRequest one = harness.first.Requests().back();
+    const RawRequest other = harness.second.Requests().back();
     CPPUNIT_ASSERT(one.Field("Last-Event-Id") == "2" ||
                    other.Field("Last-Event-Id") == "2");
     CPPUNIT_ASSERT_EQUAL(one.Field("X-Dragonflyglade-Attempt-Id"),
@@ -248,12 +248,12 @@
   // must not be resumed breaks, the caller's connection has to end without the
   // last chunk; otherwise the caller would take the part for the whole.
   void ABrokenStreamDoesNotLookComplete() {
-    Stage stage(BrokenStream);
-    const Stage::Reply reply = stage.Call("POST", "/cut/");
+    Harness harness(BrokenStream);
+    const Harness::Reply reply = harness.Call("POST", "/cut/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(absl::StrContains(reply.text, Event(2)));
     CPPUNIT_ASSERT(!reply.ended_whole);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stage.first.Requests().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.first.Requests().size());
   }
 
   // Guards against a second response in the middle of a stream. A resumable
@@ -261,12 +261,12 @@
   // A 503 sent then would stand between the chunks of the first response; the
   // gateway must close the connection instead.
   void NoSecondResponseInABrokenStream() {
-    Stage stage;
-    stage.first.Next(BrokenStream);
+    Harness harness;
+    harness.first.Next(BrokenStream);
     // More than the attempts that the gateway makes.
     constexpr int kRefusals = 6;
-    for (int i = 0; i < kRefusals; ++i) stage.first.Next(DeclinedResponse);
-    const Stage::Reply reply = stage.Call("POST", "/resumed/x");
+    for (int i = 0; i < kRefusals; ++i) harness.first.Next(DeclinedResponse);
+    const Harness::Reply reply = harness.Call("POST", "/resumed/x");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(!reply.ended_whole);
     CPPUNIT_ASSERT(absl::StrContains(reply.text, Event(2)));
@@ -278,13 +278,13 @@
   // once. Callers come back within a second, so the spending of their workspace
   // must be in the store by then.
   void RecordsSpendingInTheStore() {
-    Stage stage;
+    Harness harness;
     const std::string key(gateway::FleetState::kSpendsKey);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/", "k3").status);
-    stage.WaitFor([&] { return !stage.store.Get(key).empty(); });
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/", "k3").status);
+    harness.WaitFor([&] { return !harness.store.Get(key).empty(); });
     const Result<gateway::SpendRecord> record =
-        gateway::DecodeSpendRecord(stage.store.Get(key));
+        gateway::DecodeSpendRecord(harness.store.Get(key));
     CPPUNIT_ASSERT(record.Ok());
     const auto spent = gateway::SpendingByWorkspace(record.Value());
     CPPUNIT_ASSERT(spent.at("large") >= 100);
@@ -296,112 +296,119 @@
   // would stay until their leases expire, and no instance could place models
   // meanwhile. It must retry while it serves its last callers.
   void ReleasesTheLeaderLeaseOnceTheStoreAccepts() {
-    Stage stage;
+    Harness harness;
     const std::string key(gateway::FleetState::kLeaderKey);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    stage.store.RejectWrites(true);
-    boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT(!stage.store.Get(key).empty());
-    stage.store.RejectWrites(false);
-    stage.WaitFor([&] { return stage.store.Get(key).empty(); });
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    harness.store.RejectWrites(true);
+    boost::asio::post(harness.gateway->Context(),
+                      [&] { harness.gateway->Stop(); });
+    harness.WaitFor([&] { return !harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT(!harness.store.Get(key).empty());
+    harness.store.RejectWrites(false);
+    harness.WaitFor([&] { return harness.store.Get(key).empty(); });
   }
 
   // The caller disconnects while its request runs. The gateway must close the
   // connection to the target, or the target would complete a request whose
   // response nobody reads.
   void ClosesTheTargetConnectionWhenTheCallerDisconnects() {
-    Stage stage;
-    stage.first.Next([](const RawRequest&) { return Script{"", false, true}; });
-    const std::size_t before = stage.first.Requests().size();
-    auto socket = stage.Connect(stage.gateway->Settings().callers);
-    const std::string text = stage.Text("POST", "/once/");
+    Harness harness;
+    harness.first.Next([](const RawRequest&) {
+      return Script{"", false, true};
+    });
+    const std::size_t before = harness.first.Requests().size();
+    auto socket = harness.Connect(harness.gateway->Settings().callers);
+    const std::string text = harness.Text("POST", "/once/");
     boost::asio::write(*socket, boost::asio::buffer(text));
-    stage.WaitFor([&] { return stage.first.Requests().size() == before + 1; });
+    harness.WaitFor(
+        [&] { return harness.first.Requests().size() == before + 1; });
     socket->close();
-    stage.WaitFor([&] { return stage.first.ConnectionsClosedByPeer() == 1; });
+    harness.WaitFor(
+        [&] { return harness.first.ConnectionsClosedByPeer() == 1; });
   }
 
   void AppliesNewConfigurations() {
-    Stage stage;
-    CPPUNIT_ASSERT_EQUAL(404, stage.Call("GET", "/new/").status);
-    stage.store.Put("op/config", stage.Config(2, "new").dump());
-    stage.WaitFor([&] { return stage.Call("GET", "/new/").status == 200; });
-    CPPUNIT_ASSERT_EQUAL(404, stage.Call("GET", "/plain/").status);
-    stage.store.Put("op/config", "not a configuration");
-    stage.PutTarget("i-2", stage.second, "ready");
-    stage.WaitFor([&] {
-      return stage.Read<bool>(
-          [&] { return stage.gateway->Fleet().Target("i-2") != nullptr; });
+    Harness harness;
+    CPPUNIT_ASSERT_EQUAL(404, harness.Call("GET", "/new/").status);
+    harness.store.Put("op/config", harness.Config(2, "new").dump());
+    harness.WaitFor([&] { return harness.Call("GET", "/new/").status == 200; });
+    CPPUNIT_ASSERT_EQUAL(404, harness.Call("GET", "/plain/").status);
+    harness.store.Put("op/config", "not a configuration");
+    harness.PutTarget("i-2", harness.second, "ready");
+    harness.WaitFor([&] {
+      return harness.Read<bool>(
+          [&] { return harness.gateway->Fleet().Target("i-2") != nullptr; });
     });
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/new/").status);
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/new/").status);
   }
 
   void SendsNoRequestsToADrainingTarget() {
-    Stage stage;
-    stage.AddSecond();
-    stage.PutTarget("i-1", stage.first, "draining");
-    stage.WaitFor([&] {
-      return stage.Read<bool>([&] {
-        return stage.gateway->Fleet().Target("i-1")->Record().leaving;
+    Harness harness;
+    harness.AddSecond();
+    harness.PutTarget("i-1", harness.first, "draining");
+    harness.WaitFor([&] {
+      return harness.Read<bool>([&] {
+        return harness.gateway->Fleet().Target("i-1")->Record().leaving;
       });
     });
-    const std::size_t before = stage.first.Requests().size();
+    const std::size_t before = harness.first.Requests().size();
     for (int i = 0; i < 20; ++i) {
-      CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/").status);
+      CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/").status);
     }
-    CPPUNIT_ASSERT_EQUAL(before, stage.first.Requests().size());
+    CPPUNIT_ASSERT_EQUAL(before, harness.first.Requests().size());
   }
 
   // SIGHUP must reload the settings, and invalid settings must change nothing.
   // Unhandled, the signal would end the process and all its requests.
   void ReloadsItsSettings() {
-    Stage stage;
-    const GatewaySettings settings =
-        stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
+    Harness harness;
+    const GatewaySettings settings = harness.Read<GatewaySettings>(
+        [&] { return harness.gateway->Settings(); });
     const auto cached_for = [&](const std::string& seconds) {
       return absl::StrContains(
-          stage.Ask(settings.directory, "/-/resolve?name=h").Body(),
+          harness.Ask(settings.directory, "/-/resolve?name=h").Body(),
           "\"ttl_s\":" + seconds);
     };
     CPPUNIT_ASSERT(cached_for("2"));
     GatewaySettings newer = settings;
     newer.directory_keep = absl::Seconds(4);
-    stage.reread = newer;
+    harness.reread = newer;
     kill(getpid(), SIGHUP);
-    stage.WaitFor([&] { return cached_for("4"); });
-    stage.reread =
+    harness.WaitFor([&] { return cached_for("4"); });
+    harness.reread =
         MakeFailure(Errc::kInvalidSettings, "read settings", "settings");
-    stage.Read<bool>([&] {
-      stage.gateway->Reload();
+    harness.Read<bool>([&] {
+      harness.gateway->Reload();
       return true;
     });
     CPPUNIT_ASSERT(cached_for("4"));
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/").status);
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/").status);
   }
 
   // A process that shuts down must report that it is not ready and leave the
   // list of instances, but still serve requests, since callers cache the list
   // for seconds.
   void ServesRequestsDuringShutdown() {
-    Stage stage;
-    const GatewaySettings settings =
-        stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
+    Harness harness;
+    const GatewaySettings settings = harness.Read<GatewaySettings>(
+        [&] { return harness.gateway->Settings(); });
     CPPUNIT_ASSERT_EQUAL(200,
-                         stage.Ask(settings.readiness, "/-/readyz").status);
+                         harness.Ask(settings.readiness, "/-/readyz").status);
     const std::string listed =
-        stage.Ask(settings.directory, "/-/resolve?name=h").Body();
+        harness.Ask(settings.directory, "/-/resolve?name=h").Body();
     CPPUNIT_ASSERT(absl::StrContains(listed, settings.callers.ToString()));
-    boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] {
-      return stage.Ask(settings.readiness, "/-/readyz").status == 503;
+    boost::asio::post(harness.gateway->Context(),
+                      [&] { harness.gateway->Stop(); });
+    harness.WaitFor([&] {
+      return harness.Ask(settings.readiness, "/-/readyz").status == 503;
     });
     const std::string after_stop =
-        stage.Ask(settings.directory, "/-/resolve?name=h").Body();
+        harness.Ask(settings.directory, "/-/resolve?name=h").Body();
     CPPUNIT_ASSERT(!absl::StrContains(after_stop, settings.callers.ToString()));
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("POST", "/once/").status);
-    stage.WaitFor(
-        [&] { return stage.store.Keys("dragonflyglade/instances/").empty(); });
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("POST", "/once/").status);
+    harness.WaitFor([&] {
+      return harness.store.Keys("dragonflyglade/instances/").empty();
+    });
   }
 };
 
