--- a/dragonflyglade/gateway/messages.h
+++ b/dragonflyglade/gateway/messages.h
@@ -45,8 +45,8 @@
   std::optional<absl::Duration> deadline;  ///< time that the caller waits
   ModelUse use;
   std::optional<std::string> resume_after;  ///< id of the last event received
-  HeaderFields
-      forwarded_fields;  ///< end-to-end fields that the gateway doesn't set
+  /// End-to-end fields, without those that the gateway sets.
+  HeaderFields forwarded_fields;
   std::string body;
   bool keep_alive = true;
 };
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -172,7 +172,7 @@
 
 asio::awaitable<void> Pipeline::Forward(RequestJob& job) {
   const ModelUse& use = job.request.use;
-  if (job.IsEngineWork()) {
+  if (job.NeedsModel()) {
     const double work_ms =
         EngineWorkMs(use.prompt_tokens, job.SharedTokens(), use.output_tokens);
     this->demand.Asked({job.service->name, use.model, ""}, work_ms);
@@ -286,7 +286,7 @@
 asio::awaitable<std::shared_ptr<TargetState>> Pipeline::FindTarget(
     RequestJob& job) {
   std::shared_ptr<TargetState> target = this->Choose(job);
-  if (!job.IsEngineWork()) co_return target;
+  if (!job.NeedsModel()) co_return target;
   if (target != nullptr) target = co_await this->DelayForPacing(job, target);
   if (target != nullptr) co_return target;
   const Instant wait_start = this->clock.Now();
@@ -317,7 +317,7 @@
 Refusal Pipeline::NoTargetRefusal(const RequestJob& job) const {
   constexpr const char* kText = "no target can take the request now";
   if (job.executions > 0) return MakeRefusal(RefusalCode::kTargetLost, kText);
-  if (job.IsEngineWork()) {
+  if (job.NeedsModel()) {
     return MakeRefusal(RefusalCode::kModelNotResident, kText,
                        kRetryAfterModelLoad);
   }
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -81,7 +81,7 @@
                            ? job.request.resume_after
                            : std::optional<std::string>(job.events.LastId());
   if (job.workspace != nullptr) stamp.workspace = job.workspace->name;
-  if (job.IsEngineWork()) {
+  if (job.NeedsModel()) {
     stamp.priority = EngineRequestPriority(
         job.route->priority,
         job.workspace == nullptr ? std::nullopt : job.workspace->priority);
@@ -99,7 +99,7 @@
                           this->clock);
   job.exchange = &exchange;
   InFlightGuard guard(*target, job.UnreadTokens(), job.Resident(), now);
-  if (job.IsEngineWork()) {
+  if (job.NeedsModel()) {
     this->channel.BroadcastSentPrompt(job.target, job.UnreadTokens());
   }
   ExchangeOutcome outcome = co_await exchange.Run(
@@ -196,7 +196,7 @@
   const ModelUse& use = job.request.use;
   if (!declined.head.wrong_target) {
     target.MarkFull(now);
-  } else if (job.IsEngineWork()) {
+  } else if (job.NeedsModel()) {
     target.MarkNotResident(use.model, use.adapter, now);
     const ModelName name{job.service->name, use.model, use.adapter};
     this->channel.ReportMissingModel(job.target, name);
--- a/dragonflyglade/gateway/request_job.h
+++ b/dragonflyglade/gateway/request_job.h
@@ -49,7 +49,7 @@
   RequestJob(CallerRequest request, CallerConnection& connection)
       : request(std::move(request)), connection(connection) {}
 
-  bool IsEngineWork() const { return !this->request.use.model.empty(); }
+  bool NeedsModel() const { return !this->request.use.model.empty(); }
   /// Whether the request may be repeated at another target after a target may
   /// have executed it.
   bool MayReexecute() const {
@@ -63,7 +63,7 @@
   /// service has no engines.
   std::string Resident() const {
     const ModelUse& use = this->request.use;
-    return this->IsEngineWork() ? ResidentKey(use.model, use.adapter) : "";
+    return this->NeedsModel() ? ResidentKey(use.model, use.adapter) : "";
   }
   /// Prompt tokens that the target is expected to process, cached ones not
   /// counted.
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -96,7 +96,7 @@
 void TargetExchange::RestartStallTimeout() {
   if (!this->stall_timeout.has_value()) return;
   const Instant next = this->clock.Now() + *this->stall_timeout;
-  this->StartStep(std::max(this->give_up, next), "the answer stalled");
+  this->StartStep(std::max(this->deadline, next), "the answer stalled");
 }
 
 void TargetExchange::Abort(std::string_view why) {
@@ -114,7 +114,7 @@
 }
 
 asio::awaitable<std::optional<NotSent>> TargetExchange::Connect(
-    std::string_view address, Instant give_up) {
+    std::string_view address, Instant deadline) {
   const Instant now = this->clock.Now();
   this->connection = this->pool.Acquire(now);
   if (this->connection != nullptr) {
@@ -124,7 +124,7 @@
   const Result<Endpoint> endpoint = ParseEndpoint(address);
   if (!endpoint.Ok()) co_return NotSent{endpoint.Error().ToString()};
   this->connection = std::make_shared<TargetConnection>(this->context);
-  this->StartStep(std::min(now + kConnectTimeout, give_up), "connect timeout");
+  this->StartStep(std::min(now + kConnectTimeout, deadline), "connect timeout");
   error_code error;
   const asio::ip::address ip =
       asio::ip::make_address(endpoint.Value().address, error);
@@ -222,11 +222,11 @@
 
 asio::awaitable<ExchangeOutcome> TargetExchange::Run(
     std::string_view address, std::string_view request_id, std::string head,
-    std::string_view body, Instant give_up) {
-  std::optional<NotSent> not_sent = co_await this->Connect(address, give_up);
+    std::string_view body, Instant deadline) {
+  std::optional<NotSent> not_sent = co_await this->Connect(address, deadline);
   if (not_sent.has_value()) co_return *not_sent;
-  this->give_up = give_up;
-  this->StartStep(give_up, "no answer in time");
+  this->deadline = deadline;
+  this->StartStep(deadline, "no answer in time");
   this->StartWriting(std::move(head), body);
   std::optional<OutcomeUnknown> failure = co_await this->ReadHead(request_id);
   if (failure.has_value()) {
--- a/dragonflyglade/gateway/target_exchange.h
+++ b/dragonflyglade/gateway/target_exchange.h
@@ -71,12 +71,12 @@
   /// @param address IP address and port of the target
   /// @param request_id id that the response must carry, if it carries one
   /// @param head request line and header fields, with the blank line
-  /// @param give_up deadline of the whole exchange
+  /// @param deadline when the whole exchange times out
   boost::asio::awaitable<ExchangeOutcome> Run(std::string_view address,
                                               std::string_view request_id,
                                               std::string head,
                                               std::string_view body,
-                                              Instant give_up);
+                                              Instant deadline);
 
   /// Lets Run continue past its deadline while the response's body arrives, as
   /// long as the gap between two reads is no longer than this timeout. To be
@@ -101,7 +101,7 @@
   struct RequestWrite;
 
   boost::asio::awaitable<std::optional<NotSent>> Connect(
-      std::string_view address, Instant give_up);
+      std::string_view address, Instant deadline);
   void StartWriting(std::string head, std::string_view body);
   boost::asio::awaitable<std::optional<OutcomeUnknown>> ReadHead(
       std::string_view request_id);
@@ -126,7 +126,7 @@
   std::string read_buffer;
   ResponseHead head;
   std::string aborted_by;  ///< empty: not aborted
-  Instant give_up;
+  Instant deadline;
   std::optional<absl::Duration> stall_timeout;
   bool timed_out = false;
   bool reused = false;
