--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -232,7 +232,7 @@
     candidate.requests = target->EstimatedRequests(now);
     candidate.unread_tokens = target->EstimatedUnreadTokens(now);
     candidate.same_zone = record.zone == this->settings.zone;
-    candidate.failure_rate = target->FaultShare();
+    candidate.failure_rate = target->FailureRate();
     candidates.push_back(candidate);
     targets.push_back(target);
   }
--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -21,7 +21,7 @@
 // The weight of a request in the moving average of failures: about the last ten
 // requests count, so that a target which fails two in five stands out within a
 // second.
-constexpr double kFaultWeight = 0.1;
+constexpr double kFailureWeight = 0.1;
 // An unreachable target is avoided with exponential backoff: each failure in a
 // row doubles the time, up to this number of times.
 constexpr absl::Duration kInitialBackoff = absl::Milliseconds(500);
@@ -167,7 +167,7 @@
 
 void TargetState::RecordResult(TargetResult result, Instant now) {
   const double fault = result == TargetResult::kSuccess ? 0 : 1;
-  this->failure_rate += kFaultWeight * (fault - this->failure_rate);
+  this->failure_rate += kFailureWeight * (fault - this->failure_rate);
   if (result != TargetResult::kUnreachable) {
     this->unreachable_in_row = 0;
     return;
--- a/dragonflyglade/gateway/target_state.h
+++ b/dragonflyglade/gateway/target_state.h
@@ -100,7 +100,7 @@
   /// unreachable.
   bool IsAvoided(Instant now) const { return now < this->avoid_until; }
   /// Moving average of the share of requests that failed, from 0 to 1.
-  double FaultShare() const { return this->failure_rate; }
+  double FailureRate() const { return this->failure_rate; }
 
   /// Set when the target's record left the store while the target may still be
   /// running.
