--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -166,8 +166,8 @@
 }
 
 void TargetState::RecordResult(TargetResult result, Instant now) {
-  const double fault = result == TargetResult::kSuccess ? 0 : 1;
-  this->failure_rate += kFailureWeight * (fault - this->failure_rate);
+  const double failed = result == TargetResult::kSuccess ? 0 : 1;
+  this->failure_rate += kFailureWeight * (failed - this->failure_rate);
   if (result != TargetResult::kUnreachable) {
     this->unreachable_in_row = 0;
     return;
