--- a/dragonflyglade/gateway/caller_connection.cc
+++ b/dragonflyglade/gateway/caller_connection.cc
@@ -23,16 +23,17 @@
 // A body of some hundred kilobytes arrives in well under a second; a caller
 // that takes longer than this has stopped sending.
 constexpr absl::Duration kBodyTimeout = absl::Seconds(10);
-// A request that a caller sends within the stated time is on its way for some
-// milliseconds, longer over a link that loses packets. Closed at the stated
-// time, the connection would cross it, and callers cannot know whether it ran.
+// Time for which an idle connection stays open beyond the idle timeout that
+// callers are told. A request sent just within that timeout travels for some
+// milliseconds, longer if packets are lost. If the gateway closed the
+// connection meanwhile, the caller could not know whether its request ran.
 constexpr absl::Duration kIdleGrace = absl::Seconds(1);
-// How long a closing connection is still read from.
+// How long CloseGracefully waits for the caller to close its end.
 constexpr absl::Duration kCloseTimeout = absl::Milliseconds(500);
-// A caller that takes nothing for so long is treated as gone.
+// A caller that reads nothing for this long is treated as disconnected.
 constexpr absl::Duration kWriteTimeout = absl::Seconds(10);
 
-int StatusOf(const error_code& error) {
+int StatusForError(const error_code& error) {
   if (error == http::error::header_limit) return 431;
   if (error == http::error::body_limit) return 413;
   return 400;
@@ -47,9 +48,10 @@
 
 using Parser = http::request_parser<http::string_body>;
 
-ReceivedRequest Received(Parser& parser) {
+ReceivedRequest MakeReceivedRequest(Parser& parser) {
   ReceivedRequest request;
-  request.head = HeadText<true>(parser.get().base(), parser.get().keep_alive());
+  request.head =
+      ConvertHead<true>(parser.get().base(), parser.get().keep_alive());
   request.method = std::string(request.head.method);
   request.path_and_query = std::string(request.head.path_and_query);
   request.head.method = request.method;
@@ -68,8 +70,8 @@
       clock(std::move(clock)),
       timer(context, this->clock,
             [this] { return PeekSocket(this->socket) == SocketState::kBytes; }),
-      wait_begun(this->clock.Now()) {
-  // Failing options change timing only, never an outcome.
+      wait_start(this->clock.Now()) {
+  // Errors are ignored: the option affects timing only, not the outcome.
   error_code ignored;
   this->socket.set_option(tcp::no_delay(true), ignored);
 }
@@ -80,42 +82,43 @@
 }
 
 void CallerConnection::Abort(std::string_view why) {
-  if (this->ended_by.empty()) this->ended_by = why;
+  if (this->end_reason.empty()) this->end_reason = why;
   error_code ignored;
   this->socket.close(ignored);
 }
 
-absl::Duration CallerConnection::Idle() const {
-  return this->wait_ended.value_or(this->clock.Now()) - this->wait_begun;
+absl::Duration CallerConnection::IdleTime() const {
+  return this->wait_end.value_or(this->clock.Now()) - this->wait_start;
 }
 
-void CallerConnection::StartStep(absl::Duration time, std::string_view why) {
+void CallerConnection::StartTimeout(absl::Duration time, std::string_view why) {
   this->timer.Start(
-      time, [this, why](absl::Duration late) { this->TimeOut(why, late); });
+      time, [this, why](absl::Duration late) { this->OnTimeout(why, late); });
 }
 
-void CallerConnection::TimeOut(std::string_view why, absl::Duration late) {
-  if (this->ended_by.empty()) this->ended_late = late;
+void CallerConnection::OnTimeout(std::string_view why, absl::Duration late) {
+  if (this->end_reason.empty()) this->timer_lateness = late;
   this->Abort(why);
 }
 
-// Callers go by the configuration of the moment at which they send, so one that
-// raises the limit holds for connections that are idle already.
-void CallerConnection::StartIdleStep(absl::Duration longest_limit) {
-  const Instant end = this->wait_begun + longest_limit + kIdleGrace;
-  const auto expired = [this, longest_limit](absl::Duration late) {
+// Callers apply the idle timeout of the configuration that is current when they
+// send, so a configuration that raises the timeout applies to connections that
+// are already idle, too.
+void CallerConnection::StartIdleTimeout(absl::Duration max_idle_time) {
+  const Instant end = this->wait_start + max_idle_time + kIdleGrace;
+  const auto expired = [this, max_idle_time](absl::Duration late) {
     const absl::Duration limit = this->limits().idle_timeout;
-    if (limit > longest_limit) {
-      this->StartIdleStep(limit);
+    if (limit > max_idle_time) {
+      this->StartIdleTimeout(limit);
     } else {
-      this->TimeOut("idle", late);
+      this->OnTimeout("idle", late);
     }
   };
   this->timer.Start(end - this->clock.Now(), expired);
 }
 
-ReadResult CallerConnection::NotRead(const error_code& error) {
-  if (IsHttpError(error)) return MalformedRequest{StatusOf(error)};
+ReadResult CallerConnection::ReadFailure(const error_code& error) {
+  if (IsHttpError(error)) return MalformedRequest{StatusForError(error)};
   const bool closed = error == http::error::end_of_stream ||
                       error == http::error::partial_message ||
                       error == asio::error::eof;
@@ -123,25 +126,25 @@
   return CallerDisconnected{};
 }
 
-asio::awaitable<bool> CallerConnection::WaitForBytes() {
-  this->wait_begun = this->clock.Now();
-  this->wait_ended.reset();
+asio::awaitable<bool> CallerConnection::WaitForRequest() {
+  this->wait_start = this->clock.Now();
+  this->wait_end.reset();
   if (this->buffer.size() > 0) co_return true;
-  this->StartIdleStep(this->limits().idle_timeout);
+  this->StartIdleTimeout(this->limits().idle_timeout);
   error_code error;
   co_await this->socket.async_wait(
       tcp::socket::wait_read, asio::redirect_error(asio::use_awaitable, error));
-  this->wait_ended = this->clock.Now();
+  this->wait_end = this->clock.Now();
   if (error) this->Abort("caller cut off");
   co_return !error;
 }
 
 asio::awaitable<ReadResult> CallerConnection::Read() {
-  this->stream_begun = false;
-  const bool readable = co_await this->WaitForBytes();
+  this->stream_started = false;
+  const bool readable = co_await this->WaitForRequest();
   if (!readable) co_return CallerDisconnected{};
   const CallerLimits limits = this->limits();
-  this->StartStep(limits.header_timeout, "head not whole in time");
+  this->StartTimeout(limits.header_timeout, "head not whole in time");
   Parser parser;
   parser.header_limit(limits.max_header_bytes);
   parser.body_limit(limits.max_body_bytes);
@@ -149,24 +152,23 @@
   co_await http::async_read_header(
       this->socket, this->buffer, parser,
       asio::redirect_error(asio::use_awaitable, error));
-  if (error) co_return this->NotRead(error);
-  const auto expects = parser.get()[http::field::expect];
-  if (absl::EqualsIgnoreCase({expects.data(), expects.size()},
-                             "100-continue")) {
+  if (error) co_return this->ReadFailure(error);
+  const auto expect = parser.get()[http::field::expect];
+  if (absl::EqualsIgnoreCase({expect.data(), expect.size()}, "100-continue")) {
     const bool written = co_await this->Write("HTTP/1.1 100 Continue\r\n\r\n");
     if (!written) co_return CallerDisconnected{};
   }
-  this->StartStep(kBodyTimeout, "body not whole in time");
+  this->StartTimeout(kBodyTimeout, "body not whole in time");
   co_await http::async_read(this->socket, this->buffer, parser,
                             asio::redirect_error(asio::use_awaitable, error));
   this->timer.Stop();
-  if (error) co_return this->NotRead(error);
-  // The last bytes may have been read in the turn that timed the step out; no
-  // answer could be written any more.
-  if (!this->ended_by.empty()) co_return CallerDisconnected{};
+  if (error) co_return this->ReadFailure(error);
+  // The timeout may have closed the connection in the same turn of the event
+  // loop that read the last bytes. No response could be written then.
+  if (!this->end_reason.empty()) co_return CallerDisconnected{};
   this->keep_alive = parser.get().keep_alive();
-  this->answered = false;
-  co_return Received(parser);
+  this->responded = false;
+  co_return MakeReceivedRequest(parser);
 }
 
 std::optional<absl::Duration> CallerConnection::KeepAliveTimeout() const {
@@ -175,14 +177,14 @@
 }
 
 asio::awaitable<bool> CallerConnection::Write(std::string text) {
-  if (this->left) co_return false;
-  this->StartStep(kWriteTimeout, "caller takes nothing");
+  if (this->disconnected) co_return false;
+  this->StartTimeout(kWriteTimeout, "caller takes nothing");
   error_code error;
   co_await asio::async_write(this->socket, asio::buffer(text),
                              asio::redirect_error(asio::use_awaitable, error));
   this->timer.Stop();
   if (error) {
-    this->left = true;
+    this->disconnected = true;
     this->Abort("caller cut off");
   }
   co_return !error;
@@ -194,19 +196,19 @@
   std::string text = ResponseHeadText(status, fields, BodyFraming::kLength,
                                       body.size(), this->KeepAliveTimeout());
   text.append(body);
-  this->answered = co_await this->Write(std::move(text));
-  co_return this->answered;
+  this->responded = co_await this->Write(std::move(text));
+  co_return this->responded;
 }
 
 asio::awaitable<bool> CallerConnection::BeginStream(int status,
                                                     HeaderFields fields,
                                                     std::string_view first) {
-  this->stream_begun = true;
+  this->stream_started = true;
   std::string text = ResponseHeadText(status, fields, BodyFraming::kChunked, 0,
                                       this->KeepAliveTimeout());
   if (!first.empty()) text += ChunkText(first);
-  this->answered = co_await this->Write(std::move(text));
-  co_return this->answered;
+  this->responded = co_await this->Write(std::move(text));
+  co_return this->responded;
 }
 
 asio::awaitable<bool> CallerConnection::WritePart(std::string_view bytes) {
@@ -218,31 +220,31 @@
   co_return co_await this->Write(std::string(kLastChunk));
 }
 
-void CallerConnection::WatchForDisconnect(std::function<void()> on_left) {
-  // Bytes of a next request hide the end of the connection.
+void CallerConnection::WatchForDisconnect(std::function<void()> on_disconnect) {
+  // Buffered bytes of the next request would hide the end of the connection.
   if (this->buffer.size() > 0) return;
   this->watch = ++this->watches;
-  this->Watch(std::move(on_left));
+  this->AwaitDisconnect(std::move(on_disconnect));
 }
 
-void CallerConnection::Watch(std::function<void()> on_left) {
+void CallerConnection::AwaitDisconnect(std::function<void()> on_disconnect) {
   this->socket.async_wait(
-      tcp::socket::wait_read,
-      [this, alive = this->alive, number = this->watch,
-       on_left = std::move(on_left)](const error_code& error) mutable {
+      tcp::socket::wait_read, [this, alive = this->alive, number = this->watch,
+                               on_disconnect = std::move(on_disconnect)](
+                                  const error_code& error) mutable {
         if (!*alive || this->watch != number || error) return;
         const SocketState state = PeekSocket(this->socket);
         if (state == SocketState::kBytes) return;
         if (state == SocketState::kNoData) {
-          this->Watch(std::move(on_left));
+          this->AwaitDisconnect(std::move(on_disconnect));
           return;
         }
-        this->left = true;
-        if (this->ended_by.empty()) {
-          this->ended_by = state == SocketState::kClosed ? "caller closed"
-                                                         : "caller cut off";
+        this->disconnected = true;
+        if (this->end_reason.empty()) {
+          this->end_reason = state == SocketState::kClosed ? "caller closed"
+                                                           : "caller cut off";
         }
-        on_left();
+        on_disconnect();
       });
 }
 
@@ -256,11 +258,11 @@
 asio::awaitable<void> CallerConnection::CloseGracefully() {
   error_code error;
   this->socket.shutdown(tcp::socket::shutdown_send, error);
-  this->StartStep(kCloseTimeout, "served");
-  std::array<char, 4096> dropped;
+  this->StartTimeout(kCloseTimeout, "served");
+  std::array<char, 4096> discarded;
   while (!error) {
     co_await this->socket.async_read_some(
-        asio::buffer(dropped),
+        asio::buffer(discarded),
         asio::redirect_error(asio::use_awaitable, error));
   }
   this->timer.Stop();
--- a/dragonflyglade/gateway/caller_connection.h
+++ b/dragonflyglade/gateway/caller_connection.h
@@ -21,27 +21,29 @@
 
 namespace dragonflyglade::gateway {
 
-/// A request's head and body as they were read.
+/// The head and body of a received request.
 struct ReceivedRequest {
   HttpMessageHead head;
-  std::string method;          ///< what head.method views
-  std::string path_and_query;  ///< what head.path_and_query views
+  std::string method;          ///< storage that head.method refers to
+  std::string path_and_query;  ///< storage that head.path_and_query refers to
   std::string body;
 };
-/// Bytes that are no proper request: answer with the status, then close.
+/// Bytes that are not a valid request. The gateway responds with the status and
+/// closes the connection.
 struct MalformedRequest {
   int status = 400;
 };
-/// The caller closed, or was silent for too long.
+/// The caller closed the connection, or a timeout ended it.
 struct CallerDisconnected {};
 using ReadResult =
     std::variant<ReceivedRequest, MalformedRequest, CallerDisconnected>;
 
-/// Gives the limits of the configuration in force.
+/// Returns the limits of the current configuration.
 using CallerLimitsProvider = std::function<CallerLimits()>;
 
-/// A caller's connection: reads requests, writes answers, and notices while
-/// an answer is being made that the caller has left. One event loop.
+/// A caller's connection: reads requests, writes responses, and detects that
+/// the caller disconnects while a request is in progress. Runs on one event
+/// loop.
 class CallerConnection {
  public:
   CallerConnection(boost::asio::io_context& context,
@@ -51,72 +53,81 @@
   CallerConnection(const CallerConnection&) = delete;
   CallerConnection& operator=(const CallerConnection&) = delete;
 
-  /// Reads the next request, within the limits.
+  /// Reads the next request, within the limits on size and time.
   boost::asio::awaitable<ReadResult> Read();
 
-  /// Writes a whole answer. False if the caller cannot be written to.
+  /// Writes a complete response.
+  /// @return false if the write failed or the caller has disconnected
   boost::asio::awaitable<bool> WriteResponse(int status, HeaderFields fields,
                                              std::string_view body);
 
-  /// Writes the head of a stream with its first bytes, further ones, and its
-  /// end.
+  /// Writes the head of a chunked response and its first bytes, if any.
+  /// @return false if the write failed or the caller has disconnected
   boost::asio::awaitable<bool> BeginStream(int status, HeaderFields fields,
                                            std::string_view first);
+  /// Writes further bytes of the stream; results as BeginStream.
   boost::asio::awaitable<bool> WritePart(std::string_view bytes);
+  /// Writes the last chunk; results as BeginStream.
   boost::asio::awaitable<bool> EndStream();
 
-  /// Calls back once if the caller closes while nothing is read from it.
-  void WatchForDisconnect(std::function<void()> left);
+  /// Calls back once if the caller disconnects while no read is in progress.
+  void WatchForDisconnect(std::function<void()> on_disconnect);
   void StopWatching();
 
-  /// Whether the next answer keeps the connection open.
+  /// Whether the connection stays open after the next response.
   void SetKeepAlive(bool keep) { this->keep_alive = keep; }
   bool KeepAlive() const { return this->keep_alive; }
-  bool Left() const { return this->left; }
-  /// Whether a stream's head went out, after which no other answer can.
-  bool StreamBegun() const { return this->stream_begun; }
-
-  /// Closes at once; an unfinished answer then does not look complete.
+  /// Whether the caller has disconnected.
+  bool IsDisconnected() const { return this->disconnected; }
+  /// Whether the head of a stream was written for the current request. No other
+  /// response can be sent then.
+  bool StreamStarted() const { return this->stream_started; }
+
+  /// Closes the connection at once, so that a partly written response does not
+  /// look complete.
+  /// @param why reason; a literal, or other text of static lifetime
   void Abort(std::string_view why);
 
   /// Why the connection ended; empty while it is open.
-  std::string_view EndedBy() const { return this->ended_by; }
-  /// How much later than due the timer fired that ended it.
-  absl::Duration EndedLate() const { return this->ended_late; }
-  /// How long the last wait for a request was.
-  absl::Duration Idle() const;
-  /// Whether the request that was read last got an answer, or its beginning.
-  bool Answered() const { return this->answered; }
-
-  /// Ends the connection after the last answer, reading what is still on its
-  /// way: closing with unread bytes would reset it under the answer.
+  std::string_view EndReason() const { return this->end_reason; }
+  /// How late the timer fired that ended the connection.
+  absl::Duration TimerLateness() const { return this->timer_lateness; }
+  /// Duration of the last wait for a request.
+  absl::Duration IdleTime() const;
+  /// Whether a response to the last request was written, at least its head.
+  bool Responded() const { return this->responded; }
+
+  /// Closes the connection after the last response. Stops sending first and
+  /// reads until the caller closes: a close with unread bytes would make TCP
+  /// reset the connection, and the caller could lose the response.
   boost::asio::awaitable<void> CloseGracefully();
 
  private:
-  boost::asio::awaitable<bool> WaitForBytes();
-  void Watch(std::function<void()> on_left);
+  boost::asio::awaitable<bool> WaitForRequest();
+  void AwaitDisconnect(std::function<void()> on_disconnect);
   boost::asio::awaitable<bool> Write(std::string text);
-  void StartStep(absl::Duration time, std::string_view why);
-  void StartIdleStep(absl::Duration longest_limit);
-  void TimeOut(std::string_view why, absl::Duration late);
+  void StartTimeout(absl::Duration time, std::string_view why);
+  void StartIdleTimeout(absl::Duration max_idle_time);
+  void OnTimeout(std::string_view why, absl::Duration late);
   std::optional<absl::Duration> KeepAliveTimeout() const;
-  ReadResult NotRead(const boost::system::error_code& error);
+  ReadResult ReadFailure(const boost::system::error_code& error);
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   const CallerLimitsProvider limits;
   const Clock clock;
   StepTimer timer;
-  std::string_view ended_by;  ///< text that is never freed
-  absl::Duration ended_late;
-  Instant wait_begun;
-  std::optional<Instant> wait_ended;
-  bool answered = false;
+  std::string_view end_reason;  ///< text of static lifetime
+  absl::Duration timer_lateness;
+  Instant wait_start;  ///< of the last wait for a request
+  std::optional<Instant> wait_end;
+  bool responded = false;
   bool keep_alive = true;
-  bool left = false;
-  bool stream_begun = false;
-  int watch = 0;  ///< which watch is the present one; 0: none
-  int watches = 0;
+  bool disconnected = false;
+  bool stream_started = false;
+  int watch = 0;    ///< number of the active watch; 0: none is active
+  int watches = 0;  ///< number of watches started
+  /// Shared with the watch's handler, which may run after the destructor.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -127,7 +127,7 @@
   Tasks& tasks;
   const Clock clock;
   const Instant started;
-  Signal wake;
+  AsyncCondition wake;
   std::int64_t sequence = 0;
   /// This instance's spending at the time of each report, by report sequence.
   std::map<std::int64_t, std::map<std::string, double>> spent_by_report;
--- a/dragonflyglade/gateway/placement_controller.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -107,7 +107,7 @@
   Tasks& tasks;
   const Clock clock;
   ResidencyPlanner planner;
-  Signal wake;
+  AsyncCondition wake;
   bool acting = false;
   bool plan_requested = false;
   std::map<std::string, std::shared_ptr<Engine>> engines;
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -92,7 +92,7 @@
   const ExchangeOutcome outcome =
       co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("orders");
-  if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
+  if (const auto* whole = std::get_if<CompleteResponse>(&outcome)) {
     co_return this->wire.decode_order_response(whole->head.status);
   }
   if (const auto* declined = std::get_if<Declined>(&outcome)) {
@@ -203,7 +203,7 @@
   const ExchangeOutcome outcome =
       co_await this->CallEngine(*target, std::move(call));
   this->metrics.Count("engine_reports");
-  const auto* whole = std::get_if<WholeAnswer>(&outcome);
+  const auto* whole = std::get_if<CompleteResponse>(&outcome);
   const bool is_known =
       whole != nullptr && this->ApplyEngineReport(engine, whole->body);
   this->log.Write("placement", "inspected",
--- a/dragonflyglade/gateway/quota_admission.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -78,7 +78,7 @@
   /// A query that waits for the leader's decision.
   struct PendingQuery {
     std::optional<QuotaVerdict> verdict;
-    Signal decided;
+    AsyncCondition decided;
 
     explicit PendingQuery(boost::asio::io_context& context)
         : decided(context) {}
--- a/dragonflyglade/gateway/store_client.cc
+++ b/dragonflyglade/gateway/store_client.cc
@@ -60,12 +60,12 @@
   StoreResponse response = StoreOutcomeUnknown{};
   std::string_view result = "unknown";
   std::size_t bytes = 0;
-  if (const auto* complete = std::get_if<WholeAnswer>(&outcome)) {
+  if (const auto* complete = std::get_if<CompleteResponse>(&outcome)) {
     bytes = complete->body.size();
     response = this->wire.decode_store_response(call, complete->head.status,
                                                 complete->body);
     result = "answered";
-  } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
+  } else if (const auto* lost = std::get_if<OutcomeUnknown>(&outcome)) {
     response = StoreOutcomeUnknown{lost->why};
   } else if (std::holds_alternative<NotSent>(outcome)) {
     response = StoreRefused{};
--- a/dragonflyglade/gateway/store_sync_state.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/gateway/signal.h"
+#include "dragonflyglade/gateway/async_condition.h"
 
 namespace dragonflyglade::gateway {
 
@@ -71,7 +71,7 @@
   absl::Duration DigestAge() const;
 
   /// Notified at each digest.
-  Signal& Changed() { return this->changed; }
+  AsyncCondition& Changed() { return this->changed; }
 
  private:
   void UpdateLag(bool progress);
@@ -87,7 +87,7 @@
   Instant store_up_since;
   std::optional<Instant> behind_since;
 
-  Signal changed;
+  AsyncCondition changed;
   std::function<void()> on_urgent_change;
 };
 
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -6,18 +6,19 @@
 #include <string>
 #include <utility>
 
+#include "dragonflyglade/gateway/async_condition.h"
 #include "dragonflyglade/gateway/catch_exception.h"
-#include "dragonflyglade/gateway/signal.h"
 
 namespace dragonflyglade::gateway {
 namespace {
 
-// Long enough that a task that fails each time costs next to nothing.
-constexpr absl::Duration kPauseAfterFailure = absl::Milliseconds(200);
+// Limits the cost of a task that fails at every start.
+constexpr absl::Duration kRestartDelay = absl::Milliseconds(200);
 
 }  // namespace
 
-void Tasks::Failed(std::string_view name, const std::exception_ptr& exception) {
+void Tasks::ReportFailure(std::string_view name,
+                          const std::exception_ptr& exception) {
   this->metrics.Count("task_failures", fmt::format("task=\"{}\"", name));
   this->log.Write("task", "failed",
                   {{"task", name}, {"why", ExceptionText(exception)}});
@@ -26,23 +27,24 @@
 void Tasks::Spawn(std::string_view name, boost::asio::awaitable<void> task) {
   boost::asio::co_spawn(this->context, std::move(task),
                         [this, name](const std::exception_ptr& exception) {
-                          if (exception) this->Failed(name, exception);
+                          if (exception) this->ReportFailure(name, exception);
                         });
 }
 
-void Tasks::SpawnWithRestart(std::string_view name, TaskMaker make) {
-  this->Spawn(name, this->RunAgain(name, std::move(make)));
+void Tasks::SpawnWithRestart(std::string_view name, TaskFactory make) {
+  this->Spawn(name, this->RunWithRestart(name, std::move(make)));
 }
 
-// Without this, one odd value would end the following of the store, or the
-// accepting of callers, while the process goes on and looks healthy.
-boost::asio::awaitable<void> Tasks::RunAgain(std::string_view name,
-                                             TaskMaker make) {
+// Without a restart, a single unexpected value could end e.g. the task that
+// watches the store or accepts callers, while the process runs on and looks
+// healthy.
+boost::asio::awaitable<void> Tasks::RunWithRestart(std::string_view name,
+                                                   TaskFactory make) {
   while (true) {
     const std::exception_ptr failure = co_await CatchException(make());
     if (!failure) co_return;
-    this->Failed(name, failure);
-    co_await Sleep(this->context, kPauseAfterFailure);
+    this->ReportFailure(name, failure);
+    co_await Sleep(this->context, kRestartDelay);
   }
 }
 
@@ -52,7 +54,7 @@
       this->context.run();
       return;
     } catch (...) {
-      this->Failed("handler", std::current_exception());
+      this->ReportFailure("handler", std::current_exception());
     }
   }
 }
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -23,41 +23,41 @@
 namespace {
 
 using gateway::GatewaySettings;
-using Stage = GatewayHarness;
+using Harness = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
-Script Refusing(const RawRequest& request) {
+Script DeclinedResponse(const RawRequest& request) {
   return {ResponseBytes(request, "503 Busy", "",
                         "X-Dragonflyglade-Not-Executed: 1\r\n")};
 }
 
-Script Closing(const RawRequest&) { return {"", true}; }
+Script ClosedConnection(const RawRequest&) { return {"", true}; }
 
-Script Truncated(const RawRequest& request) {
+Script TruncatedResponse(const RawRequest& request) {
   std::string bytes = ResponseBytes(request, "200 OK", "done", kSigned);
   bytes.resize(bytes.size() - 2);
   return {bytes, true};
 }
 
-Script Unsigned(const RawRequest& request) {
+Script UnsignedResponse(const RawRequest& request) {
   return {ResponseBytes(request, "200 OK", "done")};
 }
 
-Script Encoded(const RawRequest& request) {
+Script EncodedResponse(const RawRequest& request) {
   return {ResponseBytes(request, "200 OK", "done",
                         kSigned + "Content-Encoding: gzip\r\n")};
 }
 
-Script Failing(const RawRequest& request) {
+Script ErrorResponse(const RawRequest& request) {
   return {ResponseBytes(request, "500 Oops", "why", kSigned)};
 }
 
-Script Unmarked(const RawRequest& request) {
+Script BusyWithoutNotExecuted(const RawRequest& request) {
   return {ResponseBytes(request, "503 Busy", "", kSigned)};
 }
 
-Script LateSecond(const RawRequest& request) {
+Script LateResponseFirst(const RawRequest& request) {
   RawRequest other = request;
   other.head = "GET / HTTP/1.1\r\nX-Dragonflyglade-Attempt-Id: other\r\n\r\n";
   return {ResponseBytes(other, "200 OK", "not yours", kSigned) +
@@ -70,8 +70,8 @@
   return size + text + "\r\n";
 }
 
-// The bytes of a body in chunks.
-std::string WithoutChunks(std::string_view body) {
+// Decodes a chunked body.
+std::string DecodeChunked(std::string_view body) {
   std::string bytes;
   while (!body.empty()) {
     const std::size_t size = std::stoul(std::string(body), nullptr, 16);
@@ -94,8 +94,8 @@
          "\n\n";
 }
 
-// Goes on after the event that the request names, up to event 4.
-Script Streaming(const RawRequest& request) {
+// Streams the events after Last-Event-Id, up to event 4.
+Script StreamedEvents(const RawRequest& request) {
   const std::string after = request.Field("Last-Event-Id");
   std::string bytes = StreamHead(request);
   for (int id = after.empty() ? 1 : std::stoi(after) + 1; id <= 4; ++id) {
@@ -104,8 +104,8 @@
   return {bytes + "0\r\n\r\n"};
 }
 
-// Breaks off in the middle of the third event.
-Script CutStream(const RawRequest& request) {
+// Closes the connection in the middle of the third event.
+Script BrokenStream(const RawRequest& request) {
   return {StreamHead(request) + Chunk(Event(1) + Event(2)) + Chunk("id: 3\nda"),
           true};
 }
@@ -113,58 +113,63 @@
 struct ExchangeCase {
   const char* what;
   const char* path;
-  PlatformTargetStandIn::Answer first_answer;
+  PlatformTargetStandIn::Answer first_response;
   int status;
-  std::size_t arrivals;  ///< at both targets
+  std::size_t requests;  ///< requests that both targets receive
 };
 
 class PlatformGatewayTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformGatewayTest);
-  CPPUNIT_TEST(AnswersByWhatIsKnownOfTheRun);
-  CPPUNIT_TEST(PassesOnWhatTheTargetNeeds);
-  CPPUNIT_TEST(RefusesWhatMayNotRun);
-  CPPUNIT_TEST(GoesOnWithAStreamAtAnotherTarget);
-  CPPUNIT_TEST(ACutStreamDoesNotLookWhole);
-  CPPUNIT_TEST(NoAnswerFollowsInACutStream);
-  CPPUNIT_TEST(EndsTheRunWhenTheCallerLeaves);
-  CPPUNIT_TEST(KeepsInTheStoreWhatWasSpent);
-  CPPUNIT_TEST(LetsGoOfTheDutyWhenTheStoreIsBack);
-  CPPUNIT_TEST(FollowsTheConfiguration);
-  CPPUNIT_TEST(SendsNothingToALeavingTarget);
+  CPPUNIT_TEST(RespondsByWhetherTheTargetMayHaveExecuted);
+  CPPUNIT_TEST(ForwardsFieldsForTheTarget);
+  CPPUNIT_TEST(RefusesWithoutForwarding);
+  CPPUNIT_TEST(ResumesABrokenStreamAtAnotherTarget);
+  CPPUNIT_TEST(ABrokenStreamDoesNotLookComplete);
+  CPPUNIT_TEST(NoSecondResponseInABrokenStream);
+  CPPUNIT_TEST(ClosesTheTargetConnectionWhenTheCallerDisconnects);
+  CPPUNIT_TEST(RecordsSpendingInTheStore);
+  CPPUNIT_TEST(ReleasesTheLeaderLeaseOnceTheStoreAccepts);
+  CPPUNIT_TEST(AppliesNewConfigurations);
+  CPPUNIT_TEST(SendsNoRequestsToADrainingTarget);
   CPPUNIT_TEST(ReloadsItsSettings);
-  CPPUNIT_TEST(StopsWithoutCuttingARequest);
+  CPPUNIT_TEST(ServesRequestsDuringShutdown);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A payout whose answer is lost may have run: sent again it would be paid
-  // twice, and refused with 503 the caller would send it again itself. Only a
-  // target's own mark, or that nothing left, says that it did not run. What
-  // may run again is tried at the other target.
-  void AnswersByWhatIsKnownOfTheRun() {
+  // Guards against a double execution of a non-idempotent request, such as a
+  // payout. If its response is lost, its outcome is unknown: the gateway must
+  // neither repeat it nor respond with 503, on which the caller would repeat
+  // it. Only the target's not-executed field, or that no byte was sent, proves
+  // that it did not run. Idempotent requests are repeated at the other target.
+  void RespondsByWhetherTheTargetMayHaveExecuted() {
     const std::vector<ExchangeCase> cases = {
-        {"a sound answer", "/once/", SuccessfulResponse, 200, 1},
-        {"declined, so another may run it", "/once/", Refusing, 200, 2},
-        {"closed without an answer", "/once/", Closing, 502, 1},
-        {"a truncated answer", "/once/", Truncated, 502, 1},
-        {"an answer without the target's mark", "/once/", Unsigned, 502, 1},
-        {"an encoded answer", "/once/", Encoded, 502, 1},
-        {"a failure of the target's own", "/once/", Failing, 500, 1},
-        {"a promise without its mark", "/once/", Unmarked, 502, 1},
-        {"the late answer to another request", "/once/", LateSecond, 200, 1},
-        {"may run again: closed", "/any/", Closing, 200, 2},
-        {"may run again: truncated", "/any/", Truncated, 200, 2},
-        {"may run again: failed", "/any/", Failing, 200, 2},
-        {"may run again: unmarked", "/any/", Unmarked, 200, 2},
+        {"successful answer", "/once/", SuccessfulResponse, 200, 1},
+        {"declined with the not-executed field", "/once/", DeclinedResponse,
+         200, 2},
+        {"closed without an answer", "/once/", ClosedConnection, 502, 1},
+        {"truncated answer", "/once/", TruncatedResponse, 502, 1},
+        {"answer without the target's signature", "/once/", UnsignedResponse,
+         502, 1},
+        {"encoded answer", "/once/", EncodedResponse, 502, 1},
+        {"failure of the target's own", "/once/", ErrorResponse, 500, 1},
+        {"503 without the not-executed field", "/once/", BusyWithoutNotExecuted,
+         502, 1},
+        {"late answer to another request", "/once/", LateResponseFirst, 200, 1},
+        {"idempotent: closed", "/any/", ClosedConnection, 200, 2},
+        {"idempotent: truncated", "/any/", TruncatedResponse, 200, 2},
+        {"idempotent: failed", "/any/", ErrorResponse, 200, 2},
+        {"idempotent: 503 without the field", "/any/", BusyWithoutNotExecuted,
+         200, 2},
     };
     for (const ExchangeCase& item : cases) {
-      Stage stage;
-      stage.AddSecond();
-      stage.ScriptNextRequest(item.first_answer, SuccessfulResponse);
-      const std::size_t before = stage.RequestCount();
-      const Stage::Reply reply = stage.Call("POST", item.path);
+      Harness harness;
+      harness.AddSecond();
+      harness.ScriptNextRequest(item.first_response, SuccessfulResponse);
+      const std::size_t before = harness.RequestCount();
+      const Harness::Reply reply = harness.Call("POST", item.path);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.arrivals,
-                                   stage.RequestCount() - before);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.requests,
+                                   harness.RequestCount() - before);
       const bool has_signature =
           !reply.Field("X-Dragonflyglade-Server-Signature").empty();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -176,10 +181,10 @@
     }
   }
 
-  void PassesOnWhatTheTargetNeeds() {
-    Stage stage;
-    stage.Call("GET", "/any/x?y=1", "k1", "X-Mine: 5\r\n");
-    const RawRequest request = stage.first.Requests().back();
+  void ForwardsFieldsForTheTarget() {
+    Harness harness;
+    harness.Call("GET", "/any/x?y=1", "k1", "X-Mine: 5\r\n");
+    const RawRequest request = harness.first.Requests().back();
     CPPUNIT_ASSERT_EQUAL(std::string("GET /any/x?y=1 HTTP/1.1"),
                          request.Line());
     CPPUNIT_ASSERT_EQUAL(std::string("5"), request.Field("X-Mine"));
@@ -188,11 +193,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("i-1"),
                          request.Field("X-Dragonflyglade-Target-Instance"));
     CPPUNIT_ASSERT_EQUAL(std::string(), request.Field("Authorization"));
-    const int left = std::stoi(request.Field("X-Dragonflyglade-Deadline-Ms"));
-    CPPUNIT_ASSERT(left > 0 && left <= 5000);
+    const int deadline_ms =
+        std::stoi(request.Field("X-Dragonflyglade-Deadline-Ms"));
+    CPPUNIT_ASSERT(deadline_ms > 0 && deadline_ms <= 5000);
   }
 
-  void RefusesWhatMayNotRun() {
+  void RefusesWithoutForwarding() {
     struct RefusalCase {
       const char* what;
       const char* path;
@@ -205,58 +211,62 @@
         {"a key that is not known", "/any/", "nobody", 401, false},
         {"above the quota", "/any/", "k2", 429, true},
     };
-    Stage stage;
+    Harness harness;
     for (const RefusalCase& item : cases) {
-      const std::size_t before = stage.first.Requests().size();
-      const Stage::Reply reply = stage.Call("GET", item.path, item.key);
+      const std::size_t before = harness.first.Requests().size();
+      const Harness::Reply reply = harness.Call("GET", item.path, item.key);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.retry_after,
                                    !reply.Field("Retry-After").empty());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, before,
-                                   stage.first.Requests().size());
+                                   harness.first.Requests().size());
     }
   }
 
-  // The target breaks off within the third event. The caller sees one stream
-  // with each event once: the half event is dropped, and the other target
-  // goes on after the last whole one.
-  void GoesOnWithAStreamAtAnotherTarget() {
-    Stage stage(Streaming);
-    stage.AddSecond();
-    stage.ScriptNextRequest(CutStream, Streaming);
-    const Stage::Reply reply = stage.Call("POST", "/resumed/");
+  // A target closes the connection within the third event of a resumable
+  // stream. The caller must receive one stream with each event once: the
+  // gateway discards the incomplete event, and the other target resumes after
+  // the last complete one.
+  void ResumesABrokenStreamAtAnotherTarget() {
+    Harness harness(StreamedEvents);
+    harness.AddSecond();
+    harness.ScriptNextRequest(BrokenStream, StreamedEvents);
+    const Harness::Reply reply = harness.Call("POST", "/resumed/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(reply.ended_whole);
     CPPUNIT_ASSERT_EQUAL(Event(1) + Event(2) + Event(3) + Event(4),
-                         WithoutChunks(reply.Body()));
-    const RawRequest one = stage.first.Requests().back();
-    const RawRequest other = stage.second.Requests().back();
+                         DecodeChunked(reply.Body()));
+    const RawRequest one = harness.first.Requests().back();
+    const RawRequest other = harness.second.Requests().back();
     CPPUNIT_ASSERT(one.Field("Last-Event-Id") == "2" ||
                    other.Field("Last-Event-Id") == "2");
     CPPUNIT_ASSERT_EQUAL(one.Field("X-Dragonflyglade-Attempt-Id"),
                          other.Field("X-Dragonflyglade-Attempt-Id"));
   }
 
-  // A stream that may not be resumed is cut. Ended like a whole one, the
-  // caller would take half a letter for all of it.
-  void ACutStreamDoesNotLookWhole() {
-    Stage stage(CutStream);
-    const Stage::Reply reply = stage.Call("POST", "/cut/");
+  // Guards against a truncated stream that looks complete. If a stream that
+  // must not be resumed breaks, the caller's connection has to end without the
+  // last chunk; otherwise the caller would take the part for the whole.
+  void ABrokenStreamDoesNotLookComplete() {
+    Harness harness(BrokenStream);
+    const Harness::Reply reply = harness.Call("POST", "/cut/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(absl::StrContains(reply.text, Event(2)));
     CPPUNIT_ASSERT(!reply.ended_whole);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stage.first.Requests().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.first.Requests().size());
   }
 
-  // A stream breaks off after two events and may go on elsewhere, but the only
-  // target declines. The caller got a 503 with head and body in the middle of
-  // the chunks of its answer; it must get the end of the connection.
-  void NoAnswerFollowsInACutStream() {
-    Stage stage;
-    stage.first.Next(CutStream);
-    constexpr int kMoreThanItTries = 6;
-    for (int i = 0; i < kMoreThanItTries; ++i) stage.first.Next(Refusing);
-    const Stage::Reply reply = stage.Call("POST", "/resumed/x");
+  // Guards against a second response in the middle of a stream. A resumable
+  // stream breaks after two events, and the only target declines to resume it.
+  // A 503 sent then would stand between the chunks of the first response; the
+  // gateway must close the connection instead.
+  void NoSecondResponseInABrokenStream() {
+    Harness harness;
+    harness.first.Next(BrokenStream);
+    // More than the attempts that the gateway makes.
+    constexpr int kRefusals = 6;
+    for (int i = 0; i < kRefusals; ++i) harness.first.Next(DeclinedResponse);
+    const Harness::Reply reply = harness.Call("POST", "/resumed/x");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(!reply.ended_whole);
     CPPUNIT_ASSERT(absl::StrContains(reply.text, Event(2)));
@@ -264,131 +274,141 @@
                          reply.text.rfind("HTTP/1.1"));
   }
 
-  // All processes may end at once, and callers come back within a second. What
-  // their workspace spent stands in the store by then.
-  void KeepsInTheStoreWhatWasSpent() {
-    Stage stage;
+  // Guards against quota that is spent twice after all processes restart at
+  // once. Callers come back within a second, so the spending of their workspace
+  // must be in the store by then.
+  void RecordsSpendingInTheStore() {
+    Harness harness;
     const std::string key(gateway::FleetState::kSpendRecordKey);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/", "k3").status);
-    stage.WaitFor([&] { return !stage.store.Get(key).empty(); });
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/", "k3").status);
+    harness.WaitFor([&] { return !harness.store.Get(key).empty(); });
     const Result<gateway::SpendRecord> record =
-        gateway::DecodeSpendRecord(stage.store.Get(key));
+        gateway::DecodeSpendRecord(harness.store.Get(key));
     CPPUNIT_ASSERT(record.Ok());
     const auto spent = gateway::SpendingByWorkspace(record.Value());
     CPPUNIT_ASSERT(spent.at("large") >= 100);
     CPPUNIT_ASSERT(gateway::WasInstanceListed(record.Value(), "one"));
   }
 
-  // The holder is told to stop while the store turns it away. Its entries
-  // would stand until their leases end, and nobody would place models; it goes
-  // on trying to take them back while it serves its last callers.
-  void LetsGoOfTheDutyWhenTheStoreIsBack() {
-    Stage stage;
+  // Guards against a leader lease that outlives its leader. The leader is told
+  // to stop while the store rejects its writes. If it gave up then, its records
+  // would stay until their leases expire, and no instance could place models
+  // meanwhile. It must retry while it serves its last callers.
+  void ReleasesTheLeaderLeaseOnceTheStoreAccepts() {
+    Harness harness;
     const std::string key(gateway::FleetState::kLeaderKey);
-    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
-    stage.store.RejectWrites(true);
-    boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
-    CPPUNIT_ASSERT(!stage.store.Get(key).empty());
-    stage.store.RejectWrites(false);
-    stage.WaitFor([&] { return stage.store.Get(key).empty(); });
+    harness.WaitFor([&] { return harness.HoldsLeaderLease(); });
+    harness.store.RejectWrites(true);
+    boost::asio::post(harness.gateway->Context(),
+                      [&] { harness.gateway->Stop(); });
+    harness.WaitFor([&] { return !harness.HoldsLeaderLease(); });
+    CPPUNIT_ASSERT(!harness.store.Get(key).empty());
+    harness.store.RejectWrites(false);
+    harness.WaitFor([&] { return harness.store.Get(key).empty(); });
   }
 
-  // The caller closes while the target works. Without the cancel, the target
-  // would work on for nobody.
-  void EndsTheRunWhenTheCallerLeaves() {
-    Stage stage;
-    stage.first.Next([](const RawRequest&) { return Script{"", false, true}; });
-    const std::size_t before = stage.first.Requests().size();
-    auto socket = stage.Connect(stage.gateway->Settings().callers);
-    const std::string text = stage.Text("POST", "/once/");
+  // The caller disconnects while its request runs. The gateway must close the
+  // connection to the target, or the target would complete a request whose
+  // response nobody reads.
+  void ClosesTheTargetConnectionWhenTheCallerDisconnects() {
+    Harness harness;
+    harness.first.Next([](const RawRequest&) {
+      return Script{"", false, true};
+    });
+    const std::size_t before = harness.first.Requests().size();
+    auto socket = harness.Connect(harness.gateway->Settings().callers);
+    const std::string text = harness.Text("POST", "/once/");
     boost::asio::write(*socket, boost::asio::buffer(text));
-    stage.WaitFor([&] { return stage.first.Requests().size() == before + 1; });
+    harness.WaitFor(
+        [&] { return harness.first.Requests().size() == before + 1; });
     socket->close();
-    stage.WaitFor([&] { return stage.first.ConnectionsClosedByPeer() == 1; });
+    harness.WaitFor(
+        [&] { return harness.first.ConnectionsClosedByPeer() == 1; });
   }
 
-  void FollowsTheConfiguration() {
-    Stage stage;
-    CPPUNIT_ASSERT_EQUAL(404, stage.Call("GET", "/new/").status);
-    stage.store.Put("op/config", stage.Config(2, "new").dump());
-    stage.WaitFor([&] { return stage.Call("GET", "/new/").status == 200; });
-    CPPUNIT_ASSERT_EQUAL(404, stage.Call("GET", "/plain/").status);
-    stage.store.Put("op/config", "not a configuration");
-    stage.PutTarget("i-2", stage.second, "ready");
-    stage.WaitFor([&] {
-      return stage.Read<bool>(
-          [&] { return stage.gateway->Fleet().Target("i-2") != nullptr; });
+  void AppliesNewConfigurations() {
+    Harness harness;
+    CPPUNIT_ASSERT_EQUAL(404, harness.Call("GET", "/new/").status);
+    harness.store.Put("op/config", harness.Config(2, "new").dump());
+    harness.WaitFor([&] { return harness.Call("GET", "/new/").status == 200; });
+    CPPUNIT_ASSERT_EQUAL(404, harness.Call("GET", "/plain/").status);
+    harness.store.Put("op/config", "not a configuration");
+    harness.PutTarget("i-2", harness.second, "ready");
+    harness.WaitFor([&] {
+      return harness.Read<bool>(
+          [&] { return harness.gateway->Fleet().Target("i-2") != nullptr; });
     });
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/new/").status);
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/new/").status);
   }
 
-  void SendsNothingToALeavingTarget() {
-    Stage stage;
-    stage.AddSecond();
-    stage.PutTarget("i-1", stage.first, "draining");
-    stage.WaitFor([&] {
-      return stage.Read<bool>([&] {
-        return stage.gateway->Fleet().Target("i-1")->Record().leaving;
+  void SendsNoRequestsToADrainingTarget() {
+    Harness harness;
+    harness.AddSecond();
+    harness.PutTarget("i-1", harness.first, "draining");
+    harness.WaitFor([&] {
+      return harness.Read<bool>([&] {
+        return harness.gateway->Fleet().Target("i-1")->Record().leaving;
       });
     });
-    const std::size_t before = stage.first.Requests().size();
+    const std::size_t before = harness.first.Requests().size();
     for (int i = 0; i < 20; ++i) {
-      CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/").status);
+      CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/").status);
     }
-    CPPUNIT_ASSERT_EQUAL(before, stage.first.Requests().size());
+    CPPUNIT_ASSERT_EQUAL(before, harness.first.Requests().size());
   }
 
-  // SIGHUP ends a process that does not expect it, and with it all requests
-  // that it serves. Here it reads the settings again; ones that are not valid
-  // change nothing.
+  // SIGHUP must reload the settings, and invalid settings must change nothing.
+  // Unhandled, the signal would end the process and all its requests.
   void ReloadsItsSettings() {
-    Stage stage;
-    const GatewaySettings settings =
-        stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
-    const auto kept_for = [&](const std::string& seconds) {
+    Harness harness;
+    const GatewaySettings settings = harness.Read<GatewaySettings>(
+        [&] { return harness.gateway->Settings(); });
+    const auto cached_for = [&](const std::string& seconds) {
       return absl::StrContains(
-          stage.Ask(settings.directory, "/-/resolve?name=h").Body(),
+          harness.Ask(settings.directory, "/-/resolve?name=h").Body(),
           "\"ttl_s\":" + seconds);
     };
-    CPPUNIT_ASSERT(kept_for("2"));
+    CPPUNIT_ASSERT(cached_for("2"));
     GatewaySettings newer = settings;
     newer.directory_keep = absl::Seconds(4);
-    stage.reread = newer;
+    harness.reread = newer;
     kill(getpid(), SIGHUP);
-    stage.WaitFor([&] { return kept_for("4"); });
-    stage.reread =
+    harness.WaitFor([&] { return cached_for("4"); });
+    harness.reread =
         MakeFailure(Errc::kInvalidSettings, "read settings", "settings");
-    stage.Read<bool>([&] {
-      stage.gateway->Reload();
+    harness.Read<bool>([&] {
+      harness.gateway->Reload();
       return true;
     });
-    CPPUNIT_ASSERT(kept_for("4"));
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/").status);
+    CPPUNIT_ASSERT(cached_for("4"));
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("GET", "/any/").status);
   }
 
-  // A process that is told to stop is no longer ready and no longer listed,
-  // and still serves: callers keep the list for seconds.
-  void StopsWithoutCuttingARequest() {
-    Stage stage;
-    const GatewaySettings settings =
-        stage.Read<GatewaySettings>([&] { return stage.gateway->Settings(); });
+  // A process that shuts down must report that it is not ready and leave the
+  // list of instances, but still serve requests, since callers cache the list
+  // for seconds.
+  void ServesRequestsDuringShutdown() {
+    Harness harness;
+    const GatewaySettings settings = harness.Read<GatewaySettings>(
+        [&] { return harness.gateway->Settings(); });
     CPPUNIT_ASSERT_EQUAL(200,
-                         stage.Ask(settings.readiness, "/-/readyz").status);
+                         harness.Ask(settings.readiness, "/-/readyz").status);
     const std::string listed =
-        stage.Ask(settings.directory, "/-/resolve?name=h").Body();
+        harness.Ask(settings.directory, "/-/resolve?name=h").Body();
     CPPUNIT_ASSERT(absl::StrContains(listed, settings.callers.ToString()));
-    boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] {
-      return stage.Ask(settings.readiness, "/-/readyz").status == 503;
+    boost::asio::post(harness.gateway->Context(),
+                      [&] { harness.gateway->Stop(); });
+    harness.WaitFor([&] {
+      return harness.Ask(settings.readiness, "/-/readyz").status == 503;
+    });
+    const std::string after_stop =
+        harness.Ask(settings.directory, "/-/resolve?name=h").Body();
+    CPPUNIT_ASSERT(!absl::StrContains(after_stop, settings.callers.ToString()));
+    CPPUNIT_ASSERT_EQUAL(200, harness.Call("POST", "/once/").status);
+    harness.WaitFor([&] {
+      return harness.store.Keys("dragonflyglade/instances/").empty();
     });
-    const std::string left =
-        stage.Ask(settings.directory, "/-/resolve?name=h").Body();
-    CPPUNIT_ASSERT(!absl::StrContains(left, settings.callers.ToString()));
-    CPPUNIT_ASSERT_EQUAL(200, stage.Call("POST", "/once/").status);
-    stage.WaitFor(
-        [&] { return stage.store.Keys("dragonflyglade/instances/").empty(); });
   }
 };
 
