--- a/tests/platform/platform-codecs.cc
+++ b/tests/platform/platform-codecs.cc
@@ -36,26 +36,26 @@
                "unit": "token_stream", "plain_tokens": 200,
                "rate_per_s": 1000, "burst": 2000}]})";
 
-struct InvalidCase {
-  const char* what;
+struct MalformedCase {
+  const char* description;
   std::string text;
 };
 
 struct FieldCase {
-  const char* what;
+  const char* description;
   HeaderFields fields;
-  std::function<bool(const CallerRequest&)> holds;
+  std::function<bool(const CallerRequest&)> is_expected;
 };
 
-struct AnswerCase {
-  const char* what;
+struct ResponseCase {
+  const char* description;
   int status;
   HeaderFields fields;
-  std::function<bool(const AnswerHead&)> holds;
+  std::function<bool(const AnswerHead&)> is_expected;
 };
 
 struct CallCase {
-  const char* what;
+  const char* description;
   StoreCall call;
   const char* method;
   const char* path;
@@ -63,11 +63,11 @@
 };
 
 struct ReplyCase {
-  const char* what;
+  const char* description;
   StoreCall call;
   int status;
   const char* body;
-  std::function<bool(const StoreReply&)> holds;
+  std::function<bool(const StoreReply&)> is_expected;
 };
 
 std::string ValueOf(const HeaderFields& fields, std::string_view name) {
@@ -77,7 +77,7 @@
   return "";
 }
 
-CallerRequest Decoded(HeaderFields fields) {
+CallerRequest DecodeWithHost(HeaderFields fields) {
   HttpHeadText head;
   head.method = "POST";
   head.path_and_query = "/a/x?y=1";
@@ -88,22 +88,22 @@
 
 class PlatformCodecsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(PlatformCodecsTest);
-  CPPUNIT_TEST(ReadsAConfiguration);
-  CPPUNIT_TEST(RejectsWhatIsNoConfiguration);
-  CPPUNIT_TEST(ReadsTargets);
-  CPPUNIT_TEST(RejectsEntriesOfOtherWriters);
-  CPPUNIT_TEST(ReadsRequests);
-  CPPUNIT_TEST(WritesRequestsForTargets);
-  CPPUNIT_TEST(ReadsAnswers);
-  CPPUNIT_TEST(WritesStoreCalls);
-  CPPUNIT_TEST(ReadsStoreReplies);
-  CPPUNIT_TEST(WritesOrdersAndReadsReports);
-  CPPUNIT_TEST(AnOrderForWhatIsNoTextIsWritten);
-  CPPUNIT_TEST(SpeaksTheDirectory);
+  CPPUNIT_TEST(DecodesAConfiguration);
+  CPPUNIT_TEST(RejectsMalformedConfigurations);
+  CPPUNIT_TEST(DecodesTargets);
+  CPPUNIT_TEST(RejectsMalformedTargets);
+  CPPUNIT_TEST(DecodesCallerRequests);
+  CPPUNIT_TEST(EncodesTargetRequests);
+  CPPUNIT_TEST(DecodesTargetResponses);
+  CPPUNIT_TEST(EncodesStoreCalls);
+  CPPUNIT_TEST(DecodesStoreReplies);
+  CPPUNIT_TEST(EncodesOrdersAndDecodesReports);
+  CPPUNIT_TEST(EncodesOrdersWithInvalidUtf8);
+  CPPUNIT_TEST(HandlesDirectoryQueries);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadsAConfiguration() {
+  void DecodesAConfiguration() {
     const GatewayConfig config = DecodeConfig(kConfig).Value();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, config.version);
     const Route& stream = *config.routes.Find("h.example", "/a/x");
@@ -130,11 +130,11 @@
     CPPUNIT_ASSERT(config.limits.idle_timeout == absl::Milliseconds(400));
   }
 
-  void RejectsWhatIsNoConfiguration() {
-    const std::vector<InvalidCase> cases = {
-        {"nothing", ""},
-        {"no JSON", "{"},
-        {"another type", "[]"},
+  void RejectsMalformedConfigurations() {
+    const std::vector<MalformedCase> cases = {
+        {"an empty value", ""},
+        {"truncated JSON", "{"},
+        {"a list in place of an object", "[]"},
         {"no version", R"({"routes": [], "services": []})"},
         {"a field of another type",
          R"({"version": "x", "routes": [], "services": []})"},
@@ -143,15 +143,15 @@
              "routes": [{"host": "h", "type": "idempotent",
                          "service": "s"}]})"},
     };
-    for (const InvalidCase& item : cases) {
+    for (const MalformedCase& item : cases) {
       const Result<GatewayConfig> config = DecodeConfig(item.text);
-      CPPUNIT_ASSERT_MESSAGE(item.what, !config.Ok());
+      CPPUNIT_ASSERT_MESSAGE(item.description, !config.Ok());
       CPPUNIT_ASSERT(config.Error().code ==
                      make_error_code(Errc::kInvalidRecord));
     }
   }
 
-  void ReadsTargets() {
+  void DecodesTargets() {
     const TargetRecord target = DecodeTarget("servers/i-1", R"({"service": "s1",
             "address": "127.0.0.1:80", "zone": "z", "slots": 64,
             "state": "draining", "born": 12, "sequence": 4, "new": {},
@@ -165,36 +165,37 @@
     CPPUNIT_ASSERT(target.models[0].adapters == adapters);
   }
 
-  // Anybody may have written an entry. One that cannot be read must neither
-  // end the process nor be used, and must not hide the others.
-  void RejectsEntriesOfOtherWriters() {
-    const std::vector<InvalidCase> cases = {
-        {"bytes that are no text", std::string("\xff\x00\x7f", 3)},
+  // Failure: a malformed store entry, which any writer may have left there,
+  // terminates the process or is used as a target. It has to be rejected with
+  // an error, so that the remaining entries stay usable.
+  void RejectsMalformedTargets() {
+    const std::vector<MalformedCase> cases = {
+        {"bytes that are not UTF-8", std::string("\xff\x00\x7f", 3)},
         {"no service", R"({"address": "a", "slots": 1, "state": "ready"})"},
         {"slots of another type",
          R"({"service": "s", "address": "a", "slots": "1",
              "state": "ready"})"},
-        {"a state that is not known",
+        {"an unknown state",
          R"({"service": "s", "address": "a", "slots": 1, "state": "new"})"},
         {"models of another type",
          R"({"service": "s", "address": "a", "slots": 1, "state": "ready",
              "models": 5})"},
-        {"a list", "[1]"},
+        {"a list in place of an object", "[1]"},
     };
-    for (const InvalidCase& item : cases) {
-      CPPUNIT_ASSERT_MESSAGE(item.what,
+    for (const MalformedCase& item : cases) {
+      CPPUNIT_ASSERT_MESSAGE(item.description,
                              !DecodeTarget("servers/x", item.text).Ok());
     }
   }
 
-  void ReadsRequests() {
+  void DecodesCallerRequests() {
     const std::vector<FieldCase> cases = {
-        {"the key, whatever the scheme's case",
+        {"the key, with the scheme in any case",
          {{"authorization", "bearer  k1 "}},
          [](const auto& r) {
            return r.key == "k1" && r.passed_on.size() == 1;
          }},
-        {"another scheme is no key",
+        {"no key with a scheme other than Bearer",
          {{"Authorization", "Basic x"}},
          [](const auto& r) { return r.key.empty(); }},
         {"model, adapter and tokens",
@@ -210,25 +211,25 @@
            return r.use.parts.size() == 2 && r.use.parts[1].id == "91" &&
                   r.use.parts[0].tokens == 800;
          }},
-        {"a part that cannot be read ends the list",
+        {"a malformed part ends the list",
          {{"X-Dragonflyglade-Prompt-Prefix", "5c:800,91,e4:3"}},
          [](const auto& r) { return r.use.parts.size() == 1; }},
-        {"the deadline is replaced, not passed on",
+        {"the deadline, which is not passed on",
          {{"X-Dragonflyglade-Deadline-Ms", "1500"}},
          [](const auto& r) {
            return r.deadline == absl::Seconds(1.5) && r.passed_on.size() == 1;
          }},
-        {"a deadline that cannot be read",
+        {"a malformed deadline",
          {{"X-Dragonflyglade-Deadline-Ms", "soon"}},
          [](const auto& r) { return !r.deadline.has_value(); }},
-        {"fields of one connection",
+        {"hop-by-hop fields",
          {{"Connection", "close, X-Mine"},
           {"X-Mine", "1"},
           {"Keep-Alive", "timeout=5"},
           {"Transfer-Encoding", "chunked"},
           {"Content-Length", "5"}},
          [](const auto& r) { return r.passed_on.size() == 1; }},
-        {"fields that are the system's to set",
+        {"fields that only the gateway may set",
          {{"X-Dragonflyglade-Tenant", "other"},
           {"X-Dragonflyglade-Hold", "h"},
           {"x-dragonflyglade-pin-ms", "5"},
@@ -237,22 +238,23 @@
           {"X-Dragonflyglade-Target-Instance", "i"},
           {"X-Dragonflyglade-Request-Priority", "0"}},
          [](const auto& r) { return r.passed_on.size() == 1; }},
-        {"others are passed on",
+        {"other fields are passed on",
          {{"X-Other", "1"}, {"Accept", "*/*"}},
          [](const auto& r) { return r.passed_on.size() == 3; }},
     };
     for (const FieldCase& item : cases) {
-      CPPUNIT_ASSERT_MESSAGE(item.what, item.holds(Decoded(item.fields)));
+      CPPUNIT_ASSERT_MESSAGE(item.description,
+                             item.is_expected(DecodeWithHost(item.fields)));
     }
     HttpHeadText no_host;
     CPPUNIT_ASSERT(!DecodeRequest(no_host).Ok());
   }
 
-  void WritesRequestsForTargets() {
+  void EncodesTargetRequests() {
     const CallerRequest request =
-        Decoded({{"X-Dragonflyglade-Attempt-Id", "r1"},
-                 {"Last-Event-Id", "3"},
-                 {"Authorization", "Bearer secret"}});
+        DecodeWithHost({{"X-Dragonflyglade-Attempt-Id", "r1"},
+                        {"Last-Event-Id", "3"},
+                        {"Authorization", "Bearer secret"}});
     TargetStamp stamp;
     stamp.target = "i-1";
     stamp.workspace = "t1";
@@ -278,9 +280,9 @@
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{1}, resumed);
   }
 
-  void ReadsAnswers() {
-    const std::vector<AnswerCase> cases = {
-        {"a signed answer",
+  void DecodesTargetResponses() {
+    const std::vector<ResponseCase> cases = {
+        {"a signed response",
          200,
          {{"X-Dragonflyglade-Server-Signature", "s"},
           {"X-Dragonflyglade-Attempt-Id", "r1"},
@@ -289,83 +291,85 @@
            return a.is_signed && a.request_id == "r1" && !a.not_executed &&
                   a.keep_alive == absl::Seconds(5) && a.passed_on.size() == 2;
          }},
-        {"load, which is not the caller's",
+        {"the load, which is not passed on",
          200,
          {{"X-Dragonflyglade-Server-Load", "3,1,8"}},
          [](const auto& a) {
            return a.load->running == 3 && a.load->waiting == 1 &&
                   a.load->slots == 8 && a.passed_on.empty();
          }},
-        {"a load that cannot be read",
+        {"a malformed load",
          200,
          {{"X-Dragonflyglade-Server-Load", "3,x"}},
          [](const auto& a) { return !a.load.has_value(); }},
-        {"the target says that it did not run",
+        {"a request that the target did not execute",
          503,
          {{"X-Dragonflyglade-Not-Executed", "1"}},
          [](const auto& a) { return a.not_executed && !a.wrong_target; }},
-        {"503 alone says nothing",
+        {"status 503 alone leaves the execution open",
          503,
          {},
          [](const auto& a) { return !a.not_executed; }},
-        {"another target at the address",
+        {"status 421: the address belongs to another target",
          421,
          {},
          [](const auto& a) { return a.not_executed && a.wrong_target; }},
-        {"a stream",
+        {"an event stream",
          200,
          {{"Content-Type", "text/event-stream; charset=utf-8"}},
          [](const auto& a) { return a.event_stream; }},
-        {"an encoding",
+        {"a content encoding",
          200,
          {{"Content-Encoding", "gzip"}},
          [](const auto& a) { return a.encoded; }},
     };
-    for (const AnswerCase& item : cases) {
+    for (const ResponseCase& item : cases) {
       HttpHeadText head;
       head.status = item.status;
       head.fields = item.fields;
-      CPPUNIT_ASSERT_MESSAGE(item.what, item.holds(DecodeAnswer(head)));
+      CPPUNIT_ASSERT_MESSAGE(item.description,
+                             item.is_expected(DecodeAnswer(head)));
     }
   }
 
-  void WritesStoreCalls() {
+  void EncodesStoreCalls() {
     StoreTransaction transaction;
     transaction.expected.push_back({"a", 3});
     transaction.puts.push_back({"a", "hi", 9});
     transaction.deletes.push_back("b");
     const std::vector<CallCase> cases = {
-        {"a first page", StoreList{"servers/", ""}, "GET",
+        {"the first page of a listing", StoreList{"servers/", ""}, "GET",
          "/-/kv-range?prefix=servers/", ""},
-        {"a further page", StoreList{"", "a b"}, "GET",
+        {"a later page of a listing", StoreList{"", "a b"}, "GET",
          "/-/kv-range?prefix=&after=a%20b", ""},
         {"a watch", StoreWatch{"op/", 5, absl::Milliseconds(900)}, "GET",
          "/-/kv-watch?prefix=op/&after=5&wait_ms=900", ""},
         {"a transaction", transaction, "POST", "/-/kv-txn",
          R"({"deletes":["b"],"expected":[{"key":"a","revision":3}],)"
          R"("puts":[{"key":"a","lease":9,"value":"aGk="}]})"},
-        {"a lease", StoreGrant{absl::Seconds(2)}, "POST", "/-/kv-lease",
+        {"a lease grant", StoreGrant{absl::Seconds(2)}, "POST", "/-/kv-lease",
          R"({"ttl_ms":2000})"},
-        {"a renewal", StoreRenewal{7}, "POST", "/-/kv-keep/7", ""},
-        {"its end", StoreLeaseEnd{7}, "DELETE", "/-/kv-lease-end/7", ""},
+        {"a lease renewal", StoreRenewal{7}, "POST", "/-/kv-keep/7", ""},
+        {"a lease revocation", StoreLeaseEnd{7}, "DELETE", "/-/kv-lease-end/7",
+         ""},
     };
     for (const CallCase& item : cases) {
       const HttpCallText text = EncodeStoreCall(item.call);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, std::string(item.method),
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, std::string(item.method),
                                    text.method);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, std::string(item.path),
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, std::string(item.path),
                                    text.path_and_query);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, std::string(item.body),
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, std::string(item.body),
                                    text.body);
     }
   }
 
-  void ReadsStoreReplies() {
+  void DecodesStoreReplies() {
     const StoreCall list = StoreList{"", ""};
     const StoreCall watch = StoreWatch{"", 1, absl::Seconds(1)};
     const StoreCall write = StoreTransaction{};
     const std::vector<ReplyCase> cases = {
-        {"a page", list, 200,
+        {"a page of a listing", list, 200,
          R"({"items": [{"key": "a", "value": "aGk=", "revision": 2,
                         "created": 1, "lease": 0}],
              "truncated": true, "current_rev": 9})",
@@ -374,29 +378,29 @@
            return page.truncated && page.store_revision == 9 &&
                   page.items[0].value == "hi";
          }},
-        {"changes", watch, 200,
+        {"changes seen by a watch", watch, 200,
          R"({"events": [{"key": "a", "revision": 3, "deleted": true}],
              "current_rev": 3})",
          [](const auto& r) {
            return std::get<StoreEvents>(r).events[0].deleted;
          }},
-        {"a commit", write, 200, R"({"revision": 4})",
+        {"a committed transaction", write, 200, R"({"revision": 4})",
          [](const auto& r) {
            return std::get<StoreCommitted>(r).revision == 4;
          }},
-        {"a conflict", write, 412, R"({"items": []})",
+        {"a transaction whose condition failed", write, 412, R"({"items": []})",
          [](const auto& r) {
            return std::holds_alternative<StoreConflict>(r);
          }},
-        {"no such lease", write, 404, "",
+        {"an unknown lease", write, 404, "",
          [](const auto& r) { return std::holds_alternative<StoreNoLease>(r); }},
-        {"the history is gone", watch, 410, "",
+        {"a compacted history", watch, 410, "",
          [](const auto& r) {
            return std::holds_alternative<StoreCompacted>(r);
          }},
-        {"too many calls", watch, 429, "",
+        {"a refused call", watch, 429, "",
          [](const auto& r) { return std::get<StoreRefused>(r).status == 429; }},
-        {"a body that cannot be read", write, 200, "{",
+        {"a malformed body", write, 200, "{",
          [](const auto& r) { return std::holds_alternative<StoreUnknown>(r); }},
         {"a value that is not base64", list, 200,
          R"({"items": [{"key": "a", "value": "%", "revision": 2}],
@@ -406,11 +410,11 @@
     for (const ReplyCase& item : cases) {
       const StoreReply reply =
           DecodeStoreReply(item.call, item.status, item.body);
-      CPPUNIT_ASSERT_MESSAGE(item.what, item.holds(reply));
+      CPPUNIT_ASSERT_MESSAGE(item.description, item.is_expected(reply));
     }
   }
 
-  void WritesOrdersAndReadsReports() {
+  void EncodesOrdersAndDecodesReports() {
     EngineOrder order;
     order.model = "m";
     order.adapter = "a3";
@@ -439,8 +443,9 @@
     CPPUNIT_ASSERT(!DecodeReport("{}").Ok());
   }
 
-  // Adapters are named by callers, with any bytes; encoding them threw.
-  void AnOrderForWhatIsNoTextIsWritten() {
+  // Failure: an adapter name with bytes that are not UTF-8, which callers may
+  // send, makes the JSON encoder throw.
+  void EncodesOrdersWithInvalidUtf8() {
     EngineOrder order;
     order.model = "m";
     order.adapter = "a\xff";
@@ -450,7 +455,7 @@
     CPPUNIT_ASSERT(body.find('\xff') == std::string::npos);
   }
 
-  void SpeaksTheDirectory() {
+  void HandlesDirectoryQueries() {
     const auto question = DecodeDirectoryQuestion(
         "/-/resolve?name=h.example&region=r&zone=z&more=1");
     CPPUNIT_ASSERT_EQUAL(std::string("h.example"), question->host);
--- a/tests/platform/store_stand_in.cc
+++ b/tests/platform/store_stand_in.cc
@@ -16,7 +16,7 @@
 constexpr int kThreads = 32;
 constexpr const char* kJson = "application/json";
 
-bool Begins(const std::string& text, const std::string& prefix) {
+bool HasPrefix(const std::string& text, const std::string& prefix) {
   return text.compare(0, prefix.size(), prefix) == 0;
 }
 
@@ -27,40 +27,45 @@
   this->server->new_task_queue = [] {
     return new httplib::ThreadPool(kThreads);
   };
-  this->server->Get("/-/kv-range", [this](const Request& in, Response& out) {
-    out.set_content(this->List(in.get_param_value("prefix")), kJson);
+  this->server->Get("/-/kv-range", [this](const Request& request,
+                                          Response& response) {
+    response.set_content(this->List(request.get_param_value("prefix")), kJson);
   });
-  this->server->Get("/-/kv-watch", [this](const Request& in, Response& out) {
-    out.set_content(this->Watch(in.get_param_value("prefix"),
-                                std::stoull(in.get_param_value("after")),
-                                std::stoi(in.get_param_value("wait_ms"))),
-                    kJson);
-  });
-  this->server->Post("/-/kv-txn", [this](const Request& in, Response& out) {
-    std::string answer;
-    out.status = this->Transact(in.body, answer);
-    out.set_content(answer, kJson);
-  });
-  this->server->Post("/-/kv-lease", [this](const Request& in, Response& out) {
+  this->server->Get(
+      "/-/kv-watch", [this](const Request& request, Response& response) {
+        response.set_content(
+            this->Watch(request.get_param_value("prefix"),
+                        std::stoull(request.get_param_value("after")),
+                        std::stoi(request.get_param_value("wait_ms"))),
+            kJson);
+      });
+  this->server->Post(
+      "/-/kv-txn", [this](const Request& request, Response& response) {
+        std::string response_body;
+        response.status = this->Transact(request.body, response_body);
+        response.set_content(response_body, kJson);
+      });
+  this->server->Post("/-/kv-lease", [this](const Request& request,
+                                           Response& response) {
     absl::MutexLock lock(&this->mutex);
-    this->leases += 1;
-    const int ttl_ms = json::parse(in.body).at("ttl_ms").get<int>();
-    this->granted[this->leases] = {absl::Milliseconds(ttl_ms), absl::Now()};
-    out.set_content(json{{"lease", this->leases}, {"ttl_ms", ttl_ms}}.dump(),
-                    kJson);
+    this->last_lease += 1;
+    const int ttl_ms = json::parse(request.body).at("ttl_ms").get<int>();
+    this->leases[this->last_lease] = {absl::Milliseconds(ttl_ms), absl::Now()};
+    response.set_content(
+        json{{"lease", this->last_lease}, {"ttl_ms", ttl_ms}}.dump(), kJson);
   });
-  this->server->Post(R"(/-/kv-keep/(\d+))", [this](const Request& in,
-                                                   Response& out) {
+  this->server->Post(R"(/-/kv-keep/(\d+))", [this](const Request& request,
+                                                   Response& response) {
     absl::MutexLock lock(&this->mutex);
-    const auto lease = this->granted.find(std::stoull(in.matches[1]));
-    if (lease == this->granted.end() || lease->first <= this->ended_leases) {
-      out.status = 404;
+    const auto lease = this->leases.find(std::stoull(request.matches[1]));
+    if (lease == this->leases.end() || lease->first <= this->last_ended_lease) {
+      response.status = 404;
       return;
     }
     this->renewals += 1;
-    lease->second.renewed = absl::Now();
+    lease->second.renewed_at = absl::Now();
     const auto ttl_ms = absl::ToInt64Milliseconds(lease->second.ttl);
-    out.set_content(json{{"ttl_ms", ttl_ms}}.dump(), kJson);
+    response.set_content(json{{"ttl_ms", ttl_ms}}.dump(), kJson);
   });
   this->port = this->server->bind_to_any_port("127.0.0.1");
   this->worker = std::make_unique<Worker>([this] {
@@ -73,22 +78,22 @@
 PlatformStoreStandIn::~PlatformStoreStandIn() {
   {
     absl::MutexLock lock(&this->mutex);
-    this->closing = true;
+    this->stopping = true;
   }
   this->server->stop();
   this->worker->Stop();
 }
 
-void PlatformStoreStandIn::Record(const std::string& key,
-                                  const std::string& value,
-                                  std::uint64_t lease) {
+void PlatformStoreStandIn::PutLocked(const std::string& key,
+                                     const std::string& value,
+                                     std::uint64_t lease) {
   this->revision += 1;
   const Item item{value, this->revision, lease};
   this->items[key] = item;
   this->changes.push_back({key, item, false});
 }
 
-void PlatformStoreStandIn::Remove(const std::string& key) {
+void PlatformStoreStandIn::DeleteLocked(const std::string& key) {
   if (this->items.erase(key) == 0) return;
   this->revision += 1;
   this->changes.push_back({key, Item{"", this->revision, 0}, true});
@@ -97,32 +102,32 @@
 void PlatformStoreStandIn::Put(const std::string& key,
                                const std::string& value) {
   absl::MutexLock lock(&this->mutex);
-  this->Record(key, value, 0);
+  this->PutLocked(key, value, 0);
 }
 
 void PlatformStoreStandIn::Delete(const std::string& key) {
   absl::MutexLock lock(&this->mutex);
-  this->Remove(key);
+  this->DeleteLocked(key);
 }
 
 void PlatformStoreStandIn::ExpireLeases() {
   absl::MutexLock lock(&this->mutex);
   const absl::Time now = absl::Now();
-  std::erase_if(this->granted, [&](const auto& lease) {
-    return now - lease.second.renewed > lease.second.ttl;
+  std::erase_if(this->leases, [&](const auto& lease) {
+    return now - lease.second.renewed_at > lease.second.ttl;
   });
-  std::vector<std::string> gone;
+  std::vector<std::string> expired_keys;
   for (const auto& [key, item] : this->items) {
-    if (item.lease != 0 && this->granted.count(item.lease) == 0) {
-      gone.push_back(key);
+    if (item.lease != 0 && this->leases.count(item.lease) == 0) {
+      expired_keys.push_back(key);
     }
   }
-  for (const std::string& key : gone) this->Remove(key);
+  for (const std::string& key : expired_keys) this->DeleteLocked(key);
 }
 
 void PlatformStoreStandIn::EndLeases() {
   absl::MutexLock lock(&this->mutex);
-  this->ended_leases = this->leases;
+  this->last_ended_lease = this->last_lease;
 }
 
 int PlatformStoreStandIn::Listings() const {
@@ -141,9 +146,9 @@
   return found == this->items.end() ? 0 : found->second.lease;
 }
 
-void PlatformStoreStandIn::TurnAwayWrites(bool away) {
+void PlatformStoreStandIn::TurnAwayWrites(bool reject) {
   absl::MutexLock lock(&this->mutex);
-  this->writes_turned_away = away;
+  this->rejects_writes = reject;
 }
 
 std::string PlatformStoreStandIn::Get(const std::string& key) const {
@@ -157,7 +162,7 @@
   absl::MutexLock lock(&this->mutex);
   std::vector<std::string> keys;
   for (const auto& [key, item] : this->items) {
-    if (Begins(key, prefix)) keys.push_back(key);
+    if (HasPrefix(key, prefix)) keys.push_back(key);
   }
   return keys;
 }
@@ -167,7 +172,7 @@
   this->listings += 1;
   json listed = json::array();
   for (const auto& [key, item] : this->items) {
-    if (!Begins(key, prefix)) continue;
+    if (!HasPrefix(key, prefix)) continue;
     listed.push_back({{"key", key},
                       {"value", absl::Base64Escape(item.value)},
                       {"revision", item.revision},
@@ -185,13 +190,14 @@
   absl::MutexLock lock(&this->mutex);
   const auto changed = [&] {
     this->mutex.AssertHeld();
-    return this->closing || this->revision > after;
+    return this->stopping || this->revision > after;
   };
   this->mutex.AwaitWithTimeout(absl::Condition(&changed),
                                absl::Milliseconds(wait_ms));
   json events = json::array();
   for (const Change& change : this->changes) {
-    if (change.item.revision <= after || !Begins(change.key, prefix)) continue;
+    if (change.item.revision <= after || !HasPrefix(change.key, prefix))
+      continue;
     json event = {{"key", change.key}, {"revision", change.item.revision}};
     if (change.deleted) {
       event["deleted"] = true;
@@ -206,26 +212,26 @@
 }
 
 int PlatformStoreStandIn::Transact(const std::string& body,
-                                   std::string& answer) {
-  const json call = json::parse(body);
+                                   std::string& response_body) {
+  const json transaction = json::parse(body);
   absl::MutexLock lock(&this->mutex);
-  if (this->writes_turned_away) return 503;
-  for (const json& condition : call.at("expected")) {
+  if (this->rejects_writes) return 503;
+  for (const json& condition : transaction.at("expected")) {
     const auto found = this->items.find(condition.at("key"));
-    const std::uint64_t now =
+    const std::uint64_t current_revision =
         found == this->items.end() ? 0 : found->second.revision;
-    if (now != condition.at("revision").get<std::uint64_t>()) {
-      answer = json{{"items", json::array()}}.dump();
+    if (current_revision != condition.at("revision").get<std::uint64_t>()) {
+      response_body = json{{"items", json::array()}}.dump();
       return 412;
     }
   }
-  for (const json& put : call.at("puts")) {
+  for (const json& put : transaction.at("puts")) {
     std::string value;
     absl::Base64Unescape(put.at("value").get<std::string>(), &value);
-    this->Record(put.at("key"), value, put.at("lease"));
+    this->PutLocked(put.at("key"), value, put.at("lease"));
   }
-  for (const json& key : call.at("deletes")) this->Remove(key);
-  answer = json{{"revision", this->revision}}.dump();
+  for (const json& key : transaction.at("deletes")) this->DeleteLocked(key);
+  response_body = json{{"revision", this->revision}}.dump();
   return 200;
 }
 
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -19,8 +19,9 @@
 
 namespace dragonflyglade {
 
-/// The users' platform's store in memory: listings, watches, transactions and
-/// leases that end only when told.
+/// An in-memory stand-in for the store of the users' platform, with listings,
+/// long-polling watches, transactions and leases. A lease ends only when a
+/// test calls ExpireLeases or EndLeases. Thread-safe.
 class PlatformStoreStandIn {
  public:
   PlatformStoreStandIn();
@@ -28,22 +29,24 @@
 
   Endpoint Address() const { return {"127.0.0.1", this->port}; }
 
-  /// Writes as the operator or a target does.
+  /// Writes a key without a lease, as an operator or a target does.
   void Put(const std::string& key, const std::string& value);
   void Delete(const std::string& key);
 
-  /// Whether transactions are answered 503, and nothing is done.
-  void TurnAwayWrites(bool away);
+  /// While set, every transaction fails with status 503 and changes nothing.
+  void TurnAwayWrites(bool reject);
 
-  /// Ends the leases that were not renewed in their time, with their keys.
+  /// Ends the leases whose TTL has passed since their last renewal, and
+  /// deletes their keys.
   void ExpireLeases();
-  /// All leases end, as far as renewals show; their keys stay for a while.
+  /// Makes renewals of all present leases fail with status 404; their keys
+  /// stay until ExpireLeases is called.
   void EndLeases();
-  /// Listings that were answered.
+  /// The number of listings served.
   int Listings() const;
-  /// Renewals that were answered with success.
+  /// The number of successful lease renewals.
   int Renewals() const;
-  /// The lease that a key is under; 0 if there is none.
+  /// The lease that a key is attached to; 0 if there is none.
   std::uint64_t LeaseOf(const std::string& key) const;
 
   /// The value of a key; empty if there is none.
@@ -58,7 +61,7 @@
   };
   struct Lease {
     absl::Duration ttl;
-    absl::Time renewed;
+    absl::Time renewed_at;
   };
   struct Change {
     std::string key;
@@ -66,25 +69,26 @@
     bool deleted = false;
   };
 
-  void Record(const std::string& key, const std::string& value,
-              std::uint64_t lease) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void Remove(const std::string& key) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void PutLocked(const std::string& key, const std::string& value,
+                 std::uint64_t lease) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void DeleteLocked(const std::string& key)
+      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   std::string List(const std::string& prefix);
   std::string Watch(const std::string& prefix, std::uint64_t after,
                     int wait_ms) const;
-  int Transact(const std::string& body, std::string& answer);
+  int Transact(const std::string& body, std::string& response_body);
 
   mutable absl::Mutex mutex;
   std::map<std::string, Item> items ABSL_GUARDED_BY(mutex);
   std::vector<Change> changes ABSL_GUARDED_BY(mutex);
   std::uint64_t revision ABSL_GUARDED_BY(mutex) = 1;
-  std::uint64_t leases ABSL_GUARDED_BY(mutex) = 0;
-  std::map<std::uint64_t, Lease> granted ABSL_GUARDED_BY(mutex);
-  std::uint64_t ended_leases ABSL_GUARDED_BY(mutex) = 0;
+  std::uint64_t last_lease ABSL_GUARDED_BY(mutex) = 0;
+  std::map<std::uint64_t, Lease> leases ABSL_GUARDED_BY(mutex);
+  std::uint64_t last_ended_lease ABSL_GUARDED_BY(mutex) = 0;
   int renewals ABSL_GUARDED_BY(mutex) = 0;
   int listings ABSL_GUARDED_BY(mutex) = 0;
-  bool writes_turned_away ABSL_GUARDED_BY(mutex) = false;
-  bool closing ABSL_GUARDED_BY(mutex) = false;
+  bool rejects_writes ABSL_GUARDED_BY(mutex) = false;
+  bool stopping ABSL_GUARDED_BY(mutex) = false;
   std::unique_ptr<httplib::Server> server;
   int port = 0;
   std::unique_ptr<Worker> worker;
--- a/tests/platform/target_stand_in.cc
+++ b/tests/platform/target_stand_in.cc
@@ -13,23 +13,24 @@
 
 std::string RawRequest::Field(const std::string& name) const {
   const std::string lower = absl::AsciiStrToLower(this->head);
-  const std::string wanted = "\r\n" + absl::AsciiStrToLower(name) + ": ";
-  const std::size_t at = lower.find(wanted);
+  const std::string field_start = "\r\n" + absl::AsciiStrToLower(name) + ": ";
+  const std::size_t at = lower.find(field_start);
   if (at == std::string::npos) return "";
-  const std::size_t begin = at + wanted.size();
+  const std::size_t begin = at + field_start.size();
   return this->head.substr(begin, this->head.find("\r\n", begin) - begin);
 }
 
 bool ReadRaw(tcp::socket& socket, std::string& buffer, RawRequest& request) {
-  const auto more = [&] {
-    char space[4096];
+  const auto receive_more = [&] {
+    char chunk[4096];
     error_code error;
-    const std::size_t got = socket.read_some(boost::asio::buffer(space), error);
-    buffer.append(space, got);
+    const std::size_t received =
+        socket.read_some(boost::asio::buffer(chunk), error);
+    buffer.append(chunk, received);
     return !error;
   };
   while (buffer.find("\r\n\r\n") == std::string::npos) {
-    if (!more()) return false;
+    if (!receive_more()) return false;
   }
   const std::size_t end = buffer.find("\r\n\r\n") + 4;
   request.head = buffer.substr(0, end);
@@ -37,7 +38,7 @@
   const std::string length = request.Field("Content-Length");
   const std::size_t size = length.empty() ? 0 : std::stoul(length);
   while (buffer.size() < size) {
-    if (!more()) return false;
+    if (!receive_more()) return false;
   }
   request.body = buffer.substr(0, size);
   buffer.erase(0, size);
@@ -47,22 +48,22 @@
 PlatformTargetStandIn::PlatformTargetStandIn(Answer answer)
     : acceptor(this->context,
                tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)),
-      usual(std::move(answer)) {
-  this->accepting = std::thread([this] { this->Accept(); });
+      default_answer(std::move(answer)) {
+  this->accept_thread = std::thread([this] { this->Accept(); });
 }
 
 PlatformTargetStandIn::~PlatformTargetStandIn() {
   shutdown(this->acceptor.native_handle(), SHUT_RDWR);
-  this->accepting.join();
-  std::vector<std::thread> ending;
+  this->accept_thread.join();
+  std::vector<std::thread> connection_threads;
   {
     absl::MutexLock lock(&this->mutex);
     for (const auto& socket : this->sockets) {
       shutdown(socket->native_handle(), SHUT_RDWR);
     }
-    ending.swap(this->threads);
+    connection_threads.swap(this->threads);
   }
-  for (std::thread& thread : ending) thread.join();
+  for (std::thread& thread : connection_threads) thread.join();
 }
 
 std::string PlatformTargetStandIn::Address() const {
@@ -105,13 +106,13 @@
 
 PlatformTargetStandIn::Script PlatformTargetStandIn::ScriptFor(
     const RawRequest& request) {
-  Answer answer = this->usual;
+  Answer answer = this->default_answer;
   {
     absl::MutexLock lock(&this->mutex);
     this->requests.push_back(request);
-    if (!this->next.empty()) {
-      answer = this->next.front();
-      this->next.pop_front();
+    if (!this->queued_answers.empty()) {
+      answer = this->queued_answers.front();
+      this->queued_answers.pop_front();
     }
   }
   return answer(request);
@@ -119,7 +120,7 @@
 
 void PlatformTargetStandIn::Next(Answer answer) {
   absl::MutexLock lock(&this->mutex);
-  this->next.push_back(std::move(answer));
+  this->queued_answers.push_back(std::move(answer));
 }
 
 std::vector<RawRequest> PlatformTargetStandIn::Requests() const {
--- a/tests/platform/target_stand_in.h
+++ b/tests/platform/target_stand_in.h
@@ -15,26 +15,28 @@
 
 namespace dragonflyglade {
 
-/// A request as it stood on the wire.
+/// A request as it was received, with the head undecoded.
 struct RawRequest {
   std::string head;
   std::string body;
 
+  /// The value of a header field, its name in any case; empty if missing.
   std::string Field(const std::string& name) const;
+  /// The request line.
   std::string Line() const {
     return this->head.substr(0, this->head.find('\r'));
   }
 };
 
-/// A target that answers with the bytes it is told to, also wrong ones.
-/// A thread a connection.
+/// A target that answers each request with bytes that the test chooses, also
+/// malformed ones. Each connection has a thread of its own.
 class PlatformTargetStandIn {
  public:
-  /// The bytes to answer with, and whether to close after them.
+  /// How to answer one request.
   struct Script {
-    std::string bytes;
-    bool close = false;
-    bool hang = false;  ///< answer nothing, wait until the caller closes
+    std::string bytes;   ///< sent as they are
+    bool close = false;  ///< close the connection after the bytes
+    bool hang = false;   ///< after the bytes, wait until the client closes
   };
   using Answer = std::function<Script(const RawRequest&)>;
 
@@ -43,11 +45,13 @@
 
   std::string Address() const;
 
-  /// The next requests are answered by these, later ones as ever.
+  /// Answers one coming request by this function in place of the default.
+  /// Repeated calls queue up, one function for each request.
   void Next(Answer answer);
 
   std::vector<RawRequest> Requests() const;
-  /// Connections that the other end closed while the target was hanging.
+  /// The number of connections that the client closed while the target was
+  /// hanging.
   int Hangups() const;
 
  private:
@@ -59,17 +63,19 @@
 
   boost::asio::io_context context;
   boost::asio::ip::tcp::acceptor acceptor;
-  const Answer usual;
+  const Answer default_answer;
   mutable absl::Mutex mutex;
-  std::deque<Answer> next ABSL_GUARDED_BY(mutex);
+  std::deque<Answer> queued_answers ABSL_GUARDED_BY(mutex);
   std::vector<RawRequest> requests ABSL_GUARDED_BY(mutex);
   int hangups ABSL_GUARDED_BY(mutex) = 0;
   std::vector<std::shared_ptr<Socket>> sockets ABSL_GUARDED_BY(mutex);
   std::vector<std::thread> threads ABSL_GUARDED_BY(mutex);
-  std::thread accepting;
+  std::thread accept_thread;
 };
 
-/// Reads one message with a Content-Length body, or none.
+/// Reads one HTTP request, with a Content-Length body or none.
+/// @param buffer bytes received beyond the previous request
+/// @return false if the connection ended before the request was complete
 bool ReadRaw(boost::asio::ip::tcp::socket& socket, std::string& buffer,
              RawRequest& request);
 
