--- a/dragonflyglade/net/endpoint.cc
+++ b/dragonflyglade/net/endpoint.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::string_view kScheme = "http://";
-constexpr int kHighestPort = 65535;
+constexpr int kMaxPort = 65535;
 
-Failure Invalid(std::string_view text, std::string_view expected) {
+Failure InvalidEndpoint(std::string_view text, std::string_view expected) {
   return MakeFailure(Errc::kInvalidArgument, "parse endpoint", "settings",
                      fmt::format("expected {}, found '{}'", expected, text));
 }
@@ -32,24 +32,25 @@
 }
 
 Result<Endpoint> ParseEndpoint(std::string_view text) {
-  std::string_view rest = text;
-  if (rest.substr(0, kScheme.size()) == kScheme) {
-    rest.remove_prefix(kScheme.size());
+  std::string_view unparsed = text;
+  if (unparsed.substr(0, kScheme.size()) == kScheme) {
+    unparsed.remove_prefix(kScheme.size());
   }
-  const std::size_t colon = rest.rfind(':');
-  if (colon == std::string_view::npos) return Invalid(text, "ADDRESS:PORT");
-  std::string_view address = rest.substr(0, colon);
-  const std::string_view port = rest.substr(colon + 1);
+  const std::size_t colon = unparsed.rfind(':');
+  if (colon == std::string_view::npos)
+    return InvalidEndpoint(text, "ADDRESS:PORT");
+  std::string_view address = unparsed.substr(0, colon);
+  const std::string_view port = unparsed.substr(colon + 1);
   if (address.size() > 2 && address.front() == '[' && address.back() == ']') {
     address = address.substr(1, address.size() - 2);
   }
-  if (!IsIpNumber(address)) return Invalid(text, "an IP number");
+  if (!IsIpNumber(address)) return InvalidEndpoint(text, "an IP number");
   int number = 0;
   const auto [end, error] =
       std::from_chars(port.data(), port.data() + port.size(), number);
-  const bool whole = end == port.data() + port.size();
-  if (error != std::errc() || !whole || number < 1 || number > kHighestPort) {
-    return Invalid(text, "a port from 1 to 65535");
+  const bool is_complete = end == port.data() + port.size();
+  if (error != std::errc() || !is_complete || number < 1 || number > kMaxPort) {
+    return InvalidEndpoint(text, "a port from 1 to 65535");
   }
   return Endpoint{std::string(address), number};
 }
--- a/dragonflyglade/net/endpoint.h
+++ b/dragonflyglade/net/endpoint.h
@@ -8,20 +8,21 @@
 
 namespace dragonflyglade {
 
-/// An IP number and a TCP port.
+/// An IP address and a TCP port.
 struct Endpoint {
   std::string address;
   int port = 0;
 
-  /// "address:port", with brackets round an IPv6 number.
+  /// "address:port", with brackets around an IPv6 address.
   std::string ToString() const;
 };
 
-/// Reads "http://ADDRESS:PORT" or "ADDRESS:PORT".
-/// Errors: kInvalidArgument for host names, missing ports and anything else.
+/// Parses "http://ADDRESS:PORT" or "ADDRESS:PORT".
+/// Errors: kInvalidArgument for anything else, such as a host name or a missing
+/// port.
 Result<Endpoint> ParseEndpoint(std::string_view text);
 
-/// Whether the text is an IPv4 or IPv6 number.
+/// Whether the text is an IPv4 or IPv6 address.
 bool IsIpNumber(std::string_view text);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/net/http_call.cc
+++ b/dragonflyglade/net/http_call.cc
@@ -13,7 +13,7 @@
 namespace dragonflyglade {
 namespace {
 
-HttpHead HeadOf(const httplib::Response& response) {
+HttpHead ToHead(const httplib::Response& response) {
   HttpHead head;
   head.status = response.status;
   head.content_type = response.get_header_value("Content-Type");
@@ -22,18 +22,18 @@
   return head;
 }
 
-httplib::Request RequestOf(const HttpRequest& request) {
-  httplib::Request wire;
-  wire.method = request.method;
-  wire.path = request.path;
-  wire.body = request.body;
+httplib::Request ToLibraryRequest(const HttpRequest& request) {
+  httplib::Request library_request;
+  library_request.method = request.method;
+  library_request.path = request.path;
+  library_request.body = request.body;
   for (const auto& [name, value] : request.headers) {
-    wire.headers.emplace(name, value);
+    library_request.headers.emplace(name, value);
   }
   if (!request.body.empty()) {
-    wire.headers.emplace("Content-Type", request.content_type);
+    library_request.headers.emplace("Content-Type", request.content_type);
   }
-  return wire;
+  return library_request;
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
   }
 
   Failure FailureFor(httplib::Error error, bool head_seen,
-                     std::chrono::steady_clock::duration last_wait) const;
+                     std::chrono::steady_clock::duration silence) const;
 
   const HttpOptions options;
   const std::string peer;
@@ -66,7 +66,7 @@
 
 Failure HttpCall::Impl::FailureFor(
     httplib::Error error, bool head_seen,
-    std::chrono::steady_clock::duration last_wait) const {
+    std::chrono::steady_clock::duration silence) const {
   const std::string detail = httplib::to_string(error);
   if (this->cancelled || error == httplib::Error::Canceled) {
     return MakeFailure(Errc::kCancelled, "call", this->peer, detail);
@@ -75,11 +75,11 @@
       error == httplib::Error::ConnectionTimeout) {
     return MakeFailure(Errc::kConnectFailed, "connect", this->peer, detail);
   }
-  if (absl::FromChrono(last_wait) >= this->options.read_timeout) {
-    return MakeFailure(Errc::kTimeout, "read answer", this->peer, detail);
+  if (absl::FromChrono(silence) >= this->options.read_timeout) {
+    return MakeFailure(Errc::kTimeout, "read response", this->peer, detail);
   }
   return MakeFailure(head_seen ? Errc::kTruncated : Errc::kConnectionLost,
-                     "read answer", this->peer, detail);
+                     "read response", this->peer, detail);
 }
 
 HttpCall::HttpCall(Endpoint endpoint, HttpOptions options,
@@ -95,16 +95,16 @@
 
 Status HttpCall::Stream(const HttpRequest& request, const OnHead& on_head,
                         const OnData& on_data) {
-  httplib::Request wire = RequestOf(request);
+  httplib::Request library_request = ToLibraryRequest(request);
   bool head_seen = false;
   auto last_progress = std::chrono::steady_clock::now();
-  wire.response_handler = [&](const httplib::Response& response) {
+  library_request.response_handler = [&](const httplib::Response& response) {
     head_seen = true;
     last_progress = std::chrono::steady_clock::now();
-    return !this->impl->cancelled && on_head(HeadOf(response));
+    return !this->impl->cancelled && on_head(ToHead(response));
   };
-  wire.content_receiver = [&](const char* data, std::size_t size, std::uint64_t,
-                              std::uint64_t) {
+  library_request.content_receiver = [&](const char* data, std::size_t size,
+                                         std::uint64_t, std::uint64_t) {
     last_progress = std::chrono::steady_clock::now();
     return !this->impl->cancelled && on_data(std::string_view(data, size));
   };
@@ -113,9 +113,9 @@
   if (this->impl->cancelled) {
     return this->impl->FailureFor(httplib::Error::Canceled, false, {});
   }
-  if (this->impl->client.send(wire, response, error)) {
-    // The library calls no handler for an answer without a body.
-    if (!head_seen) on_head(HeadOf(response));
+  if (this->impl->client.send(library_request, response, error)) {
+    // The library does not call the response handler if there is no body.
+    if (!head_seen) on_head(ToHead(response));
     return Done{};
   }
   return this->impl->FailureFor(
@@ -137,8 +137,8 @@
   };
   const Status status = this->Stream(request, on_head, on_data);
   if (too_large) {
-    return MakeFailure(Errc::kBadAnswer, "read answer", this->impl->peer,
-                       "body above the limit");
+    return MakeFailure(Errc::kBadAnswer, "read response", this->impl->peer,
+                       "the body exceeds the size limit");
   }
   if (!status.Ok()) return status.Error();
   return reply;
--- a/dragonflyglade/net/http_call.h
+++ b/dragonflyglade/net/http_call.h
@@ -25,7 +25,7 @@
   std::string content_type = "application/json";
 };
 
-/// An answer's beginning.
+/// The parts of a response's head that callers of HttpCall use.
 struct HttpHead {
   int status = 0;
   std::string content_type;
@@ -33,31 +33,32 @@
   std::string retry_after;  ///< may be empty
 };
 
-/// A whole answer.
+/// A complete response.
 struct HttpReply {
   HttpHead head;
   std::string body;
 };
 
-/// Limits of one call.
+/// The limits of one call.
 struct HttpOptions {
   absl::Duration connect_timeout = absl::Milliseconds(500);
-  /// Longest silence while an answer is awaited or read.
+  /// The longest time without any received byte of the response.
   absl::Duration read_timeout = absl::Seconds(5);
   absl::Duration write_timeout = absl::Seconds(5);
-  std::size_t max_body = 64u << 20;
+  std::size_t max_body = 64u
+                         << 20;  ///< bytes of a response body that Run keeps
 };
 
 /// One HTTP call on a connection of its own, which is closed afterwards.
 ///
 /// Errors carry the step and the peer: kConnectFailed when nothing was sent;
-/// kTimeout, kConnectionLost or kTruncated when the outcome is not known;
-/// kCancelled after Cancel or when a receiver said stop.
+/// kTimeout, kConnectionLost or kTruncated when the outcome is unknown;
+/// kCancelled after Cancel or when a callback returned false.
 class HttpCall {
  public:
-  /// Called once the answer's head is there; false stops the call.
+  /// Called when the response's head has arrived; false stops the call.
   using OnHead = std::function<bool(const HttpHead&)>;
-  /// Called for each part of the body; false stops the call.
+  /// Called for each received chunk of the body; false stops the call.
   using OnData = std::function<bool(std::string_view)>;
 
   HttpCall(Endpoint endpoint, HttpOptions options, std::string_view peer);
@@ -65,14 +66,15 @@
   HttpCall(const HttpCall&) = delete;
   HttpCall& operator=(const HttpCall&) = delete;
 
-  /// Sends the request and passes the answer on as it comes. Call once.
+  /// Sends the request and passes the response on as it arrives. Call once.
   Status Stream(const HttpRequest& request, const OnHead& on_head,
                 const OnData& on_data);
 
-  /// Sends the request and collects the answer. Call once.
+  /// Sends the request and returns the complete response. Call once.
+  /// Errors also: kBadAnswer if the body exceeds HttpOptions::max_body.
   Result<HttpReply> Run(const HttpRequest& request);
 
-  /// Ends the call from another thread.
+  /// Ends the call; may be called from any thread.
   void Cancel();
 
  private:
--- a/dragonflyglade/net/http_server.cc
+++ b/dragonflyglade/net/http_server.cc
@@ -10,10 +10,10 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::size_t kRequestsPerConnection = 10'000;
-constexpr int kIdleSeconds = 5;
-constexpr int kReadSeconds = 10;
-constexpr int kWriteSeconds = 30;
+constexpr std::size_t kMaxRequestsPerConnection = 10'000;
+constexpr int kKeepAliveSeconds = 5;
+constexpr int kReadTimeoutSeconds = 10;
+constexpr int kWriteTimeoutSeconds = 30;
 
 }  // namespace
 
@@ -30,10 +30,10 @@
   server.new_task_queue = [threads] {
     return new httplib::ThreadPool(static_cast<std::size_t>(threads));
   };
-  server.set_keep_alive_max_count(kRequestsPerConnection);
-  server.set_keep_alive_timeout(kIdleSeconds);
-  server.set_read_timeout(kReadSeconds);
-  server.set_write_timeout(kWriteSeconds);
+  server.set_keep_alive_max_count(kMaxRequestsPerConnection);
+  server.set_keep_alive_timeout(kKeepAliveSeconds);
+  server.set_read_timeout(kReadTimeoutSeconds);
+  server.set_write_timeout(kWriteTimeoutSeconds);
   server.set_tcp_nodelay(true);
   server.set_socket_options([](int socket) { ListenAlone(socket); });
 }
@@ -51,7 +51,7 @@
           : state.server.bind_to_port(state.listen.address, port);
   if (!bound) {
     return MakeFailure(Errc::kUnavailable, step, state.listen.ToString(),
-                       "cannot bind");
+                       "the address cannot be bound");
   }
   state.thread = std::thread([&state] { state.server.listen_after_bind(); });
   while (!state.server.is_running()) std::this_thread::yield();
--- a/dragonflyglade/net/http_server.h
+++ b/dragonflyglade/net/http_server.h
@@ -13,21 +13,23 @@
 
 namespace dragonflyglade {
 
-/// An HTTP server with its thread.
+/// An HTTP server with an accepting thread of its own.
 class HttpServer {
  public:
-  /// @param threads the most connections that are served at once
+  /// @param threads the number of connections that can be served at once
   HttpServer(Endpoint listen, int threads);
   ~HttpServer();
 
-  /// The library's server, to set routes on before Start.
+  /// The underlying server of the httplib library. Set its routes before Start.
   httplib::Server& Library();
 
-  /// Binds and begins to answer.
+  /// Binds the address and starts to serve requests.
+  /// @param step the step that an error carries
   /// @return the port, which the system chose if it was 0
+  /// Errors: kUnavailable if the address cannot be bound.
   Result<int> Start(std::string_view step);
 
-  /// Takes no new connections and waits for the requests under way.
+  /// Stops accepting connections and waits for the requests in progress.
   void Stop();
 
  private:
--- a/dragonflyglade/net/log.cc
+++ b/dragonflyglade/net/log.cc
@@ -11,12 +11,13 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::array<const char*, 7> kPrefixes = {
+// In the order of LogPart.
+constexpr std::array<const char*, 7> kPartNames = {
     "caller", "target", "store", "operator", "peer", "placement", "instance"};
 
-// Escapes the message, so that each line stays one JSON object whatever the
-// message holds.
-class JsonMessage : public spdlog::custom_flag_formatter {
+// Formats a message as a JSON string, so that any message keeps its log line
+// one valid JSON object.
+class JsonStringFormatter : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& message, const std::tm&,
               spdlog::memory_buf_t& out) override {
@@ -28,7 +29,7 @@
   }
 
   std::unique_ptr<spdlog::custom_flag_formatter> clone() const override {
-    return std::make_unique<JsonMessage>();
+    return std::make_unique<JsonStringFormatter>();
   }
 };
 
@@ -38,13 +39,13 @@
   return sink;
 }
 
-using Loggers = std::array<std::shared_ptr<spdlog::logger>, kPrefixes.size()>;
+using Loggers = std::array<std::shared_ptr<spdlog::logger>, kPartNames.size()>;
 
 Loggers& AllLoggers() {
   static Loggers& loggers = *[] {
     auto* made = new Loggers;
-    for (std::size_t i = 0; i < kPrefixes.size(); ++i) {
-      (*made)[i] = std::make_shared<spdlog::logger>(kPrefixes[i], Sink());
+    for (std::size_t i = 0; i < kPartNames.size(); ++i) {
+      (*made)[i] = std::make_shared<spdlog::logger>(kPartNames[i], Sink());
       (*made)[i]->set_level(spdlog::level::warn);
     }
     return made;
@@ -58,7 +59,7 @@
   auto formatter = std::make_unique<spdlog::pattern_formatter>(
       spdlog::pattern_time_type::utc);
   if (options.json_lines) {
-    formatter->add_flag<JsonMessage>('*').set_pattern(
+    formatter->add_flag<JsonStringFormatter>('*').set_pattern(
         R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l","part":"%n",)"
         R"("message":%*})");
   } else {
--- a/dragonflyglade/net/log.h
+++ b/dragonflyglade/net/log.h
@@ -7,7 +7,8 @@
 
 namespace dragonflyglade {
 
-/// The parts of the program that log; each has a fixed prefix.
+/// The components of the program that log. The name of each stands in its log
+/// lines.
 enum class LogPart {
   kCaller,
   kTarget,
@@ -18,16 +19,17 @@
   kInstance,
 };
 
-/// How the log is written.
+/// The log's level and format.
 struct LogOptions {
-  spdlog::level::level_enum level = spdlog::level::info;
-  bool json_lines = false;
+  spdlog::level::level_enum level = spdlog::level::info;  ///< the lowest shown
+  bool json_lines = false;  ///< one JSON object per line, else plain text
 };
 
-/// Sets up the log on standard error. Call before the first LogFor.
+/// Configures the log, which is written to standard error. Call before the
+/// first LogFor.
 void SetUpLog(const LogOptions& options);
 
-/// The logger of a part.
+/// The logger of a component.
 spdlog::logger& LogFor(LogPart part);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/net/socket_options.cc
+++ b/dragonflyglade/net/socket_options.cc
@@ -7,34 +7,37 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr int kOn = 1;
-constexpr int kIdleSeconds = 5;
-constexpr int kProbeSeconds = 2;
-constexpr int kProbes = 3;
-constexpr unsigned kUnackedMilliseconds = 10'000;
+constexpr int kEnabled = 1;
+constexpr int kKeepAliveIdleSeconds = 5;
+constexpr int kKeepAliveProbeSeconds = 2;
+constexpr int kKeepAliveProbes = 3;
+constexpr unsigned kUserTimeoutMilliseconds = 10'000;
 
-void Set(int socket, int level, int option, int value) {
+void SetOption(int socket, int level, int option, int value) {
   setsockopt(socket, level, option, &value, sizeof(value));
 }
 
 }  // namespace
 
-// Failure: a device between the two ends forgets the connection; both ends
-// see it open, and a write or a read waits for good. Keepalive probes find it
-// while idle, and the user timeout finds it while data is unacknowledged.
+// Failure: a network device between the two ends drops the connection's state.
+// Both ends still see the connection as open, so a read or write blocks
+// forever. Keepalive probes detect this on an idle connection, and the user
+// timeout detects it while sent data is unacknowledged.
 void WatchForSilence(int socket) {
-  Set(socket, SOL_SOCKET, SO_KEEPALIVE, kOn);
-  Set(socket, IPPROTO_TCP, TCP_KEEPIDLE, kIdleSeconds);
-  Set(socket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeSeconds);
-  Set(socket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
-  const unsigned unacked = kUnackedMilliseconds;
-  setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &unacked, sizeof(unacked));
+  SetOption(socket, SOL_SOCKET, SO_KEEPALIVE, kEnabled);
+  SetOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+  SetOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveProbeSeconds);
+  SetOption(socket, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbes);
+  const unsigned user_timeout_ms = kUserTimeoutMilliseconds;
+  setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout_ms,
+             sizeof(user_timeout_ms));
 }
 
-// The HTTP library would share the port between processes, and a second
-// instance started by mistake would take half of the connections unnoticed.
+// Failure: the HTTP library by default lets several processes bind one port
+// (SO_REUSEPORT), so a second instance started by mistake silently takes half
+// of the connections. Without that option its bind fails.
 void ListenAlone(int socket) {
-  Set(socket, SOL_SOCKET, SO_REUSEADDR, kOn);
+  SetOption(socket, SOL_SOCKET, SO_REUSEADDR, kEnabled);
   WatchForSilence(socket);
 }
 
--- a/dragonflyglade/net/socket_options.h
+++ b/dragonflyglade/net/socket_options.h
@@ -3,11 +3,12 @@
 
 namespace dragonflyglade {
 
-/// Makes the kernel notice a connection that went silent for good.
+/// Makes the kernel close a connection whose other end no longer responds.
 void WatchForSilence(int socket);
 
-/// Options of a listening socket: its port is never shared with another
-/// process, and is free again right after a restart.
+/// Sets the options of a listening socket: no other process can bind its port
+/// at the same time, and the port can be bound again right after a restart.
+/// Accepted connections get the options of WatchForSilence.
 void ListenAlone(int socket);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/net/task_group.cc
+++ b/dragonflyglade/net/task_group.cc
@@ -10,11 +10,12 @@
 namespace dragonflyglade {
 namespace {
 
-void Do(const std::function<void()>& task) {
+void RunLoggingExceptions(const std::function<void()>& task) {
   try {
     task();
   } catch (const std::exception& error) {
-    LogFor(LogPart::kInstance).error("A task failed: {}.", error.what());
+    LogFor(LogPart::kInstance)
+        .error("A background task threw an exception: {}.", error.what());
   }
 }
 
@@ -33,18 +34,18 @@
     absl::MutexLock lock(&this->mutex);
     ++this->running;
   }
-  absl::Cleanup not_started = [this] { this->Ended(); };
+  absl::Cleanup not_started = [this] { this->FinishTask(); };
   std::thread([this, task = std::move(task)]() mutable {
-    Do(task);
-    // What the task holds is released before it counts as done, because the
-    // group's owner may go as soon as nothing runs.
+    RunLoggingExceptions(task);
+    // The task's captures are destroyed before the task counts as finished:
+    // once no task runs, the group's owner may destroy what they refer to.
     task = nullptr;
-    this->Ended();
+    this->FinishTask();
   }).detach();
   std::move(not_started).Cancel();
 }
 
-void TaskGroup::Ended() {
+void TaskGroup::FinishTask() {
   absl::MutexLock lock(&this->mutex);
   --this->running;
 }
--- a/dragonflyglade/net/task_group.h
+++ b/dragonflyglade/net/task_group.h
@@ -8,24 +8,25 @@
 
 namespace dragonflyglade {
 
-/// Threads that each do one task and end; all can be waited for.
+/// Runs tasks in threads of their own and waits for them on destruction.
+/// Thread-safe.
 class TaskGroup {
  public:
   TaskGroup() = default;
-  /// Waits for all tasks.
+  /// Waits until all tasks have finished.
   ~TaskGroup();
   TaskGroup(const TaskGroup&) = delete;
   TaskGroup& operator=(const TaskGroup&) = delete;
 
-  /// Does the task in a thread of its own. What it throws is logged. Throws
-  /// std::system_error if no thread can be had.
+  /// Starts a task in a new thread. An exception that it throws is logged.
+  /// Throws std::system_error if no thread can be created.
   void Run(std::function<void()> task);
 
-  /// Tasks under way.
+  /// The number of unfinished tasks.
   int Running() const;
 
  private:
-  void Ended();
+  void FinishTask();
 
   mutable absl::Mutex mutex;
   int running ABSL_GUARDED_BY(mutex) = 0;
--- a/dragonflyglade/net/text.h
+++ b/dragonflyglade/net/text.h
@@ -8,7 +8,9 @@
 
 namespace dragonflyglade {
 
-/// Abseil's views, which are a type of their own in Debian 12, as ours.
+// Conversions between std::string_view and absl::string_view, which is a type
+// of its own in the Abseil package of Debian 12.
+
 inline std::string_view View(absl::string_view text) {
   return {text.data(), text.size()};
 }
@@ -16,7 +18,7 @@
   return {text.data(), text.size()};
 }
 
-/// A copy of a view of Abseil's.
+/// Copies the viewed characters.
 inline std::string Copy(absl::string_view text) {
   return {text.data(), text.size()};
 }
--- a/dragonflyglade/net/worker.cc
+++ b/dragonflyglade/net/worker.cc
@@ -8,8 +8,8 @@
 namespace dragonflyglade {
 namespace {
 
-// What made a job fail mostly lasts longer than its usual pause.
-constexpr absl::Duration kPauseAfterFault = absl::Seconds(1);
+// The cause of an exception usually lasts longer than a job's normal pause.
+constexpr absl::Duration kPauseAfterException = absl::Seconds(1);
 
 }  // namespace
 
@@ -21,18 +21,19 @@
   this->thread = std::thread([this] { this->Run(); });
 }
 
-absl::Duration Worker::DoJob() const {
+absl::Duration Worker::RunJobOnce() const {
   try {
     return this->job();
   } catch (const std::exception& error) {
-    LogFor(LogPart::kInstance).error("A round failed: {}.", error.what());
-    return kPauseAfterFault;
+    LogFor(LogPart::kInstance)
+        .error("A periodic job threw an exception: {}.", error.what());
+    return kPauseAfterException;
   }
 }
 
 void Worker::Run() {
   while (true) {
-    const absl::Duration pause = this->DoJob();
+    const absl::Duration pause = this->RunJobOnce();
     absl::MutexLock lock(&this->mutex);
     const auto interrupted = [this]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
       return this->stopping || this->woken;
--- a/dragonflyglade/net/worker.h
+++ b/dragonflyglade/net/worker.h
@@ -9,11 +9,11 @@
 
 namespace dragonflyglade {
 
-/// A thread that does a job again and again, with a pause after each. A job
-/// that throws is logged, and done again after a second.
+/// A thread that runs a job repeatedly, with a pause after each run. If the
+/// job throws, the exception is logged and the job runs again after a second.
 class Worker {
  public:
-  /// Does the job once; returns the pause until the next time.
+  /// Runs once and returns the pause until the next run.
   using Job = std::function<absl::Duration()>;
 
   explicit Worker(Job job);
@@ -21,18 +21,18 @@
 
   void Start();
 
-  /// Ends the pause early.
+  /// Ends the current pause, or skips the next one if the job is running.
   void Wake();
 
-  /// Waits for the job under way and ends the thread.
+  /// Waits for the current run and ends the thread.
   void Stop();
 
-  /// Whether Stop was called; a long job looks at it.
+  /// Whether Stop was called; a long job checks this to return early.
   bool Stopping() const;
 
  private:
   void Run();
-  absl::Duration DoJob() const;
+  absl::Duration RunJobOnce() const;
 
   const Job job;
   mutable absl::Mutex mutex;
--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -10,9 +10,9 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr absl::Duration kLeaseShared = absl::Hours(1);
-constexpr absl::Duration kRetryPause = absl::Milliseconds(200);
-constexpr std::size_t kMostEndings = 10'000;
+constexpr absl::Duration kLeaseSharingPeriod = absl::Hours(1);
+constexpr absl::Duration kRetryInterval = absl::Milliseconds(200);
+constexpr std::size_t kMaxPendingWrites = 10'000;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     : kv(kv),
       keep(keep),
       clock(clock),
-      worker([this] { return this->WritePending(); }) {
+      worker([this] { return this->WritePendingWrites(); }) {
   this->worker.Start();
 }
 
@@ -31,25 +31,25 @@
   return fmt::format("claim/{}/{}", workspace, Sha256Hex(idempotency_key));
 }
 
-Result<std::int64_t> ClaimStore::Lease() {
+Result<std::int64_t> ClaimStore::CurrentLease() {
   absl::MutexLock lock(&this->lease_mutex);
   const Instant now = this->clock.Now();
-  if (now < this->lease_until) return this->lease;
+  if (now < this->lease_shared_until) return this->lease;
   const Result<std::int64_t> granted =
-      this->kv.GrantLease(this->keep + kLeaseShared);
+      this->kv.GrantLease(this->keep + kLeaseSharingPeriod);
   if (!granted.Ok()) return granted;
   this->lease = granted.Value();
-  this->lease_until = now + kLeaseShared;
+  this->lease_shared_until = now + kLeaseSharingPeriod;
   return granted;
 }
 
-std::int64_t ClaimStore::LastLease() {
+std::int64_t ClaimStore::LastGrantedLease() {
   absl::MutexLock lock(&this->lease_mutex);
   return this->lease;
 }
 
 ClaimWrite ClaimStore::Create(const std::string& key, const Claim& claim) {
-  const Result<std::int64_t> lease = this->Lease();
+  const Result<std::int64_t> lease = this->CurrentLease();
   if (!lease.Ok()) return ClaimNotWritten{};
   const KvExpect absent{key, 0};
   const KvWrite write{key, EncodeClaim(claim), lease.Value(), false};
@@ -61,7 +61,8 @@
     return ClaimNotWritten{};
   }
   if (reply.Value().succeeded) return ClaimCreated{reply.Value().revision};
-  // Removed between the comparison and the read: try again.
+  // The comparison failed, but the existing claim was gone by the time it was
+  // read. The caller may try again.
   if (reply.Value().found.empty()) return ClaimNotWritten{};
   const KvEntry& found = reply.Value().found.front();
   return ClaimExists{found.value, found.mod_revision};
@@ -69,52 +70,56 @@
 
 void ClaimStore::Finish(const std::string& key, std::int64_t revision,
                         const Claim& claim) {
-  // An ending without a lease would stay for good. If none can be granted now,
-  // the last one still lives for as long as claims are kept.
-  const Result<std::int64_t> granted = this->Lease();
-  const std::int64_t lease = granted.Ok() ? granted.Value() : this->LastLease();
+  // A claim written without a lease would never be removed. If no lease can be
+  // granted now, the previous one is used: it lives on for as long as claims
+  // are kept.
+  const Result<std::int64_t> granted = this->CurrentLease();
+  const std::int64_t lease =
+      granted.Ok() ? granted.Value() : this->LastGrantedLease();
   KvWrite write{key, EncodeClaim(claim), lease, false};
-  this->Enqueue(Ending{KvExpect{key, revision}, std::move(write)});
+  this->Enqueue(PendingWrite{KvExpect{key, revision}, std::move(write)});
 }
 
 void ClaimStore::Release(const std::string& key, std::int64_t revision) {
-  this->Enqueue(Ending{KvExpect{key, revision}, KvWrite{key, "", 0, true}});
+  this->Enqueue(
+      PendingWrite{KvExpect{key, revision}, KvWrite{key, "", 0, true}});
 }
 
-void ClaimStore::Enqueue(Ending ending) {
-  if (this->WriteOne(ending)) return;
+void ClaimStore::Enqueue(PendingWrite pending) {
+  if (this->TryWrite(pending)) return;
   absl::MutexLock lock(&this->mutex);
-  // Beyond the limit an ending is dropped: its claim stays "running", and a
-  // repeat of the call is answered with "unknown", which is still true.
-  if (this->endings.size() >= kMostEndings) return;
-  this->endings.push_back(std::move(ending));
+  // Beyond the limit the write is dropped. The claim then stays in the state
+  // kRunning, so a repeated call is told that the outcome is not known, which
+  // is still correct.
+  if (this->pending_writes.size() >= kMaxPendingWrites) return;
+  this->pending_writes.push_back(std::move(pending));
 }
 
-bool ClaimStore::WriteOne(const Ending& ending) {
+bool ClaimStore::TryWrite(const PendingWrite& pending) {
   const Result<KvTxnReply> reply =
-      this->kv.Txn({ending.expect}, {ending.write});
-  // An answered comparison is final either way: if it failed, an earlier
-  // attempt whose answer was lost did the write.
+      this->kv.Txn({pending.expect}, {pending.write});
+  // Any response is final: if the comparison failed, an earlier attempt, whose
+  // response was lost, has done the write.
   return reply.Ok();
 }
 
-absl::Duration ClaimStore::WritePending() {
+absl::Duration ClaimStore::WritePendingWrites() {
   while (true) {
-    Ending next;
+    PendingWrite next;
     {
       absl::MutexLock lock(&this->mutex);
-      if (this->endings.empty()) return kRetryPause;
-      next = this->endings.front();
+      if (this->pending_writes.empty()) return kRetryInterval;
+      next = this->pending_writes.front();
     }
-    if (!this->WriteOne(next)) return kRetryPause;
+    if (!this->TryWrite(next)) return kRetryInterval;
     absl::MutexLock lock(&this->mutex);
-    this->endings.pop_front();
+    this->pending_writes.pop_front();
   }
 }
 
 std::size_t ClaimStore::Pending() const {
   absl::MutexLock lock(&this->mutex);
-  return this->endings.size();
+  return this->pending_writes.size();
 }
 
 void ClaimStore::Flush(absl::Duration limit) {
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -17,11 +17,11 @@
 
 /// Keeps claims in the key-value service.
 ///
-/// Claims hang on a lease that all claims of an hour share, so they go away
-/// by themselves without a call each. Thread-safe.
+/// All claims of one hour are attached to one shared lease, so the service
+/// removes them when it expires, without a call for each claim. Thread-safe.
 class ClaimStore {
  public:
-  /// @param keep how long a claim is remembered at least
+  /// @param keep the shortest time for which a claim is kept
   ClaimStore(const KvClient& kv, absl::Duration keep, Clock clock);
   ~ClaimStore();
 
@@ -29,43 +29,47 @@
   static std::string KeyFor(std::string_view workspace,
                             std::string_view idempotency_key);
 
-  /// Tries once to create a claim.
+  /// Makes one attempt to create a claim.
   ClaimWrite Create(const std::string& key, const Claim& claim);
 
-  /// Writes how a claimed call ended; goes on trying in the background.
+  /// Replaces a claim by one with the outcome of its call. If the write fails,
+  /// it is retried in the background.
+  /// @param revision the claim's revision when it was created
   void Finish(const std::string& key, std::int64_t revision,
               const Claim& claim);
 
-  /// Removes a claim whose call was certainly never sent; goes on trying in
-  /// the background.
+  /// Removes a claim whose call was certainly never sent. If the write fails,
+  /// it is retried in the background.
+  /// @param revision the claim's revision when it was created
   void Release(const std::string& key, std::int64_t revision);
 
-  /// Endings that wait to be written.
+  /// The number of writes that wait to be retried.
   std::size_t Pending() const;
 
-  /// Writes what waits, for at most the given time.
+  /// Waits until no write is pending, for at most the given time.
   void Flush(absl::Duration limit);
 
  private:
-  struct Ending {
+  struct PendingWrite {
     KvExpect expect;
     KvWrite write;
   };
 
-  Result<std::int64_t> Lease();
-  std::int64_t LastLease();
-  absl::Duration WritePending();
-  bool WriteOne(const Ending& ending);
-  void Enqueue(Ending ending);
+  Result<std::int64_t> CurrentLease();
+  std::int64_t LastGrantedLease();
+  absl::Duration WritePendingWrites();
+  bool TryWrite(const PendingWrite& ending);
+  void Enqueue(PendingWrite ending);
 
   const KvClient& kv;
   const absl::Duration keep;
   const Clock clock;
   absl::Mutex lease_mutex;
   std::int64_t lease ABSL_GUARDED_BY(lease_mutex) = 0;
-  Instant lease_until ABSL_GUARDED_BY(lease_mutex) = -absl::InfiniteDuration();
+  Instant lease_shared_until ABSL_GUARDED_BY(lease_mutex) =
+      -absl::InfiniteDuration();
   mutable absl::Mutex mutex;
-  std::deque<Ending> endings ABSL_GUARDED_BY(mutex);
+  std::deque<PendingWrite> pending_writes ABSL_GUARDED_BY(mutex);
   Worker worker;
 };
 
--- a/dragonflyglade/store/kv_client.cc
+++ b/dragonflyglade/store/kv_client.cc
@@ -10,17 +10,17 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "kv";
+constexpr const char* kServicePeer = "kv";
 constexpr int kHttpOk = 200;
 
 template <typename Decode>
-auto Decoded(std::string_view step, const Result<std::string>& text,
-             Decode decode) -> Result<decltype(decode(json()))> {
+auto DecodeResponse(std::string_view step, const Result<std::string>& text,
+                    Decode decode) -> Result<decltype(decode(json()))> {
   if (!text.Ok()) return text.Error();
   try {
     return decode(json::parse(text.Value()));
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, step, kPeer, error.what());
+    return MakeFailure(Errc::kBadAnswer, step, kServicePeer, error.what());
   }
 }
 
@@ -48,12 +48,13 @@
   request.method = "POST";
   request.path = std::string(path);
   request.body = body;
-  Failure last = MakeFailure(Errc::kUnavailable, step, kPeer, "no endpoint");
+  Failure last_failure = MakeFailure(Errc::kUnavailable, step, kServicePeer,
+                                     "no endpoint is configured");
   const std::size_t count = this->options.endpoints.size();
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t index = (this->preferred + i) % count;
     ++this->calls;
-    HttpCall call(this->options.endpoints[index], http, kPeer);
+    HttpCall call(this->options.endpoints[index], http, kServicePeer);
     Result<HttpReply> reply = call.Run(request);
     if (reply.Ok() && reply.Value().head.status == kHttpOk) {
       this->preferred = index;
@@ -62,35 +63,38 @@
     const std::string detail =
         reply.Ok() ? "status " + std::to_string(reply.Value().head.status)
                    : reply.Error().ToString();
-    const bool connected =
+    const bool may_have_arrived =
         reply.Ok() || reply.Error().code != Errc::kConnectFailed;
-    // Failure: the answer to a write is lost after it took effect, and a
-    // second write at the next endpoint would compare against its own first
-    // one. Once a write may have arrived, its outcome is reported as unknown.
-    if (connected && writes) {
-      return MakeFailure(Errc::kOutcomeUnknown, step, kPeer, detail);
+    // Failure: the response to a write is lost after the write took effect. If
+    // the write were repeated at the next endpoint, its comparison would fail
+    // because of the first attempt. So once a write may have reached the
+    // service, its outcome is reported as unknown and it is not repeated.
+    if (may_have_arrived && writes) {
+      return MakeFailure(Errc::kOutcomeUnknown, step, kServicePeer, detail);
     }
-    last = MakeFailure(Errc::kUnavailable, step, kPeer, detail);
+    last_failure = MakeFailure(Errc::kUnavailable, step, kServicePeer, detail);
   }
-  return last;
+  return last_failure;
 }
 
 Result<KvRange> KvClient::Range(const KvQuery& query) const {
-  return Decoded(
+  return DecodeResponse(
       "range",
       this->Call("range", "/v3/kv/range", EncodeRange(query).dump(), false),
       DecodeRange);
 }
 
-Result<KvTxnReply> KvClient::Txn(absl::Span<const KvExpect> expects,
+Result<KvTxnReply> KvClient::Txn(absl::Span<const KvExpect> conditions,
                                  absl::Span<const KvWrite> writes) const {
-  Result<KvTxnReply> reply = Decoded(
-      "txn",
-      this->Call("txn", "/v3/kv/txn", EncodeTxn(expects, writes).dump(), true),
-      DecodeTxn);
-  // A malformed answer to a write says nothing of its outcome either.
+  Result<KvTxnReply> reply =
+      DecodeResponse("txn",
+                     this->Call("txn", "/v3/kv/txn",
+                                EncodeTxn(conditions, writes).dump(), true),
+                     DecodeTxn);
+  // After a malformed response it is not known whether the write took
+  // effect.
   if (!reply.Ok() && reply.Error().code == Errc::kBadAnswer) {
-    return MakeFailure(Errc::kOutcomeUnknown, "txn", kPeer,
+    return MakeFailure(Errc::kOutcomeUnknown, "txn", kServicePeer,
                        reply.Error().detail);
   }
   return reply;
@@ -99,7 +103,7 @@
 Result<std::int64_t> KvClient::GrantLease(absl::Duration ttl) const {
   const json message = {{"TTL", std::to_string(absl::ToInt64Seconds(ttl))},
                         {"ID", "0"}};
-  return Decoded(
+  return DecodeResponse(
       "grant lease",
       this->Call("grant lease", "/v3/lease/grant", message.dump(), true),
       [](const json& object) { return DecodeNumber(object, "ID"); });
@@ -107,15 +111,15 @@
 
 Status KvClient::KeepAlive(std::int64_t lease) const {
   const json message = {{"ID", std::to_string(lease)}};
-  const Result<std::int64_t> ttl = Decoded(
-      "keep lease",
-      this->Call("keep lease", "/v3/lease/keepalive", message.dump(), false),
+  const Result<std::int64_t> ttl = DecodeResponse(
+      "renew lease",
+      this->Call("renew lease", "/v3/lease/keepalive", message.dump(), false),
       [](const json& object) {
         return DecodeNumber(object.at("result"), "TTL");
       });
   if (!ttl.Ok()) return ttl.Error();
   if (ttl.Value() > 0) return Done{};
-  return MakeFailure(Errc::kNotHeld, "keep lease", kPeer, "lapsed");
+  return MakeFailure(Errc::kNotHeld, "renew lease", kServicePeer, "lapsed");
 }
 
 Status KvClient::RevokeLease(std::int64_t lease) const {
@@ -132,12 +136,13 @@
     const OnEvents& on_events) const {
   HttpOptions http;
   http.connect_timeout = this->options.connect_timeout;
-  // Progress notices come even when nothing changes, so a longer silence
-  // means that the connection is dead, although it looks open.
+  // The service sends progress notifications even when nothing changes. If
+  // none arrives in this time, the connection is broken, although the socket
+  // still looks open.
   http.read_timeout = this->options.watch_silence;
   const std::size_t index = this->preferred % this->options.endpoints.size();
-  auto call =
-      std::make_shared<HttpCall>(this->options.endpoints[index], http, kPeer);
+  auto call = std::make_shared<HttpCall>(this->options.endpoints[index], http,
+                                         kServicePeer);
   on_start(std::make_shared<WatchHandle>(call));
   ++this->calls;
 
@@ -146,7 +151,7 @@
   request.path = "/v3/watch";
   request.body = EncodeWatch(prefix, from_revision).dump();
   std::string buffer;
-  std::string malformed;
+  std::string stream_error;
   const auto on_line = [&](const std::string& line) {
     try {
       const json result = json::parse(line).at("result");
@@ -155,9 +160,9 @@
       const std::vector<KvEvent> events = DecodeEvents(result);
       on_events(events, revision);
       if (!result.value("canceled", false)) return true;
-      malformed = "cancelled by the service";
+      stream_error = "cancelled by the service";
     } catch (const json::exception& error) {
-      malformed = error.what();
+      stream_error = error.what();
     }
     return false;
   };
@@ -175,13 +180,13 @@
     return head.status == kHttpOk;
   };
   const Status status = call->Stream(request, on_head, on_data);
-  if (!malformed.empty()) {
-    return MakeFailure(Errc::kBadAnswer, "watch", kPeer, malformed);
+  if (!stream_error.empty()) {
+    return MakeFailure(Errc::kBadAnswer, "watch", kServicePeer, stream_error);
   }
   if (status.Ok()) {
-    return MakeFailure(Errc::kConnectionLost, "watch", kPeer, "ended");
+    return MakeFailure(Errc::kConnectionLost, "watch", kServicePeer, "ended");
   }
-  // The next attempt, of any kind, goes to the next endpoint.
+  // The next call, whether a watch or not, starts with the next endpoint.
   if (status.Error().code != Errc::kCancelled) {
     this->preferred = (index + 1) % this->options.endpoints.size();
   }
--- a/dragonflyglade/store/kv_client.h
+++ b/dragonflyglade/store/kv_client.h
@@ -17,7 +17,7 @@
 
 namespace dragonflyglade {
 
-/// One key with its value, as the service holds it.
+/// A key with its value and metadata, as the service stores them.
 struct KvEntry {
   std::string key;
   std::string value;
@@ -26,9 +26,9 @@
   std::int64_t lease = 0;
 };
 
-/// Keys read together, at one revision of the whole store.
+/// Entries read in one call, at one revision of the store.
 struct KvRange {
-  std::vector<KvEntry> entries;  ///< by key
+  std::vector<KvEntry> entries;  ///< ordered by key
   std::int64_t revision = 0;
 };
 
@@ -40,14 +40,14 @@
   std::int64_t min_revision = 0;  ///< only entries modified at or after it
 };
 
-/// A condition of a transaction: the key's modification revision; 0 means
-/// that the key is not there.
+/// A condition of a transaction: the key's modification revision, where 0
+/// means that the key must not exist.
 struct KvExpect {
   std::string key;
   std::int64_t mod_revision = 0;
 };
 
-/// A write of a transaction.
+/// One write of a transaction: a put, or a deletion if remove is set.
 struct KvWrite {
   std::string key;
   std::string value;
@@ -55,73 +55,76 @@
   bool remove = false;
 };
 
-/// What a transaction did.
+/// The result of a transaction.
 struct KvTxnReply {
-  bool succeeded = false;
+  bool succeeded = false;  ///< whether all conditions held
   std::int64_t revision = 0;
-  /// If it failed: the entries of the expected keys that are there.
+  /// If a condition failed: the existing entries of the conditions' keys.
   std::vector<KvEntry> found;
 };
 
-/// A change seen by a watch.
+/// A change of one key, delivered by a watch.
 struct KvEvent {
   KvEntry entry;
   bool deleted = false;
 };
 
-/// Limits of the calls.
+/// The service's endpoints and the time limits of calls.
 struct KvOptions {
   std::vector<Endpoint> endpoints;
   absl::Duration connect_timeout = absl::Milliseconds(300);
   absl::Duration call_timeout = absl::Seconds(1);
-  /// Silence after which a watch is given up.
+  /// A watch that receives nothing for this long fails.
   absl::Duration watch_silence = absl::Seconds(10);
 };
 
-/// A watch that another thread can end.
+/// Lets another thread end a running watch.
 class KvWatch {
  public:
   virtual ~KvWatch() = default;
   virtual void Stop() = 0;
 };
 
-/// The platform's key-value service, by etcd v3's JSON gateway.
+/// Client of the platform's key-value service, through etcd v3's JSON gateway.
 ///
-/// Thread-safe; each call takes a connection of its own. An endpoint that
-/// cannot be reached is passed over for the next.
+/// Thread-safe; each call opens a connection of its own. If an endpoint cannot
+/// be reached, the next one is tried.
 /// Errors of all calls: kUnavailable when nothing was changed;
 /// kOutcomeUnknown when a write may or may not have taken effect;
-/// kBadAnswer for an answer that cannot be read.
+/// kBadAnswer for a malformed response.
 class KvClient {
  public:
   explicit KvClient(KvOptions options);
 
   Result<KvRange> Range(const KvQuery& query) const;
 
-  /// Carries out all writes if all expectations hold, else none.
-  Result<KvTxnReply> Txn(absl::Span<const KvExpect> expects,
+  /// Executes all writes if all conditions hold, else none.
+  Result<KvTxnReply> Txn(absl::Span<const KvExpect> conditions,
                          absl::Span<const KvWrite> writes) const;
 
   /// @return the lease's id
   Result<std::int64_t> GrantLease(absl::Duration ttl) const;
 
-  /// Extends a lease. Errors also: kNotHeld when it has lapsed.
+  /// Renews a lease. Errors also: kNotHeld when it has expired.
   Status KeepAlive(std::int64_t lease) const;
 
-  /// Ends a lease and removes its keys.
+  /// Revokes a lease, which also removes its keys.
   Status RevokeLease(std::int64_t lease) const;
 
   using OnEvents =
       std::function<void(absl::Span<const KvEvent>, std::int64_t revision)>;
 
-  /// Watches a prefix from a revision on; returns when the watch ends.
-  /// @param stop ends the watch when it is set and Stop is called on handle
-  /// @param on_start takes the handle before the watch begins
+  /// Watches all keys with a prefix, and blocks until the watch ends.
+  /// @param from_revision the first revision whose changes are delivered
+  /// @param on_start receives the handle that ends the watch, before it begins
+  /// @param on_events called for each message of the watch with its events,
+  ///   of which there may be none, and the store's revision
+  /// @return why the watch ended
   Failure Watch(std::string_view prefix, std::int64_t from_revision,
                 const std::function<void(std::shared_ptr<KvWatch>)>& on_start,
                 const OnEvents& on_events) const;
 
-  /// Calls made since the start, watches included.
+  /// The number of calls made since the start, including watches.
   std::int64_t Calls() const { return this->calls; }
 
  private:
--- a/dragonflyglade/store/kv_codec.cc
+++ b/dragonflyglade/store/kv_codec.cc
@@ -41,16 +41,18 @@
   return message;
 }
 
-json EncodeTxn(absl::Span<const KvExpect> expects,
+json EncodeTxn(absl::Span<const KvExpect> conditions,
                absl::Span<const KvWrite> writes) {
   json compare = json::array();
   json failure = json::array();
-  for (const KvExpect& expect : expects) {
-    compare.push_back({{"key", EncodeBytes(expect.key)},
-                       {"target", "MOD"},
-                       {"result", "EQUAL"},
-                       {"mod_revision", std::to_string(expect.mod_revision)}});
-    failure.push_back({{"request_range", {{"key", EncodeBytes(expect.key)}}}});
+  for (const KvExpect& condition : conditions) {
+    compare.push_back(
+        {{"key", EncodeBytes(condition.key)},
+         {"target", "MOD"},
+         {"result", "EQUAL"},
+         {"mod_revision", std::to_string(condition.mod_revision)}});
+    failure.push_back(
+        {{"request_range", {{"key", EncodeBytes(condition.key)}}}});
   }
   json success = json::array();
   for (const KvWrite& write : writes) {
@@ -67,11 +69,11 @@
   return {{"compare", compare}, {"success", success}, {"failure", failure}};
 }
 
-json EncodeWatch(std::string_view prefix, std::int64_t from) {
+json EncodeWatch(std::string_view prefix, std::int64_t from_revision) {
   return {{"create_request",
            {{"key", EncodeBytes(prefix)},
             {"range_end", EncodeBytes(PrefixEnd(prefix))},
-            {"start_revision", std::to_string(from)},
+            {"start_revision", std::to_string(from_revision)},
             {"progress_notify", true}}}};
 }
 
--- a/dragonflyglade/store/list_client.cc
+++ b/dragonflyglade/store/list_client.cc
@@ -10,9 +10,9 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "platform list";
+constexpr const char* kDiscoveryPeer = "platform discovery";
 constexpr int kHttpOk = 200;
-constexpr const char* kLeaving = "leaving";
+constexpr const char* kLeavingState = "leaving";
 
 ListedInstance DecodeInstance(const json& item) {
   ListedInstance listed;
@@ -21,7 +21,7 @@
   listed.info.peer_port = item.at("peer_port").get<int>();
   listed.info.caller_port = item.at("caller_port").get<int>();
   listed.info.zone = item.at("zone").get<std::string>();
-  listed.leaving = item.value("state", std::string()) == kLeaving;
+  listed.leaving = item.value("state", std::string()) == kLeavingState;
   return listed;
 }
 
@@ -32,7 +32,7 @@
   listed.port = item.at("port").get<int>();
   listed.zone = item.at("zone").get<std::string>();
   listed.pool = item.at("pool").get<std::string>();
-  listed.leaving = item.value("state", std::string()) == kLeaving;
+  listed.leaving = item.value("state", std::string()) == kLeavingState;
   return listed;
 }
 
@@ -45,16 +45,16 @@
   HttpOptions options;
   options.connect_timeout = this->timeout;
   options.read_timeout = this->timeout;
-  HttpCall call(this->endpoint, options, kPeer);
+  HttpCall call(this->endpoint, options, kDiscoveryPeer);
   HttpRequest request;
   request.path = path;
   Result<HttpReply> reply = call.Run(request);
   if (!reply.Ok()) {
-    return MakeFailure(Errc::kUnavailable, "read " + path, kPeer,
+    return MakeFailure(Errc::kUnavailable, "read " + path, kDiscoveryPeer,
                        reply.Error().ToString());
   }
   if (reply.Value().head.status != kHttpOk) {
-    return MakeFailure(Errc::kUnavailable, "read " + path, kPeer,
+    return MakeFailure(Errc::kUnavailable, "read " + path, kDiscoveryPeer,
                        std::to_string(reply.Value().head.status));
   }
   return std::move(reply.Value().body);
@@ -72,7 +72,8 @@
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read instances", kPeer, error.what());
+    return MakeFailure(Errc::kBadAnswer, "read instances", kDiscoveryPeer,
+                       error.what());
   }
 }
 
@@ -88,7 +89,8 @@
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read targets", kPeer, error.what());
+    return MakeFailure(Errc::kBadAnswer, "read targets", kDiscoveryPeer,
+                       error.what());
   }
 }
 
--- a/dragonflyglade/store/list_client.h
+++ b/dragonflyglade/store/list_client.h
@@ -13,16 +13,17 @@
 
 namespace dragonflyglade {
 
-/// The platform's list of targets at one version.
+/// A version of the platform's list of targets.
 struct TargetList {
   std::int64_t version = 0;
   std::vector<ListedTarget> targets;
 };
 
-/// The platform's lists of live and leaving instances and targets.
+/// Client of the platform's service discovery, which lists the instances and
+/// targets that are live or leaving.
 ///
-/// Both are JSON over HTTP: {"version": N, "instances": [...]} and
-/// {"version": N, "targets": [...]}; versions only grow.
+/// Both lists are JSON over HTTP: {"version": N, "instances": [...]} and
+/// {"version": N, "targets": [...]}, where the version only grows.
 /// Errors: kUnavailable, kBadAnswer.
 class ListClient {
  public:
--- a/dragonflyglade/store/role_lease.cc
+++ b/dragonflyglade/store/role_lease.cc
@@ -3,39 +3,42 @@
 namespace dragonflyglade {
 namespace {
 
-// The part of the lease's time that this side counts on.
-constexpr double kSafePart = 0.7;
+// The fraction of the lease's TTL for which this instance relies on the lease;
+// the rest is a margin before the service may grant the role to another.
+constexpr double kTrustedTtlFraction = 0.7;
 
 }  // namespace
 
 RoleLease::RoleLease(const KvClient& kv, std::string_view role,
-                     std::string_view holder, absl::Duration ttl, Clock clock)
+                     std::string_view owner, absl::Duration ttl, Clock clock)
     : kv(kv),
       key("role/" + std::string(role)),
-      holder(holder),
+      owner(owner),
       ttl(ttl),
       clock(clock) {}
 
-bool RoleLease::Held() const { return this->clock.Now() < this->held_until; }
+bool RoleLease::Held() const { return this->clock.Now() < this->valid_until; }
 
-bool RoleLease::Renew() {
+bool RoleLease::TryRenew() {
   if (this->lease == 0) return false;
   const Instant asked_at = this->clock.Now();
   const Status kept = this->kv.KeepAlive(this->lease);
   if (kept.Ok()) {
-    this->held_until = asked_at + kSafePart * this->ttl;
+    this->valid_until = asked_at + kTrustedTtlFraction * this->ttl;
     return true;
   }
-  // Unanswered: the lease may live on, so it is held until its time is up.
+  // Without a response the lease may still be valid, so the role is kept until
+  // the trusted part of the TTL has passed.
   if (kept.Error().code != Errc::kNotHeld) return this->Held();
   this->lease = 0;
-  this->held_until = -absl::InfiniteDuration();
+  this->valid_until = -absl::InfiniteDuration();
   return false;
 }
 
-bool RoleLease::Take() {
+bool RoleLease::TryAcquire() {
   if (this->lease != 0) return false;
-  // Read first: a role that is taken costs a read, not a lease and a write.
+  // The key is read first, because a role that another instance has then costs
+  // one read in place of a lease grant and a write.
   KvQuery query;
   query.key = this->key;
   const Result<KvRange> range = this->kv.Range(query);
@@ -45,20 +48,21 @@
   if (!granted.Ok()) return false;
   const Result<KvTxnReply> reply =
       this->kv.Txn({KvExpect{this->key, 0}},
-                   {KvWrite{this->key, this->holder, granted.Value(), false}});
+                   {KvWrite{this->key, this->owner, granted.Value(), false}});
   if (!reply.Ok() || !reply.Value().succeeded) {
-    // If the write took effect after all, the role goes with the lease.
+    // If the write took effect although its response was lost, revoking the
+    // lease removes the key again.
     this->kv.RevokeLease(granted.Value());
     return false;
   }
   this->lease = granted.Value();
-  this->fence = reply.Value().revision;
-  this->held_until = asked_at + kSafePart * this->ttl;
+  this->fence_token = reply.Value().revision;
+  this->valid_until = asked_at + kTrustedTtlFraction * this->ttl;
   return true;
 }
 
 std::optional<std::int64_t> RoleLease::Hold() {
-  if (this->Renew() || this->Take()) return this->fence;
+  if (this->TryRenew() || this->TryAcquire()) return this->fence_token;
   return std::nullopt;
 }
 
@@ -66,7 +70,7 @@
   if (this->lease == 0) return;
   this->kv.RevokeLease(this->lease);
   this->lease = 0;
-  this->held_until = -absl::InfiniteDuration();
+  this->valid_until = -absl::InfiniteDuration();
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/store/role_lease.h
+++ b/dragonflyglade/store/role_lease.h
@@ -12,40 +12,42 @@
 
 namespace dragonflyglade {
 
-/// A role that one instance holds at a time, by a lease.
+/// A lease on a role that only one instance may hold at a time.
 ///
-/// Holding is counted on the own clock from before each renewal, so this side
-/// gives the role up before the service can give it to another. It cannot
-/// help a process that pauses between the check and the deed; what the role
-/// does is therefore guarded by compare-and-swap and by the fence as well.
-/// Not synchronised.
+/// This instance measures the lease time on its own clock, from before each
+/// renewal was sent, so it gives up the role before the service can grant it
+/// to another instance. A process that pauses between checking the lease and
+/// acting on it may still act too late. Actions under the role are therefore
+/// also guarded by compare-and-swap and by the fencing token.
+/// Not thread-safe.
 class RoleLease {
  public:
-  RoleLease(const KvClient& kv, std::string_view role, std::string_view holder,
+  RoleLease(const KvClient& kv, std::string_view role, std::string_view owner,
             absl::Duration ttl, Clock clock);
 
-  /// Takes or renews the role.
-  /// @return the fence while it is held: it grows with every new holder
+  /// Acquires the role or renews its lease.
+  /// @return the fencing token, which grows with every new owner of the role;
+  ///   nothing if another instance has the role or the service failed
   std::optional<std::int64_t> Hold();
 
-  /// Whether the role is still held by the own clock.
+  /// Whether the lease is still valid on this instance's clock.
   bool Held() const;
 
-  /// Gives the role up.
+  /// Revokes the lease, so that another instance can acquire the role.
   void Release();
 
  private:
-  bool Renew();
-  bool Take();
+  bool TryRenew();
+  bool TryAcquire();
 
   const KvClient& kv;
   const std::string key;
-  const std::string holder;
+  const std::string owner;
   const absl::Duration ttl;
   const Clock clock;
   std::int64_t lease = 0;
-  std::int64_t fence = 0;
-  Instant held_until = -absl::InfiniteDuration();
+  std::int64_t fence_token = 0;
+  Instant valid_until = -absl::InfiniteDuration();
 };
 
 }  // namespace dragonflyglade
