--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -14,7 +14,8 @@
                              PeerClient& peers)
     : shares(shares), membership(membership), peers(peers) {}
 
-void AdmissionGate::Borrow(Admission& admission, const BorrowFrom& step) {
+void AdmissionGate::BorrowFromPeer(Admission& admission,
+                                   const BorrowFrom& step) {
   ++this->borrows;
   std::optional<Loan> loan;
   const std::optional<MemberStatement> lender =
@@ -27,14 +28,14 @@
   this->shares.FinishLoan(admission, step.peer, loan);
 }
 
-void AdmissionGate::GiveBack(std::string_view workspace,
-                             absl::Span<const LoanReturn> returns) {
-  for (const LoanReturn& part : returns) {
+void AdmissionGate::ReturnLoans(std::string_view workspace,
+                                absl::Span<const LoanReturn> returns) {
+  for (const LoanReturn& loan : returns) {
     const std::optional<MemberStatement> lender =
-        this->membership.Find(part.peer);
+        this->membership.Find(loan.peer);
     if (!lender.has_value()) continue;
-    this->peers.GiveBack(PeerEndpoint(*lender), workspace, part.tokens,
-                         part.stamp);
+    this->peers.GiveBack(PeerEndpoint(*lender), workspace, loan.tokens,
+                         loan.stamp);
   }
 }
 
@@ -45,11 +46,11 @@
     const AdmissionStep step = this->shares.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return admission;
     if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
-      this->Borrow(admission, *borrow);
+      this->BorrowFromPeer(admission, *borrow);
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
     } else if (const auto* over = std::get_if<OverRate>(&step)) {
-      this->GiveBack(workspace, over->returns);
+      this->ReturnLoans(workspace, over->returns);
       return Refusal{RefusalCode::kOverRate,
                      fmt::format("workspace {} is over its rate", workspace),
                      over->retry_after};
--- a/dragonflyglade/peer/admission_gate.h
+++ b/dragonflyglade/peer/admission_gate.h
@@ -13,28 +13,29 @@
 
 namespace dragonflyglade {
 
-/// Takes a request's tokens from this instance's share or from its peers'.
-/// Thread-safe; an admission waits in the calling thread.
+/// Admits requests to their workspace's quota. The tokens come from this
+/// instance's share of the quota, or are borrowed from the shares of peers.
+/// Thread-safe; an admission blocks the calling thread.
 class AdmissionGate {
  public:
   AdmissionGate(ShareBook& shares, Membership& membership, PeerClient& peers);
 
-  /// @param cost tokens
-  /// @param max_wait how long to wait for tokens that accrue meanwhile
-  /// @return the admission to settle later, or why there is none
+  /// @param cost in tokens
+  /// @param max_wait the longest time to wait until enough tokens accrue
+  /// @return the admission, which the caller settles later, or a refusal
   std::variant<Admission, Refusal> Admit(std::string_view workspace,
                                          double cost, absl::Duration max_wait);
 
-  /// Gives back what the request did not use.
+  /// Refunds the tokens that an admitted request did not use.
   void Settle(const Admission& admission, double used);
 
-  /// Loans asked for since the start.
+  /// The number of loans requested from peers since the start.
   std::int64_t Borrows() const { return this->borrows; }
 
  private:
-  void Borrow(Admission& admission, const BorrowFrom& step);
-  void GiveBack(std::string_view workspace,
-                absl::Span<const LoanReturn> returns);
+  void BorrowFromPeer(Admission& admission, const BorrowFrom& step);
+  void ReturnLoans(std::string_view workspace,
+                   absl::Span<const LoanReturn> returns);
 
   ShareBook& shares;
   Membership& membership;
--- a/dragonflyglade/peer/fleet.thrift
+++ b/dragonflyglade/peer/fleet.thrift
@@ -1,73 +1,81 @@
 namespace cpp dragonflyglade.wire
 
-/** What an instance, or the fleet, has at a target now. */
+/** The load that one instance, or the whole fleet, puts on a target now. */
 struct TargetUse {
   1: string target
   2: i32 requests
-  /** Prompt tokens sent there whose first output has not been seen. */
+  /** Prompt tokens of requests sent to the target whose first output has not
+      arrived yet. */
   3: i64 unread_tokens
-  /** Models and adapters in use there, as "model" or "model/adapter". */
+  /** Models and adapters that these requests use, as "model" or
+      "model/adapter". */
   4: list<string> residents
 }
 
-/** What callers asked of a model or adapter since the last report. */
+/** The demand for a model or adapter since the instance's last report. */
 struct ModelWish {
   1: string service_name
   2: string model
-  /** Empty: the model itself. */
+  /** Empty for the demand for the model itself. */
   3: string adapter
   4: double requests
-  /** Milliseconds of an engine's time. */
+  /** The requests' estimated work, in milliseconds of engine time. */
   5: double work_ms
-  /** Requests that wait now because it is nowhere. */
+  /** Requests waiting now because the model or adapter is resident nowhere. */
   6: i32 waiting
 }
 
-/** What was spent of a workspace's quota in the window. */
+/** Tokens that count against a workspace's quota in the quota window. */
 struct WorkspaceSpend {
   1: string workspace
   2: i64 tokens
 }
 
-/** A target said that it does not hold this. */
+/** A model or adapter that a target reported not to have resident. */
 struct TargetLack {
   1: string target
   2: string model
   3: string adapter
 }
 
+/** An instance's periodic report to the leader. */
 struct InstanceReport {
   1: string instance
   2: string incarnation
-  /** Where to send the summary. */
+  /** The address to send the summary to. */
   3: string address
   4: i64 sequence
   5: list<TargetUse> targets
   6: list<ModelWish> wishes
   7: list<WorkspaceSpend> spends
-  /** Of the process; what one before it spent is not among the spends. */
+  /** Age of the process; the spends leave out what an earlier process of the
+      instance spent. */
   8: i64 age_ms
-  /** Models and adapters that targets lack although they should be there. */
+  /** Models and adapters that targets reported not to have, although the
+      targets' records list them. */
   9: list<TargetLack> lacks
-  /** The revision of the store through which it knows all urgent changes. */
+  /** The store revision up to which the instance knows all urgent changes. */
   10: i64 store_revision
-  /** The holder whose holdings it knows, and the version of them; 0: none. */
+  /** The incarnation of the leader from which the instance has its target
+      holdings, and their version, which is 0 if it has none. */
   11: string holdings_of
   12: i64 holdings_version
-  /** Until its next report, when nothing happens. */
+  /** Time until the next report, unless an event causes one earlier. */
   13: i64 interval_ms
-  /** Whether callers are sent to it. */
+  /** Whether the instance is listed, so that callers are directed to it. */
   14: bool listed
-  /** Grants up to this number are among the spends, or will not be used. */
+  /** The highest number up to which all grants are contained in the spends or
+      will not be used. */
   15: i64 grants_through
-  /** For how long; many hours if from the start of the process. */
+  /** How long the instance has been listed; many hours if it was listed since
+      the start of the process. */
   16: i64 listed_ms
-  /** Targets that refused a connection since the last report: their processes
-      have ended. */
+  /** Targets that refused a connection since the last report, so their
+      processes have terminated. */
   17: list<string> refusing
 }
 
-/** A change of the store that must be followed at once. */
+/** An urgent change of the store, which instances have to apply at once. */
 struct StoreChange {
   1: string key
   2: binary value
@@ -76,90 +84,106 @@
   5: bool deleted
 }
 
-/** The adapters at a target, and the models that are about to leave it. */
+/** The adapters resident at a target, and the models that it is about to
+    unload. */
 struct TargetHoldings {
   1: string target
   2: list<string> adapters
   3: list<string> closing_models
-  /** The start of the target's process that this is about. */
+  /** The start time of the target process that this describes. */
   4: i64 born_ms
 }
 
-/** Changes that belong together, as they are packed. */
+/** Changes that are serialized together. */
 struct StoreChanges {
   1: list<StoreChange> changes
 }
 
-/** What the store says, as an instance knows that follows it. */
+/** The state of the store as a relay instance knows it. */
 struct StoreDigest {
-  /** The newest revision at which something changed that must be followed at
-      once. */
+  /** The newest revision with an urgent change. */
   1: i64 urgent_revision
-  /** Since the sender last heard the store say that there is nothing newer. */
+  /** Time since the store last confirmed to the sender that it knows the newest
+      revision. */
   2: i64 age_ms
-  /** Urgent changes since the revision that the receiver named, as packed
-      StoreChanges; empty: none. */
+  /** Urgent changes since the revision that the receiver named, as serialized
+      StoreChanges; empty if there are none. */
   3: binary changes
-  /** The revision through which the changes are all; 0: some may be missing. */
+  /** The revision up to which the changes are complete; 0 if some may be
+      missing. */
   4: i64 changes_through
 }
 
-/** Asks an instance that follows the store for what is new there. */
+/** Asks a relay instance for the state of the store. */
 struct StoreQuestion {
-  /** Where to send the digest. */
+  /** The address to send the digest to. */
   1: string address
-  /** The revision through which all urgent changes are known. */
+  /** The revision up to which the sender knows all urgent changes. */
   2: i64 known
 }
 
+/** The leader's response to an instance's report. */
 struct FleetSummary {
+  /** The incarnation of the leader. */
   1: string holder
+  /** The fencing token of the leader's lease. */
   2: i64 fence
-  /** The last report of the addressed instance that is counted in. */
+  /** The sequence number of the receiver's last report that the sums
+      include. */
   3: i64 answers
-  /** How many instances that callers are sent to were heard lately. */
+  /** The number of listed instances that reported recently. */
   4: i32 instances
+  /** The load of the other instances on each target. */
   5: list<TargetUse> targets
-  /** Those that changed since the version that the report names. */
+  /** Targets whose holdings changed since the version that the receiver's
+      report names. */
   6: list<TargetHoldings> holdings
   7: list<WorkspaceSpend> spends
-  /** Of those, instances that were started anew within the window and whose spending
-      before is not known, each weighted by the part of the window. */
+  /** The instances that restarted within the quota window, so that their
+      earlier spending is unknown, each counted as the fraction of the window
+      for which it is unknown. */
   8: double unknown_shares
   9: StoreDigest store
-  /** The part of each quota that instances may be spending unheard, 0 to 1. */
+  /** The fraction of each quota, 0 to 1, that may be spent by instances whose
+      reports are missing. */
   10: double missing_part
-  /** 0: the holder does not know what targets hold. */
+  /** The version of all holdings; 0 if the leader does not know what targets
+      hold. */
   13: i64 holdings_version
 }
 
-/** May a request of this size run, beyond the instance's own part? */
+/** Asks the leader to admit a request that exceeds the instance's own share of
+    a quota. */
 struct QuotaAsk {
-  /** Grows within the process; the same number is the same question. */
+  /** Increases within a process; a retry of the same ask keeps its number. */
   1: i64 number
   2: string incarnation
-  /** Where to send the answer. */
+  /** The address to send the grant to. */
   3: string address
   4: string workspace
   5: i64 tokens
 }
 
+/** The leader's response to a QuotaAsk. */
 struct QuotaGrant {
+  /** The incarnation of the leader. */
   1: string holder
+  /** The number of the ask. */
   2: i64 number
   3: bool granted
   4: i64 retry_after_ms
-  /** What the fleet could still spend before the request. */
+  /** Tokens of the quota that were left to the fleet before the request. */
   5: i64 left
 }
 
-/** Prompts that an instance has just sent to a target. */
+/** Prompt tokens that an instance has just sent to a target. */
 struct SentPrompts {
   1: string target
   2: i64 tokens
 }
 
-/** Told to the other instances that callers are sent to, as it happens. */
+/** Sent to the other listed instances as soon as prompts are sent to targets,
+    so that their view of the targets' load does not wait for a summary. */
 struct SendNote {
   1: list<SentPrompts> prompts
 }
@@ -170,7 +194,7 @@
   3: QuotaAsk ask
   4: QuotaGrant grant
   5: SendNote note
-  /** For an instance that needs nothing else of a summary. */
+  /** For an instance that needs no other field of the summary. */
   6: StoreDigest store
   7: StoreQuestion store_question
 }
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -7,7 +7,7 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::size_t kBalancesPerMessage = 16;
+constexpr std::size_t kMaxBalancesPerHeartbeat = 16;
 constexpr std::int64_t kNeverConfirmed = -1;
 
 }  // namespace
@@ -34,15 +34,15 @@
   for (const MemberStatement& update : this->membership.Updates(to)) {
     heartbeat.updates.push_back(ToWire(update));
   }
-  // The age is read before the revision: a record that arrives in between
-  // makes the statement older than it is, never newer.
+  // The age is read before the revision, so if a record arrives in between, the
+  // configuration is reported as older than it is, never as newer.
   const absl::Duration age = this->freshness.Age();
   heartbeat.config_age_ms = age == absl::InfiniteDuration()
                                 ? kNeverConfirmed
                                 : absl::ToInt64Milliseconds(age) + 1;
   heartbeat.config_revision = this->records.CompleteRevision();
   for (const WorkspaceBalance& balance :
-       this->shares.Balances(kBalancesPerMessage)) {
+       this->shares.Balances(kMaxBalancesPerHeartbeat)) {
     heartbeat.balances.push_back(ToWire(balance));
   }
   for (const auto& [target, mark_age] : this->targets.LeavingMarks()) {
@@ -70,14 +70,16 @@
   for (const wire::TargetMark& mark : heartbeat.leaving_targets) {
     this->targets.MarkLeaving(mark.target, absl::Milliseconds(mark.age_ms));
   }
-  const std::int64_t own = this->records.CompleteRevision();
-  if (heartbeat.config_revision > own) {
+  const std::int64_t own_revision = this->records.CompleteRevision();
+  if (heartbeat.config_revision > own_revision) {
     this->on_newer(sender);
     return;
   }
-  // Failure: a heartbeat lies in a paused process's socket buffer and is read
-  // minutes later; taken at its word it would make an old configuration look
-  // fresh. Only the answer to a question is used, dated by the asking.
+  // Failure: a heartbeat waits in the socket buffer of a paused process and is
+  // read minutes later. If its configuration age were counted from then, an
+  // outdated configuration would look fresh. So the age is used only in a
+  // response to this instance's own heartbeat, and counted from the time at
+  // which that one was sent.
   if (!asked_at.has_value()) return;
   if (heartbeat.config_age_ms == kNeverConfirmed) return;
   this->freshness.ConfirmedAt(*asked_at -
--- a/dragonflyglade/peer/heartbeat.h
+++ b/dragonflyglade/peer/heartbeat.h
@@ -15,26 +15,26 @@
 
 namespace dragonflyglade {
 
-/// Where an instance listens for its peers.
+/// The endpoint at which an instance listens for other instances.
 Endpoint PeerEndpoint(const MemberStatement& member);
 
-/// Fills heartbeats from this instance's state and takes in others'.
-/// Thread-safe.
+/// Makes heartbeats from this instance's state, and applies those received
+/// from other instances to it. Thread-safe.
 class HeartbeatExchange {
  public:
-  /// Called with an instance that has a newer configuration.
+  /// Called with an instance that has a newer configuration than this one.
   using OnNewer = std::function<void(const MemberStatement&)>;
 
   HeartbeatExchange(Membership& membership, ShareBook& shares,
                     RecordStore& records, Freshness& freshness,
                     TargetBook& targets, OnNewer on_newer, Clock clock);
 
-  /// The heartbeat to send to an instance.
+  /// Makes the heartbeat to send to an instance.
   wire::Heartbeat Make(std::string_view to);
 
-  /// Takes a heartbeat in.
-  /// @param asked_at when this instance sent the request that it answers;
-  ///   nothing if it came unasked
+  /// Applies a received heartbeat.
+  /// @param asked_at when this instance sent the heartbeat to which the
+  ///   received one is the response; nothing if it is not a response
   void Take(const wire::Heartbeat& heartbeat, std::optional<Instant> asked_at);
 
  private:
--- a/dragonflyglade/peer/heartbeat_loop.cc
+++ b/dragonflyglade/peer/heartbeat_loop.cc
@@ -5,8 +5,8 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::size_t kHelpers = 2;
-constexpr std::size_t kNewsFanout = 3;
+constexpr std::size_t kIndirectProbes = 2;
+constexpr std::size_t kUpdateFanout = 3;
 
 }  // namespace
 
@@ -17,11 +17,11 @@
       heartbeats(heartbeats),
       peers(peers),
       clock(clock),
-      worker([this] { return this->Round(); }),
-      news([this] {
-        if (this->has_news.exchange(false)) {
+      worker([this] { return this->ProbeNextMember(); }),
+      update_worker([this] {
+        if (this->update_pending.exchange(false)) {
           for (const MemberStatement& member :
-               this->membership.RandomLive(kNewsFanout, "")) {
+               this->membership.RandomLive(kUpdateFanout, "")) {
             this->ExchangeWith(member);
           }
         }
@@ -30,17 +30,17 @@
 
 void HeartbeatLoop::Start() {
   this->worker.Start();
-  this->news.Start();
+  this->update_worker.Start();
 }
 
 void HeartbeatLoop::Stop() {
   this->worker.Stop();
-  this->news.Stop();
+  this->update_worker.Stop();
 }
 
 void HeartbeatLoop::SpreadNews() {
-  this->has_news = true;
-  this->news.Wake();
+  this->update_pending = true;
+  this->update_worker.Wake();
 }
 
 bool HeartbeatLoop::ExchangeWith(const MemberStatement& member) {
@@ -48,30 +48,35 @@
   const Result<wire::Heartbeat> reply = this->peers.Exchange(
       PeerEndpoint(member), this->heartbeats.Make(member.info.name));
   if (!reply.Ok()) return false;
-  // Another process may have taken over the address.
+  // The address may belong to the process of another instance by now.
   if (reply.Value().sender.name != member.info.name) return false;
   this->heartbeats.Take(reply.Value(), asked_at);
   return true;
 }
 
-bool HeartbeatLoop::AnswersThroughOthers(std::string_view name) {
-  for (const MemberStatement& helper :
-       this->membership.RandomLive(kHelpers, name)) {
-    const Result<bool> answer = this->peers.Probe(PeerEndpoint(helper), name);
-    if (answer.Ok() && answer.Value()) return true;
+bool HeartbeatLoop::IsReachableThroughPeers(std::string_view name) {
+  for (const MemberStatement& prober :
+       this->membership.RandomLive(kIndirectProbes, name)) {
+    const Result<bool> reachable =
+        this->peers.Probe(PeerEndpoint(prober), name);
+    if (reachable.Ok() && reachable.Value()) return true;
   }
   return false;
 }
 
-absl::Duration HeartbeatLoop::Round() {
+absl::Duration HeartbeatLoop::ProbeNextMember() {
   this->membership.Tick();
   const absl::Duration period = this->membership.Period();
   const std::optional<MemberStatement> next = this->membership.NextToProbe();
   if (!next.has_value()) return period;
   if (this->ExchangeWith(*next)) return period;
-  if (this->AnswersThroughOthers(next->info.name)) return period;
+  if (this->IsReachableThroughPeers(next->info.name)) return period;
   if (next->state == MemberState::kAlive) {
-    LogFor(LogPart::kPeer).info("No answer from {}.", next->info.name);
+    LogFor(LogPart::kPeer)
+        .info(
+            "Instance {} did not respond, neither directly nor through other "
+            "instances.",
+            next->info.name);
   }
   this->membership.Missed(next->info.name);
   return period;
--- a/dragonflyglade/peer/heartbeat_loop.h
+++ b/dragonflyglade/peer/heartbeat_loop.h
@@ -11,7 +11,9 @@
 
 namespace dragonflyglade {
 
-/// Sends a heartbeat to one other instance each period.
+/// Sends a heartbeat to one other instance in each period. If that instance
+/// does not respond, others are asked to probe it before it is reported to the
+/// membership as unresponsive.
 class HeartbeatLoop {
  public:
   HeartbeatLoop(Membership& membership, HeartbeatExchange& heartbeats,
@@ -20,24 +22,25 @@
   void Start();
   void Stop();
 
-  /// Exchanges heartbeats with an instance now. False if it did not answer.
+  /// Exchanges heartbeats with an instance now.
+  /// @return false if the instance did not respond
   bool ExchangeWith(const MemberStatement& member);
 
-  /// Sends heartbeats to a few instances at once, so that news spreads
-  /// without waiting for the periods.
+  /// Sends heartbeats to a few instances immediately, so that an update of this
+  /// instance's state spreads without waiting for the next periods.
   void SpreadNews();
 
  private:
-  absl::Duration Round();
-  bool AnswersThroughOthers(std::string_view name);
+  absl::Duration ProbeNextMember();
+  bool IsReachableThroughPeers(std::string_view name);
 
   Membership& membership;
   HeartbeatExchange& heartbeats;
   PeerClient& peers;
   const Clock clock;
   Worker worker;
-  Worker news;
-  std::atomic<bool> has_news{false};
+  Worker update_worker;
+  std::atomic<bool> update_pending{false};
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/peer/peer.thrift
+++ b/dragonflyglade/peer/peer.thrift
@@ -1,13 +1,13 @@
 namespace cpp dragonflyglade.wire
 
-/** A workspace's bucket at its holder. Levels are whole tokens. */
+/** The state of a workspace's token bucket at the sender, in whole tokens. */
 struct Balance {
   1: string workspace
   2: i64 level
   3: i64 cap
 }
 
-/** What one instance knows of another. */
+/** A statement of one instance about the state of an instance. */
 struct MemberUpdate {
   1: string name
   2: string address
@@ -21,12 +21,13 @@
   10: bool leaving
 }
 
-/** A target that somebody saw leaving or refusing. */
+/** A target that an instance saw leaving or refusing requests. */
 struct TargetMark {
   1: string target
   2: i32 age_ms
 }
 
+/** Exchanged between two instances in each heartbeat round. */
 struct Heartbeat {
   1: MemberUpdate sender
   2: list<MemberUpdate> updates
@@ -36,6 +37,7 @@
   6: list<TargetMark> leaving_targets
 }
 
+/** A version of a configuration record. */
 struct ConfigRecord {
   1: string key
   2: i64 revision
@@ -43,43 +45,47 @@
   4: bool deleted
 }
 
+/** Records changed after the requested revision. */
 struct ConfigPage {
   1: list<ConfigRecord> records
   2: i64 revision
   3: i64 age_ms
 }
 
+/** A lender's response to a request for tokens of a workspace's quota. */
 struct LoanReply {
   1: i64 granted
   2: i64 level
   3: i64 cap
   /** The tokens may be spent after this many microseconds. */
   4: i64 wait_us
-  /** To be shown when the tokens are returned. */
+  /** Identifies the loan when unused tokens are returned. */
   5: i64 stamp
-  /** They are void this many microseconds after the asking. */
+  /** The tokens expire this many microseconds after they were requested. */
   6: i64 use_by_us
 }
 
+/** The epochs of the allotments in force at an instance, by workspace. */
 struct EpochConfirmation {
   1: i64 incarnation
   2: map<string, i64> epochs
 }
 
-/** Tokens a second that callers of one instance ask of each model. */
+/** The demand of one instance's callers for each model, in tokens per
+    second. */
 struct DemandReport {
   1: map<string, double> rates
 }
 
 service PeerService {
   Heartbeat exchange(1: Heartbeat own),
-  /** Asks the receiver to probe a third instance. */
+  /** Asks the receiver whether it can reach a third instance. */
   bool probe(1: string name),
   ConfigPage pullConfig(1: i64 after_revision),
   LoanReply borrow(1: string workspace, 2: i64 tokens, 3: i64 longest_wait_us),
-  /** Gives back lent tokens that were not spent. */
+  /** Returns borrowed tokens that were not spent. */
   oneway void giveBack(1: string workspace, 2: i64 tokens, 3: i64 stamp),
-  /** The allotment epochs that the receiver follows. */
+  /** Reads the allotment epochs in force at the receiver. */
   EpochConfirmation confirmEpochs(1: list<string> workspaces),
   DemandReport demand(),
 }
--- a/dragonflyglade/peer/peer_client.cc
+++ b/dragonflyglade/peer/peer_client.cc
@@ -64,41 +64,42 @@
   return connection;
 }
 
-std::unique_ptr<PeerClient::Connection> PeerClient::TakeIdle(
+std::unique_ptr<PeerClient::Connection> PeerClient::AcquireIdle(
     const std::string& peer) {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->idle.find(peer);
   if (found == this->idle.end()) return nullptr;
-  const Instant oldest = this->clock.Now() - this->options.idle_limit;
+  const Instant oldest_usable = this->clock.Now() - this->options.idle_limit;
   while (!found->second.empty()) {
     std::unique_ptr<Connection> connection = std::move(found->second.back());
     found->second.pop_back();
-    if (connection->idle_since >= oldest) return connection;
+    if (connection->idle_since >= oldest_usable) return connection;
   }
   this->idle.erase(found);
   return nullptr;
 }
 
-void PeerClient::PutIdle(const std::string& peer,
-                         std::unique_ptr<Connection> connection) {
+void PeerClient::ReleaseIdle(const std::string& peer,
+                             std::unique_ptr<Connection> connection) {
   absl::MutexLock lock(&this->mutex);
-  std::vector<std::unique_ptr<Connection>>& kept = this->idle[peer];
-  if (kept.size() >= this->options.idle_per_peer) return;
+  std::vector<std::unique_ptr<Connection>>& idle_connections = this->idle[peer];
+  if (idle_connections.size() >= this->options.idle_per_peer) return;
   connection->idle_since = this->clock.Now();
-  kept.push_back(std::move(connection));
+  idle_connections.push_back(std::move(connection));
 }
 
-// Failure: a connection goes silent for good while new ones work, and a live
-// instance is judged dead by it. A repeatable call that fails on an idle
-// connection is made once more on a new one before the failure is reported.
+// Failure: a pooled connection is broken although new connections to the same
+// instance work, so a live instance is taken for unreachable. A repeatable call
+// that fails on a reused connection is therefore retried on a new one before
+// the failure is reported.
 Status PeerClient::Call(const Endpoint& peer, std::string_view step,
                         absl::Duration timeout, bool repeatable,
                         const Job& job) {
   const std::string name = peer.ToString();
-  std::unique_ptr<Connection> connection = this->TakeIdle(name);
+  std::unique_ptr<Connection> connection = this->AcquireIdle(name);
   while (true) {
-    const bool was_idle = connection != nullptr;
-    if (!was_idle) {
+    const bool is_reused = connection != nullptr;
+    if (!is_reused) {
       Result<std::unique_ptr<Connection>> opened = this->Open(peer, step);
       if (!opened.Ok()) return opened.Error();
       connection = std::move(opened.Value());
@@ -110,11 +111,11 @@
     ++this->calls;
     try {
       job(*connection);
-      this->PutIdle(name, std::move(connection));
+      this->ReleaseIdle(name, std::move(connection));
       return Done{};
     } catch (const TTransportException& error) {
       connection.reset();
-      if (was_idle && repeatable) continue;
+      if (is_reused && repeatable) continue;
       return MakeFailure(CodeOf(error), step, "peer " + name, error.what());
     } catch (const TException& error) {
       return MakeFailure(Errc::kBadAnswer, step, "peer " + name, error.what());
@@ -122,12 +123,12 @@
   }
 }
 
-Result<wire::Heartbeat> PeerClient::Exchange(const Endpoint& peer,
-                                             const wire::Heartbeat& own) {
+Result<wire::Heartbeat> PeerClient::Exchange(
+    const Endpoint& peer, const wire::Heartbeat& own_heartbeat) {
   wire::Heartbeat reply;
-  const Status status =
-      this->Call(peer, "exchange", this->options.call_timeout, true,
-                 [&](Connection& c) { c.client.exchange(reply, own); });
+  const Status status = this->Call(
+      peer, "exchange", this->options.call_timeout, true,
+      [&](Connection& c) { c.client.exchange(reply, own_heartbeat); });
   if (!status.Ok()) return status.Error();
   return reply;
 }
@@ -154,12 +155,12 @@
 Result<wire::LoanReply> PeerClient::Borrow(const Endpoint& peer,
                                            std::string_view workspace,
                                            std::int64_t tokens,
-                                           absl::Duration longest_wait) {
+                                           absl::Duration max_wait) {
   wire::LoanReply reply;
   const Status status = this->Call(
       peer, "borrow", this->options.borrow_timeout, false, [&](Connection& c) {
         c.client.borrow(reply, std::string(workspace), tokens,
-                        absl::ToInt64Microseconds(longest_wait));
+                        absl::ToInt64Microseconds(max_wait));
       });
   if (!status.Ok()) return status.Error();
   return reply;
--- a/dragonflyglade/peer/peer_client.h
+++ b/dragonflyglade/peer/peer_client.h
@@ -19,17 +19,18 @@
 
 namespace dragonflyglade {
 
-/// Limits of calls between instances.
+/// The limits of calls between instances.
 struct PeerOptions {
   absl::Duration connect_timeout = absl::Milliseconds(150);
   absl::Duration call_timeout = absl::Milliseconds(300);
   absl::Duration borrow_timeout = absl::Milliseconds(50);
-  /// Connections idle for longer are not used again.
+  /// Connections idle for longer than this are not reused.
   absl::Duration idle_limit = absl::Seconds(5);
   std::size_t idle_per_peer = 4;
 };
 
-/// Calls to other instances, by Thrift's compact protocol in frames.
+/// Client for calls to other instances, over Thrift's framed transport with
+/// the compact protocol. Idle connections are pooled by peer.
 ///
 /// Thread-safe. Errors: kConnectFailed, kTimeout, kConnectionLost,
 /// kBadAnswer.
@@ -39,16 +40,17 @@
   ~PeerClient();
 
   Result<wire::Heartbeat> Exchange(const Endpoint& peer,
-                                   const wire::Heartbeat& own);
+                                   const wire::Heartbeat& own_heartbeat);
   Result<bool> Probe(const Endpoint& peer, std::string_view name);
   Result<wire::ConfigPage> PullConfig(const Endpoint& peer,
                                       std::int64_t after_revision);
-  /// Not repeated on a lost answer: the lender may have debited.
+  /// Borrows tokens of a workspace's quota from a peer's share. The call is not
+  /// retried after a lost response, since the lender may have lent the tokens.
   Result<wire::LoanReply> Borrow(const Endpoint& peer,
                                  std::string_view workspace,
-                                 std::int64_t tokens,
-                                 absl::Duration longest_wait);
-  /// Without an answer; lost tokens are only lost.
+                                 std::int64_t tokens, absl::Duration max_wait);
+  /// Returns unused borrowed tokens, without a response. If the message is
+  /// lost, the tokens are merely not used.
   void GiveBack(const Endpoint& peer, std::string_view workspace,
                 std::int64_t tokens, std::int64_t stamp);
   Result<wire::EpochConfirmation> ConfirmEpochs(
@@ -56,7 +58,7 @@
 
   Result<wire::DemandReport> Demand(const Endpoint& peer);
 
-  /// Calls made since the start.
+  /// The number of calls made since the start.
   std::int64_t Calls() const { return this->calls; }
 
  private:
@@ -67,8 +69,9 @@
               absl::Duration timeout, bool repeatable, const Job& job);
   Result<std::unique_ptr<Connection>> Open(const Endpoint& peer,
                                            std::string_view step);
-  std::unique_ptr<Connection> TakeIdle(const std::string& peer);
-  void PutIdle(const std::string& peer, std::unique_ptr<Connection> connection);
+  std::unique_ptr<Connection> AcquireIdle(const std::string& peer);
+  void ReleaseIdle(const std::string& peer,
+                   std::unique_ptr<Connection> connection);
 
   const PeerOptions options;
   const Clock clock;
--- a/dragonflyglade/peer/peer_codec.cc
+++ b/dragonflyglade/peer/peer_codec.cc
@@ -47,11 +47,11 @@
 }
 
 wire::Balance ToWire(const WorkspaceBalance& balance) {
-  wire::Balance out;
-  out.workspace = balance.workspace;
-  out.level = balance.level;
-  out.cap = balance.cap;
-  return out;
+  wire::Balance wire_balance;
+  wire_balance.workspace = balance.workspace;
+  wire_balance.level = balance.level;
+  wire_balance.cap = balance.cap;
+  return wire_balance;
 }
 
 WorkspaceBalance FromWire(const wire::Balance& balance) {
@@ -70,7 +70,8 @@
 }
 
 Loan FromWire(const wire::LoanReply& reply) {
-  // Cut-off fractions of a microsecond must not make a promise earlier.
+  // The wait was rounded down to whole microseconds; one is added so that the
+  // tokens are never spent too early.
   return Loan{reply.granted,
               absl::Microseconds(reply.wait_us + 1),
               absl::Microseconds(reply.use_by_us),
--- a/dragonflyglade/peer/peer_codec.h
+++ b/dragonflyglade/peer/peer_codec.h
@@ -8,7 +8,8 @@
 
 namespace dragonflyglade {
 
-/// Between the decisions' types and the wire's.
+// Conversions between the types of decision/ and the Thrift structs.
+
 wire::MemberUpdate ToWire(const MemberStatement& statement);
 MemberStatement FromWire(const wire::MemberUpdate& update);
 wire::ConfigRecord ToWire(const RecordVersion& version);
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -22,7 +22,7 @@
 using apache::thrift::transport::TFramedTransportFactory;
 using apache::thrift::transport::TServerSocket;
 
-constexpr int kIdleConnectionMilliseconds = 15'000;
+constexpr int kIdleTimeoutMilliseconds = 15'000;
 
 class Handler : public wire::PeerServiceIf {
  public:
@@ -47,7 +47,8 @@
   void pullConfig(wire::ConfigPage& page,
                   const std::int64_t after_revision) override {
     const absl::Duration age = this->freshness.Age();
-    // The revision is read first: the page may hold more than it promises.
+    // The revision is read before the records, so the page may hold records
+    // newer than its revision but never lacks older ones.
     page.revision = this->records.CompleteRevision();
     for (const RecordVersion& version : this->records.Since(after_revision)) {
       page.records.push_back(ToWire(version));
@@ -91,7 +92,7 @@
   const PeerServer::Prober prober;
 };
 
-// The server binds inside serve(), so this is where its port is known.
+// Notifies when the server has bound its port, which happens inside serve().
 class BoundSignal : public apache::thrift::server::TServerEventHandler {
  public:
   void preServe() override { this->bound.Notify(); }
@@ -126,31 +127,32 @@
   Impl& state = *this->impl;
   state.socket =
       std::make_shared<TServerSocket>(state.listen.address, state.listen.port);
-  state.socket->setRecvTimeout(kIdleConnectionMilliseconds);
+  state.socket->setRecvTimeout(kIdleTimeoutMilliseconds);
   state.server = std::make_unique<TThreadedServer>(
       std::make_shared<wire::PeerServiceProcessor>(state.handler), state.socket,
       std::make_shared<TFramedTransportFactory>(),
       std::make_shared<TCompactProtocolFactory>());
   auto signal = std::make_shared<BoundSignal>();
   state.server->setServerEventHandler(signal);
-  std::string problem;
-  state.thread = std::thread([&state, &problem, signal] {
+  std::string bind_error;
+  state.thread = std::thread([&state, &bind_error, signal] {
     try {
       state.server->serve();
     } catch (const TException& error) {
       if (signal->bound.HasBeenNotified()) {
-        LogFor(LogPart::kPeer).error("Server ended: {}.", error.what());
+        LogFor(LogPart::kPeer)
+            .error("The peer server stopped unexpectedly: {}.", error.what());
         return;
       }
-      problem = error.what();
+      bind_error = error.what();
       signal->bound.Notify();
     }
   });
   signal->bound.WaitForNotification();
-  if (problem.empty()) return state.socket->getPort();
+  if (bind_error.empty()) return state.socket->getPort();
   state.thread.join();
   return MakeFailure(Errc::kUnavailable, "listen for peers",
-                     state.listen.ToString(), problem);
+                     state.listen.ToString(), bind_error);
 }
 
 void PeerServer::Stop() {
--- a/dragonflyglade/peer/peer_server.h
+++ b/dragonflyglade/peer/peer_server.h
@@ -16,10 +16,10 @@
 
 namespace dragonflyglade {
 
-/// Answers the calls of other instances.
+/// Serves the calls of other instances (the Thrift service PeerService).
 class PeerServer {
  public:
-  /// Asks an instance for a sign of life on behalf of another.
+  /// Checks on behalf of another instance whether the named one responds.
   using Prober = std::function<bool(std::string_view name)>;
 
   PeerServer(Endpoint listen, HeartbeatExchange& heartbeats,
@@ -27,11 +27,12 @@
              Freshness& freshness, DemandBook& demand, Prober prober);
   ~PeerServer();
 
-  /// Binds and begins to answer.
-  /// @return the port, which the system chose if the settings say 0
+  /// Binds the address and starts to serve calls.
+  /// @return the port, which the system chose if the given one is 0
+  /// Errors: kUnavailable if the address cannot be bound.
   Result<int> Start();
 
-  /// Stops answering and waits for calls under way.
+  /// Stops accepting calls and waits for those in progress.
   void Stop();
 
  private:
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -13,12 +13,13 @@
   absl::MutexLock lock(&this->mutex);
   const auto found = this->pools.find(pool);
   if (found != this->pools.end()) return *found->second;
-  auto made = std::make_unique<PoolQueue>(this->options);
-  return *this->pools.emplace(std::string(pool), std::move(made)).first->second;
+  auto new_queue = std::make_unique<PoolQueue>(this->options);
+  return *this->pools.emplace(std::string(pool), std::move(new_queue))
+              .first->second;
 }
 
-void Dispatcher::Serve(PoolQueue& pool) {
-  const auto try_place =
+void Dispatcher::ServeQueue(PoolQueue& pool) {
+  const auto try_reserve =
       [&pool, this](const QueueEntry& entry)
           ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex) {
             Waiter& waiter = *pool.waiters.at(entry.id);
@@ -26,7 +27,7 @@
             waiter.granted = std::holds_alternative<TargetPlace>(waiter.result);
             return waiter.granted;
           };
-  while (pool.queue.PopFirst(this->clock.Now(), try_place).has_value()) {
+  while (pool.queue.PopFirst(this->clock.Now(), try_reserve).has_value()) {
   }
 }
 
@@ -44,27 +45,27 @@
                              std::max(1.0, need.tokens), need.model,
                              this->clock.Now()});
   while (true) {
-    this->Serve(pool);
+    this->ServeQueue(pool);
     if (waiter.granted) break;
-    const absl::Duration left = deadline - this->clock.Now();
-    if (left <= absl::ZeroDuration()) break;
+    const absl::Duration time_left = deadline - this->clock.Now();
+    if (time_left <= absl::ZeroDuration()) break;
     pool.mutex.AwaitWithTimeout(absl::Condition(&waiter.granted),
-                                std::min(left, this->options.recheck));
+                                std::min(time_left, this->options.recheck));
     if (waiter.granted) break;
   }
   pool.waiters.erase(id);
   if (!waiter.granted) pool.queue.Remove(id);
-  if (const auto* place = std::get_if<TargetPlace>(&waiter.result)) {
-    return *place;
+  if (const auto* reservation = std::get_if<TargetPlace>(&waiter.result)) {
+    return *reservation;
   }
   return std::get<NoPlace>(waiter.result);
 }
 
-void Dispatcher::Release(const TargetPlace& place, PlaceOutcome outcome) {
-  this->targets.Finish(place, outcome);
-  PoolQueue& pool = this->QueueOf(place.pool);
+void Dispatcher::Release(const TargetPlace& reservation, PlaceOutcome outcome) {
+  this->targets.Finish(reservation, outcome);
+  PoolQueue& pool = this->QueueOf(reservation.pool);
   absl::MutexLock lock(&pool.mutex);
-  this->Serve(pool);
+  this->ServeQueue(pool);
 }
 
 std::size_t Dispatcher::Waiting() const {
--- a/dragonflyglade/target/dispatcher.h
+++ b/dragonflyglade/target/dispatcher.h
@@ -15,33 +15,37 @@
 
 namespace dragonflyglade {
 
-/// Limits on waiting for a place at a target.
+/// The limits on requests that wait for a reservation at a target.
 struct DispatchOptions {
-  std::size_t queue_limit = 1000;  ///< waiting requests a pool
+  std::size_t queue_limit = 1000;  ///< waiting requests per pool
+  /// The waiting time from which a request of a lower class counts as aged.
   absl::Duration age_limit = absl::Seconds(5);
+  /// One of this many turns goes to an aged request.
   int aged_turn_every = 8;
-  /// How often waiting requests look again without being told.
+  /// How often a waiting request retries, if no released reservation causes it
+  /// to do so earlier.
   absl::Duration recheck = absl::Milliseconds(100);
 };
 
-/// There were too many waiting.
+/// The pool's queue already held the allowed number of waiting requests.
 struct QueueIsFull {};
 
-/// Gives requests places at targets, in the fair order when they must wait.
-/// Thread-safe; each pool has its own lock.
+/// Reserves capacity at targets for requests. Requests that have to wait are
+/// served in the order of FairQueue. Thread-safe; each pool has its own lock.
 class Dispatcher {
  public:
   Dispatcher(TargetBook& targets, DispatchOptions options, Clock clock);
 
-  /// Waits for a place until the deadline.
+  /// Waits until the deadline for a reservation at a target of the pool.
+  /// @return the reservation, or why there was none
   std::variant<TargetPlace, NoPlace, QueueIsFull> Acquire(
       const TargetNeed& need, std::string_view workspace,
       RequestClass request_class, Instant deadline);
 
-  /// Gives a place back and lets the next request have it.
-  void Release(const TargetPlace& place, PlaceOutcome outcome);
+  /// Releases a reservation and serves the next waiting request.
+  void Release(const TargetPlace& reservation, PlaceOutcome outcome);
 
-  /// Requests that wait now.
+  /// The number of waiting requests.
   std::size_t Waiting() const;
 
  private:
@@ -60,7 +64,7 @@
   };
 
   PoolQueue& QueueOf(std::string_view pool);
-  void Serve(PoolQueue& pool) ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex);
+  void ServeQueue(PoolQueue& pool) ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex);
 
   TargetBook& targets;
   const DispatchOptions options;
--- a/dragonflyglade/target/engine_client.h
+++ b/dragonflyglade/target/engine_client.h
@@ -14,23 +14,24 @@
 
 namespace dragonflyglade {
 
-/// Limits of calls to targets.
+/// The limits of calls to targets.
 struct TargetCallOptions {
   absl::Duration connect_timeout = absl::Milliseconds(300);
-  absl::Duration read_timeout = absl::Seconds(10);  ///< longest silence
+  /// The longest time without any received byte of a request's response.
+  absl::Duration read_timeout = absl::Seconds(10);
   absl::Duration report_timeout = absl::Milliseconds(500);
   absl::Duration order_timeout = absl::Seconds(5);
-  std::size_t max_body = 8u << 20;
+  std::size_t max_body = 8u << 20;  ///< bytes of a response body
 };
 
-/// A completion to ask an engine for.
+/// A completion request to an engine.
 struct EngineRequest {
   std::string path;  ///< "/v1/completions" or "/v1/chat/completions"
   std::string body;  ///< JSON
   std::string request_id;
 };
 
-/// What an order changes at an engine.
+/// The kinds of changes that an order makes to an engine.
 enum class OrderKind {
   kLoadModel,
   kUnloadModel,
@@ -42,58 +43,61 @@
 /// An order to an engine.
 struct EngineOrder {
   OrderKind kind = OrderKind::kLoadModel;
-  std::string id;  ///< the same for each attempt at one order
-  std::int64_t fence = 0;
-  std::string name;  ///< of the model or adapter; the new role
-  std::string version;
-  std::int64_t bytes = 0;
+  std::string id;          ///< the same for all attempts of one order
+  std::int64_t fence = 0;  ///< fencing token, for engines that check it
+  std::string name;        ///< the model, the adapter or the new role
+  std::string version;     ///< of the model
+  std::int64_t bytes = 0;  ///< memory that the model or adapter needs
 };
 
-/// What an engine said to an order.
+/// An engine's response to an order.
 struct OrderReply {
-  bool done = false;        ///< carried out (or was before)
-  std::string boot_id;      ///< of the process that answered
-  std::string explanation;  ///< if it refused
+  bool done = false;        ///< executed now or by an earlier attempt
+  std::string boot_id;      ///< of the engine process that responded
+  std::string explanation;  ///< why the engine refused; empty otherwise
 };
 
-/// An engine's report, and whether it is leaving.
+/// An engine's report of its load and state.
 struct EngineReport {
   LoadReport load;
   bool leaving = false;
 };
 
-/// A prompt prefix that an engine began or ceased to hold.
+/// A prompt prefix that was added to or evicted from an engine's cache.
 struct CacheEvent {
   std::int64_t sequence = 0;
-  std::uint64_t prefix = 0;
-  bool stored = true;
+  std::uint64_t prefix = 0;  ///< hash of the prefix
+  bool stored = true;        ///< false for an eviction
 };
 
-/// Calls to one model engine, by the OpenAI HTTP API and the orders of vLLM.
+/// Client of one model engine, with the OpenAI HTTP API for completions and
+/// vLLM's API for loading and unloading models and adapters.
 ///
-/// Each call takes a connection of its own, so that an answer which comes
-/// late can never be taken for the answer to another request.
+/// Each call opens a connection of its own, so that a late response can never
+/// be taken for the response to another request.
 class EngineClient {
  public:
   EngineClient(Endpoint endpoint, std::string_view name,
                TargetCallOptions options);
 
-  /// A call whose answer is passed on as it comes; Cancel ends it.
+  /// Makes a call that streams its response. HttpCall::Cancel ends it.
   std::shared_ptr<HttpCall> NewCall() const;
 
-  /// The HTTP request of a completion.
+  /// Makes the HTTP request of a completion.
   static HttpRequest RequestFor(const EngineRequest& request);
 
-  /// The HTTP request that takes a stream up after so many events.
+  /// Makes the HTTP request that resumes a stream.
+  /// @param after_events the number of events already received
   static HttpRequest ResumeFor(std::string_view request_id, int after_events);
 
+  /// Fetches the engine's load report.
   Result<EngineReport> Report() const;
 
-  /// Events after a sequence number. There may be gaps.
+  /// Fetches the cache events after a sequence number. Some may be missing.
   Result<std::vector<CacheEvent>> CacheEvents(std::int64_t after) const;
 
-  /// Errors: kConnectFailed if it certainly did not arrive; kOutcomeUnknown
-  /// if it may have.
+  /// Sends an order. Errors: kConnectFailed if the engine certainly did not
+  /// receive it; kOutcomeUnknown if the engine may have executed it.
   Result<OrderReply> Order(const EngineOrder& order) const;
 
  private:
--- a/dragonflyglade/target/target_poller.cc
+++ b/dragonflyglade/target/target_poller.cc
@@ -10,7 +10,8 @@
 namespace dragonflyglade {
 namespace {
 
-// One slow engine must not make the reports of all others old.
+// Engines are polled in parallel, so that a slow engine does not delay the
+// reports of all others.
 constexpr std::size_t kPollThreads = 4;
 
 }  // namespace
@@ -26,7 +27,7 @@
       options(options),
       list_period(list_period),
       report_period(report_period),
-      list_worker([this] { return this->ListRound(); }),
+      list_worker([this] { return this->PollTargetList(); }),
       report_worker([this] { return this->ReportRound(); }) {}
 
 TargetPoller::~TargetPoller() { this->Stop(); }
@@ -41,7 +42,7 @@
   this->report_worker.Stop();
 }
 
-absl::Duration TargetPoller::ListRound() {
+absl::Duration TargetPoller::PollTargetList() {
   const Result<TargetList> list = this->lists.Targets();
   if (list.Ok()) {
     this->targets.TakeList(list.Value().version, list.Value().targets);
--- a/dragonflyglade/target/target_poller.h
+++ b/dragonflyglade/target/target_poller.h
@@ -12,8 +12,8 @@
 
 namespace dragonflyglade {
 
-/// Keeps the target book up to date: the platform's list, the engines' load
-/// reports and their cache events.
+/// Keeps the target book up to date by polling the platform's list of targets
+/// and the load reports and cache events of engines.
 class TargetPoller {
  public:
   TargetPoller(const ListClient& lists, TargetBook& targets,
@@ -25,7 +25,7 @@
   void Stop();
 
  private:
-  absl::Duration ListRound();
+  absl::Duration PollTargetList();
   absl::Duration ReportRound();
   void PollEngine(const ListedTarget& target);
   void PollCacheEvents(const EngineClient& engine, const ListedTarget& target);
--- a/tests/standins/engine_stand_in.cc
+++ b/tests/standins/engine_stand_in.cc
@@ -17,7 +17,7 @@
 
 constexpr int kThreads = 96;
 constexpr const char* kJson = "application/json";
-constexpr std::size_t kPrefixBytes = 256;
+constexpr std::size_t kCachedPrefixBytes = 256;
 
 std::string PromptOf(const json& body) {
   if (body.contains("prompt")) return body.at("prompt").get<std::string>();
@@ -32,7 +32,7 @@
 
 EngineStandIn::EngineStandIn(EngineBehaviour behaviour)
     : behaviour(behaviour), server(Endpoint{"127.0.0.1", 0}, kThreads) {
-  this->Route();
+  this->SetRoutes();
 }
 
 EngineStandIn::~EngineStandIn() {
@@ -47,21 +47,21 @@
   return Endpoint{"127.0.0.1", this->server.Start("listen").Value()};
 }
 
-void EngineStandIn::Route() {
+void EngineStandIn::SetRoutes() {
   httplib::Server& http = this->server.Library();
   using httplib::Request;
   using httplib::Response;
   const auto complete = [this](const Request& request, Response& response) {
-    this->Complete(request, response);
+    this->HandleCompletion(request, response);
   };
   http.Post("/v1/completions", complete);
   http.Post("/v1/chat/completions", complete);
   http.Get(R"(/v1/streams/(\w+))",
            [this](const Request& request, Response& response) {
-             this->Resume(request, response);
+             this->HandleResume(request, response);
            });
   http.Get("/load", [this](const Request&, Response& response) {
-    response.set_content(this->Report().dump(), kJson);
+    response.set_content(this->LoadReportJson().dump(), kJson);
   });
   http.Get("/cache_events", [this](const Request& request, Response& response) {
     const std::int64_t after = std::stoll(request.get_param_value("after"));
@@ -78,23 +78,23 @@
                            "unload_lora_adapter", "set_role"}) {
     http.Post(std::string("/v1/") + kind,
               [this, kind](const Request& request, Response& response) {
-                this->Order(kind, request, response);
+                this->HandleOrder(kind, request, response);
               });
   }
 }
 
-void EngineStandIn::Note(const httplib::Request& request) {
+void EngineStandIn::RecordRequest(const httplib::Request& request) {
   absl::MutexLock lock(&this->mutex);
-  this->received += request.target + "\n";
+  this->received_text += request.target + "\n";
   for (const auto& [name, value] : request.headers) {
-    this->received += name + ": " + value + "\n";
+    this->received_text += name + ": " + value + "\n";
   }
-  this->received += request.body + "\n";
+  this->received_text += request.body + "\n";
 }
 
-void EngineStandIn::Complete(const httplib::Request& request,
-                             httplib::Response& response) {
-  this->Note(request);
+void EngineStandIn::HandleCompletion(const httplib::Request& request,
+                                     httplib::Response& response) {
+  this->RecordRequest(request);
   const json body = json::parse(request.body);
   const std::string model = body.at("model");
   const int tokens = body.at("max_tokens");
@@ -117,14 +117,16 @@
     ++this->started;
     this->streams[stream->request_id] = stream;
     this->queued_tokens += tokens;
-    const std::uint64_t prefix = StableHash(prompt.substr(0, kPrefixBytes));
+    const std::uint64_t prefix =
+        StableHash(prompt.substr(0, kCachedPrefixBytes));
     this->cache_events.push_back(
         {{"sequence", this->cache_events.size() + 1}, {"prefix", prefix}});
   }
   const bool is_chat = body.contains("messages");
-  const json shown = this->behaviour.odd_model ? json(7) : json(model);
+  const json reported_model = this->behaviour.odd_model ? json(7) : json(model);
   for (int i = 0; i < tokens; ++i) {
-    // The words tell whose answer it is, so a mix-up shows.
+    // Each token names the prompt, so that a response sent to the wrong request
+    // is noticed.
     const std::string word =
         fmt::format("{}-{} ", StableHash(prompt) % 100000, i);
     json choice = {{"index", 0}};
@@ -134,21 +136,22 @@
       choice["text"] = word;
     }
     stream->events.push_back(
-        json({{"model", shown}, {"choices", json::array({choice})}}).dump());
+        json({{"model", reported_model}, {"choices", json::array({choice})}})
+            .dump());
   }
-  this->Play(stream, 0, response);
+  this->SendStream(stream, 0, response);
 }
 
-bool EngineStandIn::Cuts(std::size_t played) {
+bool EngineStandIn::BreaksStream(std::size_t sent_events) {
   absl::MutexLock lock(&this->mutex);
-  if (this->cut_times == 0 || this->cut_after == 0) return false;
-  if (played < static_cast<std::size_t>(this->cut_after)) return false;
-  --this->cut_times;
+  if (this->remaining_breaks == 0 || this->break_after == 0) return false;
+  if (sent_events < static_cast<std::size_t>(this->break_after)) return false;
+  --this->remaining_breaks;
   return true;
 }
 
-void EngineStandIn::Play(const std::shared_ptr<Stream>& stream,
-                         std::size_t from, httplib::Response& response) {
+void EngineStandIn::SendStream(const std::shared_ptr<Stream>& stream,
+                               std::size_t from, httplib::Response& response) {
   {
     absl::MutexLock lock(&this->mutex);
     const std::string& id =
@@ -163,30 +166,32 @@
                                                httplib::DataSink& sink) {
         {
           absl::MutexLock lock(&this->mutex);
-          Turn turn;
+          QueuePosition position_in_queue;
           if (!*in_batch) {
-            turn = {stream->priority, this->next_turn++};
-            this->waiting.insert(turn);
+            position_in_queue = {stream->priority, this->next_queue_number++};
+            this->waiting.insert(position_in_queue);
           }
-          const auto may_run = [this, in_batch,
-                                turn]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
-            if (this->stopping || *in_batch) return !this->silent;
-            const bool is_next = *this->waiting.begin() == turn;
-            return !this->silent && is_next &&
-                   this->running < this->behaviour.batch;
-          };
-          const auto may_go_on = [this, &may_run]()
-                                     ABSL_SHARED_LOCKS_REQUIRED(mutex) {
-                                       return this->stopping || may_run();
-                                     };
-          this->mutex.Await(absl::Condition(&may_go_on));
-          this->waiting.erase(turn);
+          const auto may_run =
+              [this, in_batch, position_in_queue]()
+                  ABSL_SHARED_LOCKS_REQUIRED(mutex) {
+                    if (this->stopping || *in_batch) return !this->unresponsive;
+                    const bool is_next =
+                        *this->waiting.begin() == position_in_queue;
+                    return !this->unresponsive && is_next &&
+                           this->running < this->behaviour.batch;
+                  };
+          const auto may_proceed = [this, &may_run]()
+                                       ABSL_SHARED_LOCKS_REQUIRED(mutex) {
+                                         return this->stopping || may_run();
+                                       };
+          this->mutex.Await(absl::Condition(&may_proceed));
+          this->waiting.erase(position_in_queue);
           if (this->stopping) return false;
           if (!*in_batch) ++this->running;
           *in_batch = true;
         }
         absl::SleepFor(this->behaviour.token_delay);
-        if (this->Cuts(*position - from)) return false;
+        if (this->BreaksStream(*position - from)) return false;
         const bool ended = *position == stream->events.size();
         const std::string text =
             "data: " + (ended ? "[DONE]" : stream->events[*position]) + "\n\n";
@@ -209,8 +214,8 @@
       });
 }
 
-void EngineStandIn::Resume(const httplib::Request& request,
-                           httplib::Response& response) {
+void EngineStandIn::HandleResume(const httplib::Request& request,
+                                 httplib::Response& response) {
   const std::string id = request.matches[1];
   const std::size_t after = std::stoul(request.get_param_value("after"));
   std::shared_ptr<Stream> stream;
@@ -227,10 +232,10 @@
     response.set_content("{\"error\":\"no such stream\"}", kJson);
     return;
   }
-  this->Play(stream, after, response);
+  this->SendStream(stream, after, response);
 }
 
-json EngineStandIn::Report() {
+json EngineStandIn::LoadReportJson() {
   absl::MutexLock lock(&this->mutex);
   json resident = json::array();
   for (const auto& [name, bytes] : this->loaded) resident.push_back(name);
@@ -243,18 +248,19 @@
                  {"role", this->role},
                  {"leaving", this->leaving}};
   const absl::Time now = absl::Now();
-  this->reports.emplace_back(now, report);
+  this->report_history.emplace_back(now, report);
   const absl::Time until = now - this->behaviour.report_lag;
-  while (this->reports.size() > 1 && this->reports[1].first <= until) {
-    this->reports.pop_front();
+  while (this->report_history.size() > 1 &&
+         this->report_history[1].first <= until) {
+    this->report_history.pop_front();
   }
-  json lagging = this->reports.front().second;
-  lagging["age_ms"] =
-      absl::ToInt64Milliseconds(now - this->reports.front().first);
-  return lagging;
+  json lagged_report = this->report_history.front().second;
+  lagged_report["age_ms"] =
+      absl::ToInt64Milliseconds(now - this->report_history.front().first);
+  return lagged_report;
 }
 
-// Carries an order out; returns why not, or nothing.
+// Executes an order. Returns the reason if it is refused, else an empty text.
 std::string EngineStandIn::Execute(const std::string& kind, const json& body) {
   absl::MutexLock lock(&this->mutex);
   if (kind == "set_role") {
@@ -273,17 +279,17 @@
   for (const auto& [other, size] : this->loaded) {
     if (other != name) used += size;
   }
-  // What was asked for counts, also when it does not fit: it must not be.
-  this->peak = std::max(this->peak, used);
+  // An order that does not fit is counted as well: instances must not send one.
+  this->peak_bytes = std::max(this->peak_bytes, used);
   if (used > this->behaviour.memory_bytes) return "out of memory";
   this->loaded[name] = bytes;
   return {};
 }
 
-void EngineStandIn::Order(const std::string& kind,
-                          const httplib::Request& request,
-                          httplib::Response& response) {
-  this->Note(request);
+void EngineStandIn::HandleOrder(const std::string& kind,
+                                const httplib::Request& request,
+                                httplib::Response& response) {
+  this->RecordRequest(request);
   const json body = json::parse(request.body);
   const std::int64_t fence = std::stoll(request.get_header_value("X-Fence"));
   std::string boot_id;
@@ -297,9 +303,9 @@
       return;
     }
     this->highest_fence = std::max(this->highest_fence, fence);
-    if (this->hold_orders > 0) {
-      --this->hold_orders;
-      this->held.push_back(HeldOrder{kind, body});
+    if (this->orders_to_hold > 0) {
+      --this->orders_to_hold;
+      this->held_orders.push_back(HeldOrder{kind, body});
       return LoseAnswer(response);
     }
   }
@@ -307,28 +313,28 @@
   const std::string problem = this->Execute(kind, body);
   {
     absl::MutexLock lock(&this->mutex);
-    if (this->lose_orders > 0) {
-      --this->lose_orders;
+    if (this->order_responses_to_drop > 0) {
+      --this->order_responses_to_drop;
       return LoseAnswer(response);
     }
   }
-  json answer = {{"boot_id", boot_id}};
+  json response_body = {{"boot_id", boot_id}};
   if (!problem.empty()) {
     response.status = 507;
-    answer["error"] = problem;
+    response_body["error"] = problem;
   }
-  response.set_content(answer.dump(), kJson);
+  response.set_content(response_body.dump(), kJson);
 }
 
 void EngineStandIn::CutStreamsAfter(int events, int times) {
   absl::MutexLock lock(&this->mutex);
-  this->cut_after = events;
-  this->cut_times = times;
+  this->break_after = events;
+  this->remaining_breaks = times;
 }
 
-void EngineStandIn::SetSilent(bool silent) {
+void EngineStandIn::SetSilent(bool unresponsive) {
   absl::MutexLock lock(&this->mutex);
-  this->silent = silent;
+  this->unresponsive = unresponsive;
 }
 
 void EngineStandIn::SetRefusing(bool refusing) {
@@ -348,19 +354,19 @@
 
 void EngineStandIn::LoseOrderAnswers(int count) {
   absl::MutexLock lock(&this->mutex);
-  this->lose_orders = count;
+  this->order_responses_to_drop = count;
 }
 
 void EngineStandIn::HoldOrders(int count) {
   absl::MutexLock lock(&this->mutex);
-  this->hold_orders = count;
+  this->orders_to_hold = count;
 }
 
 void EngineStandIn::ReleaseOrders() {
   std::deque<HeldOrder> released;
   {
     absl::MutexLock lock(&this->mutex);
-    released.swap(this->held);
+    released.swap(this->held_orders);
   }
   for (const HeldOrder& order : released) this->Execute(order.kind, order.body);
 }
@@ -375,12 +381,12 @@
   ++this->boot;
   this->loaded.clear();
   this->streams.clear();
-  this->reports.clear();
+  this->report_history.clear();
 }
 
 std::int64_t EngineStandIn::PeakBytes() const {
   absl::MutexLock lock(&this->mutex);
-  return this->peak;
+  return this->peak_bytes;
 }
 
 std::set<std::string> EngineStandIn::Resident() const {
@@ -402,7 +408,7 @@
 
 std::string EngineStandIn::Received() const {
   absl::MutexLock lock(&this->mutex);
-  return this->received;
+  return this->received_text;
 }
 
 }  // namespace dragonflyglade
--- a/tests/standins/faulty_answer.cc
+++ b/tests/standins/faulty_answer.cc
@@ -5,13 +5,13 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::size_t kPromisedBytes = 1000;
+constexpr std::size_t kAnnouncedBytes = 1000;
 
 }  // namespace
 
 void LoseAnswer(httplib::Response& response) {
   response.set_content_provider(
-      kPromisedBytes, "application/json",
+      kAnnouncedBytes, "application/json",
       [](std::size_t, std::size_t, httplib::DataSink&) { return false; });
 }
 
--- a/tests/standins/faulty_answer.h
+++ b/tests/standins/faulty_answer.h
@@ -7,8 +7,8 @@
 
 namespace dragonflyglade {
 
-/// Ends the connection after the head, so that the other end never gets a
-/// whole answer.
+/// Makes the server close the connection after the response's head, so that the
+/// client never receives a complete response.
 void LoseAnswer(httplib::Response& response);
 
 }  // namespace dragonflyglade
--- a/tests/standins/kv_stand_in.cc
+++ b/tests/standins/kv_stand_in.cc
@@ -15,7 +15,7 @@
 using nlohmann::json;
 
 constexpr int kThreads = 128;
-constexpr absl::Duration kProgressEvery = absl::Milliseconds(500);
+constexpr absl::Duration kProgressInterval = absl::Milliseconds(500);
 
 json EntryJson(const KvEntry& entry) {
   return {{"key", EncodeBytes(entry.key)},
@@ -38,21 +38,21 @@
   http.Post("/v3/watch", [this](const httplib::Request& request,
                                 httplib::Response& response) {
     const json create = json::parse(request.body).at("create_request");
-    auto watch = std::make_shared<WatchState>();
+    auto watch = std::make_shared<OpenWatch>();
     watch->from = DecodeBytes(create.at("key"));
     watch->to = DecodeBytes(create.value("range_end", std::string()));
     watch->next_revision = DecodeNumber(create, "start_revision");
     {
       absl::MutexLock lock(&this->mutex);
-      if (this->out) return LoseAnswer(response);
-      watch->generation = this->next_watch++;
+      if (this->unavailable) return LoseAnswer(response);
+      watch->number = this->next_watch++;
       ++this->open_watches;
     }
     response.set_chunked_content_provider(
         "application/json",
         [this, watch](std::size_t, httplib::DataSink& sink) {
           std::string line;
-          if (!this->NextWatchLine(*watch, line)) return false;
+          if (!this->NextWatchMessage(*watch, line)) return false;
           return line.empty() ? sink.is_writable()
                               : sink.write(line.data(), line.size());
         },
@@ -71,12 +71,12 @@
     absl::SleepFor(wait);
     {
       absl::MutexLock lock(&this->mutex);
-      if (this->out) return LoseAnswer(response);
+      if (this->unavailable) return LoseAnswer(response);
     }
-    const std::string answer =
+    const std::string response_body =
         this->Handle(request.path, json::parse(request.body));
-    if (answer.empty()) return LoseAnswer(response);
-    response.set_content(answer, "application/json");
+    if (response_body.empty()) return LoseAnswer(response);
+    response.set_content(response_body, "application/json");
   });
 }
 
@@ -93,9 +93,9 @@
   return Endpoint{"127.0.0.1", port.Value()};
 }
 
-void KvStandIn::SetOut(bool out) {
+void KvStandIn::SetOut(bool unavailable) {
   absl::MutexLock lock(&this->mutex);
-  this->out = out;
+  this->unavailable = unavailable;
 }
 
 void KvStandIn::SetDelay(absl::Duration delay) {
@@ -105,12 +105,12 @@
 
 void KvStandIn::LoseAnswers(int count) {
   absl::MutexLock lock(&this->mutex);
-  this->lose_answers = count;
+  this->responses_to_drop = count;
 }
 
 void KvStandIn::SilenceWatches() {
   absl::MutexLock lock(&this->mutex);
-  this->silent_generation = this->next_watch;
+  this->first_unstalled_watch = this->next_watch;
 }
 
 void KvStandIn::LapseLeases() {
@@ -135,7 +135,7 @@
   version.entry.create_revision =
       exists ? versions.back().entry.create_revision : this->revision;
   versions.push_back(version);
-  this->log.push_back(version);
+  this->change_log.push_back(version);
 }
 
 void KvStandIn::RemoveLocked(const std::string& key) {
@@ -146,7 +146,7 @@
   version.entry.mod_revision = this->revision;
   version.deleted = true;
   versions.push_back(version);
-  this->log.push_back(version);
+  this->change_log.push_back(version);
 }
 
 void KvStandIn::ExpireLeases() {
@@ -170,9 +170,10 @@
 json KvStandIn::Range(const json& request) {
   const std::string from = DecodeBytes(request.at("key"));
   const std::string to = DecodeBytes(request.value("range_end", std::string()));
-  const std::int64_t asked = DecodeNumber(request, "revision");
-  const std::int64_t at = asked == 0 ? this->revision : asked;
-  const std::int64_t least = DecodeNumber(request, "min_mod_revision");
+  const std::int64_t requested_revision = DecodeNumber(request, "revision");
+  const std::int64_t at =
+      requested_revision == 0 ? this->revision : requested_revision;
+  const std::int64_t min_revision = DecodeNumber(request, "min_mod_revision");
   json found = json::array();
   for (const auto& [key, versions] : this->keys) {
     if (!InRange(key, from, to)) continue;
@@ -181,23 +182,24 @@
       if (version.entry.mod_revision <= at) newest = &version;
     }
     if (newest == nullptr || newest->deleted) continue;
-    if (newest->entry.mod_revision < least) continue;
+    if (newest->entry.mod_revision < min_revision) continue;
     found.push_back(EntryJson(newest->entry));
   }
   return {{"header", this->Header()}, {"kvs", found}};
 }
 
 json KvStandIn::Txn(const json& request) {
-  bool holds = true;
+  bool conditions_hold = true;
   for (const json& compare : request.value("compare", json::array())) {
     const auto found = this->keys.find(DecodeBytes(compare.at("key")));
     const bool present =
         found != this->keys.end() && !found->second.back().deleted;
     const std::int64_t actual =
         present ? found->second.back().entry.mod_revision : 0;
-    holds = holds && actual == DecodeNumber(compare, "mod_revision");
+    conditions_hold =
+        conditions_hold && actual == DecodeNumber(compare, "mod_revision");
   }
-  if (!holds) {
+  if (!conditions_hold) {
     json responses = json::array();
     for (const json& operation : request.value("failure", json::array())) {
       responses.push_back(
@@ -221,7 +223,7 @@
   return {{"header", this->Header()}, {"succeeded", true}};
 }
 
-// An empty answer stands for one that is lost.
+// Returns the response's body; an empty one means that the response is dropped.
 std::string KvStandIn::Handle(const std::string& path, const json& request) {
   absl::MutexLock lock(&this->mutex);
   this->ExpireLeases();
@@ -230,9 +232,9 @@
     return this->Range(request).dump();
   }
   if (path == "/v3/kv/txn") {
-    const std::string answer = this->Txn(request).dump();
-    if (this->lose_answers == 0) return answer;
-    --this->lose_answers;
+    const std::string response_body = this->Txn(request).dump();
+    if (this->responses_to_drop == 0) return response_body;
+    --this->responses_to_drop;
     return {};
   }
   ++this->writes;
@@ -261,18 +263,19 @@
   return json({{"header", this->Header()}}).dump();
 }
 
-bool KvStandIn::NextWatchLine(WatchState& watch, std::string& line) {
+bool KvStandIn::NextWatchMessage(OpenWatch& watch, std::string& line) {
   absl::MutexLock lock(&this->mutex);
-  const auto has_news = [this, &watch]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
-    if (this->stopping || this->out) return true;
-    if (watch.generation < this->silent_generation) return false;
+  const auto has_changes = [this, &watch]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
+    if (this->stopping || this->unavailable) return true;
+    if (watch.number < this->first_unstalled_watch) return false;
     return this->revision >= watch.next_revision;
   };
-  this->mutex.AwaitWithTimeout(absl::Condition(&has_news), kProgressEvery);
-  if (this->stopping || this->out) return false;
-  if (watch.generation < this->silent_generation) return true;
+  this->mutex.AwaitWithTimeout(absl::Condition(&has_changes),
+                               kProgressInterval);
+  if (this->stopping || this->unavailable) return false;
+  if (watch.number < this->first_unstalled_watch) return true;
   json events = json::array();
-  for (const Version& version : this->log) {
+  for (const Version& version : this->change_log) {
     if (version.entry.mod_revision < watch.next_revision) continue;
     if (!InRange(version.entry.key, watch.from, watch.to)) continue;
     json event = {{"kv", EntryJson(version.entry)}};
--- a/tests/standins/kv_stand_in.h
+++ b/tests/standins/kv_stand_in.h
@@ -15,27 +15,28 @@
 
 namespace dragonflyglade {
 
-/// A key-value service that speaks etcd's JSON gateway and fails on command.
+/// A key-value service with the API of etcd's JSON gateway, which fails when a
+/// test tells it to.
 class KvStandIn {
  public:
   KvStandIn();
   ~KvStandIn();
 
-  /// @return where it answers
+  /// @return the endpoint at which it listens
   Endpoint Start();
 
-  /// While out, nothing is carried out and no answer is whole.
-  void SetOut(bool out);
-  /// Each answer waits this long.
+  /// While unavailable, no call is executed and every response is cut short.
+  void SetOut(bool unavailable);
+  /// Delays the execution of every call except watches.
   void SetDelay(absl::Duration delay);
-  /// The next answers to transactions are lost after they took effect.
+  /// Drops the responses to the next transactions after they took effect.
   void LoseAnswers(int count);
-  /// Watches open now deliver nothing more, but stay open.
+  /// Makes the watches open now deliver nothing more, although they stay open.
   void SilenceWatches();
-  /// Ends a lease, as if its time had run out.
+  /// Ends all leases, as if their TTL had passed, and removes their keys.
   void LapseLeases();
 
-  /// Writes directly, as an operator may.
+  /// Writes a key without a lease, as an operator may.
   std::int64_t Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
   std::string Value(const std::string& key) const;
@@ -49,11 +50,11 @@
     KvEntry entry;
     bool deleted = false;
   };
-  struct WatchState {
+  struct OpenWatch {
     std::string from;
     std::string to;
     std::int64_t next_revision = 0;
-    std::int64_t generation = 0;
+    std::int64_t number = 0;
   };
 
   std::string Handle(const std::string& path, const nlohmann::json& request);
@@ -67,15 +68,15 @@
   void RemoveLocked(const std::string& key)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   void ExpireLeases() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  bool NextWatchLine(WatchState& watch, std::string& line);
+  bool NextWatchMessage(OpenWatch& watch, std::string& line);
 
   HttpServer server;
   mutable absl::Mutex mutex;
-  bool out ABSL_GUARDED_BY(mutex) = false;
+  bool unavailable ABSL_GUARDED_BY(mutex) = false;
   bool stopping ABSL_GUARDED_BY(mutex) = false;
   absl::Duration delay ABSL_GUARDED_BY(mutex);
-  int lose_answers ABSL_GUARDED_BY(mutex) = 0;
-  std::int64_t silent_generation ABSL_GUARDED_BY(mutex) = 0;
+  int responses_to_drop ABSL_GUARDED_BY(mutex) = 0;
+  std::int64_t first_unstalled_watch ABSL_GUARDED_BY(mutex) = 0;
   std::int64_t revision ABSL_GUARDED_BY(mutex) = 1;
   std::int64_t writes ABSL_GUARDED_BY(mutex) = 0;
   std::int64_t reads ABSL_GUARDED_BY(mutex) = 0;
@@ -85,7 +86,7 @@
   std::map<std::int64_t, absl::Time> leases ABSL_GUARDED_BY(mutex);
   std::map<std::int64_t, absl::Duration> lease_ttls ABSL_GUARDED_BY(mutex);
   std::map<std::string, std::vector<Version>> keys ABSL_GUARDED_BY(mutex);
-  std::vector<Version> log ABSL_GUARDED_BY(mutex);
+  std::vector<Version> change_log ABSL_GUARDED_BY(mutex);
 };
 
 }  // namespace dragonflyglade
--- a/tests/standins/ledger_stand_in.cc
+++ b/tests/standins/ledger_stand_in.cc
@@ -22,41 +22,42 @@
   httplib::Server& http = this->server.Library();
   using httplib::Request;
   using httplib::Response;
-  const auto note = [this](const Request& request, Response& response) {
+  const auto record_request = [this](const Request& request,
+                                     Response& response) {
     absl::MutexLock lock(&this->mutex);
-    this->received += request.target + "\n";
+    this->received_text += request.target + "\n";
     for (const auto& [name, value] : request.headers) {
-      this->received += name + ": " + value + "\n";
+      this->received_text += name + ": " + value + "\n";
     }
-    this->received += request.body + "\n";
+    this->received_text += request.body + "\n";
     response.set_header("X-Request-Id",
                         this->echoed_id.empty()
                             ? request.get_header_value("X-Request-Id")
                             : this->echoed_id);
   };
-  http.Get(R"(/balance/(.+))", [note](const Request& request,
-                                      Response& response) {
-    note(request, response);
+  http.Get(R"(/balance/(.+))", [record_request](const Request& request,
+                                                Response& response) {
+    record_request(request, response);
     response.set_content(
         json({{"name", request.matches[1].str()}, {"balance", 1200}}).dump(),
         kJson);
   });
   http.Post("/payouts",
-            [this, note](const Request& request, Response& response) {
-              note(request, response);
+            [this, record_request](const Request& request, Response& response) {
+              record_request(request, response);
               const std::string payout = json::parse(request.body).at("payout");
               absl::Duration wait;
               int run = 0;
-              bool lost = false;
+              bool drop_response = false;
               {
                 absl::MutexLock lock(&this->mutex);
                 run = ++this->runs[payout];
                 wait = this->delay;
-                lost = this->lose_answers > 0;
-                if (lost) --this->lose_answers;
+                drop_response = this->responses_to_drop > 0;
+                if (drop_response) --this->responses_to_drop;
               }
               absl::SleepFor(wait);
-              if (lost) return LoseAnswer(response);
+              if (drop_response) return LoseAnswer(response);
               response.status = 201;
               response.set_content(
                   json({{"payout", payout}, {"run", run}}).dump(), kJson);
@@ -71,7 +72,7 @@
 
 void LedgerStandIn::LoseAnswers(int count) {
   absl::MutexLock lock(&this->mutex);
-  this->lose_answers = count;
+  this->responses_to_drop = count;
 }
 
 void LedgerStandIn::SetDelay(absl::Duration delay) {
@@ -97,7 +98,7 @@
 
 std::string LedgerStandIn::Received() const {
   absl::MutexLock lock(&this->mutex);
-  return this->received;
+  return this->received_text;
 }
 
 }  // namespace dragonflyglade
--- a/tests/standins/ledger_stand_in.h
+++ b/tests/standins/ledger_stand_in.h
@@ -11,9 +11,10 @@
 
 namespace dragonflyglade {
 
-/// A plain service that counts how often each call ran.
+/// A plain service, that is no model engine, which counts how often each call
+/// was executed.
 ///
-/// GET /balance/<name> reads; POST /payouts runs the payout named by the
+/// GET /balance/<name> reads; POST /payouts executes the payout named by the
 /// "payout" field of its JSON body.
 class LedgerStandIn {
  public:
@@ -22,26 +23,29 @@
 
   Endpoint Start();
 
-  /// The next answers to payouts are lost after they ran.
+  /// Drops the responses to the next payouts after executing them.
   void LoseAnswers(int count);
-  /// Answers wait this long, after the call ran.
+  /// Delays the responses to payouts after executing them.
   void SetDelay(absl::Duration delay);
+  /// Makes responses carry this id in place of the request's own; an empty one
+  /// restores the request's own.
   void SetEchoedId(const std::string& id);
 
-  /// How often a payout ran.
+  /// How often a payout was executed.
   int Runs(const std::string& payout) const;
-  /// All payouts that ran, and how often.
+  /// How often each payout was executed, by its name.
   std::map<std::string, int> AllRuns() const;
+  /// The paths, headers and bodies of all received requests.
   std::string Received() const;
 
  private:
   HttpServer server;
   mutable absl::Mutex mutex;
-  int lose_answers ABSL_GUARDED_BY(mutex) = 0;
+  int responses_to_drop ABSL_GUARDED_BY(mutex) = 0;
   absl::Duration delay ABSL_GUARDED_BY(mutex);
   std::string echoed_id ABSL_GUARDED_BY(mutex);
   std::map<std::string, int> runs ABSL_GUARDED_BY(mutex);
-  std::string received ABSL_GUARDED_BY(mutex);
+  std::string received_text ABSL_GUARDED_BY(mutex);
 };
 
 }  // namespace dragonflyglade
--- a/tests/standins/list_stand_in.cc
+++ b/tests/standins/list_stand_in.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kThreads = 64;
-constexpr std::size_t kSnapshots = 100;
+constexpr std::size_t kMaxSnapshots = 100;
 
 const char* StateOf(bool leaving) { return leaving ? "leaving" : "live"; }
 
@@ -20,22 +20,22 @@
 ListStandIn::ListStandIn() : server(Endpoint{"127.0.0.1", 0}, kThreads) {
   {
     absl::MutexLock lock(&this->mutex);
-    this->Record();
+    this->RecordSnapshot();
   }
-  const auto answer = [this](bool targets, httplib::Response& response) {
+  const auto respond = [this](bool targets, httplib::Response& response) {
     absl::MutexLock lock(&this->mutex);
-    if (this->out) return LoseAnswer(response);
-    const Snapshot& visible = this->Visible();
+    if (this->unavailable) return LoseAnswer(response);
+    const Snapshot& visible = this->VisibleSnapshot();
     response.set_content(targets ? visible.targets : visible.instances,
                          "application/json");
   };
   this->server.Library().Get(
-      "/instances", [answer](const httplib::Request&, httplib::Response& r) {
-        answer(false, r);
+      "/instances", [respond](const httplib::Request&, httplib::Response& r) {
+        respond(false, r);
       });
   this->server.Library().Get(
-      "/targets", [answer](const httplib::Request&, httplib::Response& r) {
-        answer(true, r);
+      "/targets", [respond](const httplib::Request&, httplib::Response& r) {
+        respond(true, r);
       });
 }
 
@@ -50,36 +50,36 @@
   this->lag = lag;
 }
 
-void ListStandIn::SetOut(bool out) {
+void ListStandIn::SetOut(bool unavailable) {
   absl::MutexLock lock(&this->mutex);
-  this->out = out;
+  this->unavailable = unavailable;
 }
 
 void ListStandIn::PutInstance(const ListedInstance& instance) {
   absl::MutexLock lock(&this->mutex);
   this->instances[instance.info.name] = instance;
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void ListStandIn::RemoveInstance(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->instances.erase(name);
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void ListStandIn::PutTarget(const ListedTarget& target) {
   absl::MutexLock lock(&this->mutex);
   this->targets[target.name] = target;
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void ListStandIn::RemoveTarget(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->targets.erase(name);
-  this->Record();
+  this->RecordSnapshot();
 }
 
-void ListStandIn::Record() {
+void ListStandIn::RecordSnapshot() {
   ++this->version;
   json instances = json::array();
   for (const auto& [name, listed] : this->instances) {
@@ -106,14 +106,14 @@
   snapshot.targets =
       json({{"version", this->version}, {"targets", targets}}).dump();
   this->snapshots.push_back(std::move(snapshot));
-  if (this->snapshots.size() > kSnapshots) this->snapshots.pop_front();
+  if (this->snapshots.size() > kMaxSnapshots) this->snapshots.pop_front();
 }
 
-const ListStandIn::Snapshot& ListStandIn::Visible() {
-  const absl::Time until = absl::Now() - this->lag;
+const ListStandIn::Snapshot& ListStandIn::VisibleSnapshot() {
+  const absl::Time visible_until = absl::Now() - this->lag;
   const Snapshot* visible = &this->snapshots.front();
   for (const Snapshot& snapshot : this->snapshots) {
-    if (snapshot.since <= until) visible = &snapshot;
+    if (snapshot.since <= visible_until) visible = &snapshot;
   }
   return *visible;
 }
--- a/tests/standins/list_stand_in.h
+++ b/tests/standins/list_stand_in.h
@@ -14,7 +14,8 @@
 
 namespace dragonflyglade {
 
-/// The platform's lists of instances and targets, which lag on command.
+/// The platform's service discovery, with lists of instances and targets that
+/// lag behind or are unavailable when a test says so.
 class ListStandIn {
  public:
   ListStandIn();
@@ -22,8 +23,10 @@
 
   Endpoint Start();
 
+  /// Makes changes of the lists visible only after this time.
   void SetLag(absl::Duration lag);
-  void SetOut(bool out);
+  /// While unavailable, every response is cut short.
+  void SetOut(bool unavailable);
   void PutInstance(const ListedInstance& instance);
   void RemoveInstance(const std::string& name);
   void PutTarget(const ListedTarget& target);
@@ -36,13 +39,13 @@
     std::string targets;
   };
 
-  void Record() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  const Snapshot& Visible() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  void RecordSnapshot() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+  const Snapshot& VisibleSnapshot() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   HttpServer server;
   absl::Mutex mutex;
   absl::Duration lag ABSL_GUARDED_BY(mutex);
-  bool out ABSL_GUARDED_BY(mutex) = false;
+  bool unavailable ABSL_GUARDED_BY(mutex) = false;
   std::int64_t version ABSL_GUARDED_BY(mutex) = 0;
   std::map<std::string, ListedInstance> instances ABSL_GUARDED_BY(mutex);
   std::map<std::string, ListedTarget> targets ABSL_GUARDED_BY(mutex);
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -1,4 +1,6 @@
-// Runs one of each stand-in for the demo, and takes commands over HTTP.
+// Runs the stand-ins for the demo: a key-value service, a service discovery, a
+// ledger service and two engines. Its control server lists instances on POST
+// /instances and returns all received requests on GET /received.
 
 #include <fmt/format.h>
 #include <httplib.h>
@@ -25,13 +27,13 @@
 constexpr const char* kServicePool = "ledger";
 constexpr absl::Duration kTokenDelay = absl::Milliseconds(10);
 
-ListedTarget TargetAt(const std::string& name, const Endpoint& endpoint,
-                      const std::string& pool) {
+ListedTarget MakeListedTarget(const std::string& name, const Endpoint& endpoint,
+                              const std::string& pool) {
   return ListedTarget{name, endpoint.address, endpoint.port, "zone-a", pool,
                       false};
 }
 
-ListedInstance InstanceOf(const json& item) {
+ListedInstance DecodeInstance(const json& item) {
   ListedInstance instance;
   instance.info =
       MemberInfo{item.at("name"), item.at("address"), item.at("peer_port"),
@@ -53,15 +55,16 @@
     const Endpoint kv_at = this->kv.Start();
     const Endpoint list_at = this->list.Start();
     const Endpoint ledger_at = this->ledger.Start();
-    this->list.PutTarget(TargetAt("ledger-1", ledger_at, kServicePool));
+    this->list.PutTarget(MakeListedTarget("ledger-1", ledger_at, kServicePool));
     for (int i = 0; i < kEngines; ++i) {
-      this->list.PutTarget(TargetAt(fmt::format("engine-{}", i + 1),
-                                    this->engines[i]->Start(), kEnginePool));
+      this->list.PutTarget(MakeListedTarget(fmt::format("engine-{}", i + 1),
+                                            this->engines[i]->Start(),
+                                            kEnginePool));
     }
     this->control.Library().Post(
         "/instances",
         [this](const httplib::Request& request, httplib::Response& response) {
-          this->list.PutInstance(InstanceOf(json::parse(request.body)));
+          this->list.PutInstance(DecodeInstance(json::parse(request.body)));
           response.set_content("{}", "application/json");
         });
     this->control.Library().Get(
@@ -77,12 +80,12 @@
 
  private:
   std::string Received() const {
-    std::string all = this->ledger.Received();
-    for (const auto& engine : this->engines) all += engine->Received();
+    std::string received = this->ledger.Received();
+    for (const auto& engine : this->engines) received += engine->Received();
     for (const KvEntry& entry : this->kv.Entries("")) {
-      all += entry.key + "\n" + entry.value + "\n";
+      received += entry.key + "\n" + entry.value + "\n";
     }
-    return all;
+    return received;
   }
 
   KvStandIn kv;
--- a/tests/standins/relay_stand_in.cc
+++ b/tests/standins/relay_stand_in.cc
@@ -26,31 +26,33 @@
 }
 
 bool WaitReadable(int socket) {
-  pollfd waited{socket, POLLIN, 0};
-  return poll(&waited, 1, kPollMilliseconds) > 0;
+  pollfd poll_entry{socket, POLLIN, 0};
+  return poll(&poll_entry, 1, kPollMilliseconds) > 0;
 }
 
 }  // namespace
 
-// Both directions of one connection; the sockets close with the last user.
-struct RelayStandIn::Link {
-  Link(int near, int far) : near(near), far(far) {}
-  ~Link() {
-    close(this->near);
-    close(this->far);
+// Both sockets of one forwarded connection. They are closed when neither
+// direction uses them any more.
+struct RelayStandIn::Connection {
+  Connection(int client_socket, int target_socket)
+      : client_socket(client_socket), target_socket(target_socket) {}
+  ~Connection() {
+    close(this->client_socket);
+    close(this->target_socket);
   }
-  Link(const Link&) = delete;
-  Link& operator=(const Link&) = delete;
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
 
   void Break() {
     this->broken = true;
-    shutdown(this->near, SHUT_RDWR);
-    shutdown(this->far, SHUT_RDWR);
+    shutdown(this->client_socket, SHUT_RDWR);
+    shutdown(this->target_socket, SHUT_RDWR);
   }
 
-  const int near;
-  const int far;
-  std::atomic<bool> silent{false};
+  const int client_socket;
+  const int target_socket;
+  std::atomic<bool> stalled{false};
   std::atomic<bool> broken{false};
 };
 
@@ -60,12 +62,12 @@
   {
     absl::MutexLock lock(&this->mutex);
     this->stopping = true;
-    for (const auto& link : this->links) link->Break();
+    for (const auto& connection : this->connections) connection->Break();
   }
   if (this->acceptor.joinable()) this->acceptor.join();
   absl::MutexLock lock(&this->mutex);
   const auto idle = [this]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
-    return this->carriers == 0;
+    return this->running_forwarders == 0;
   };
   this->mutex.Await(absl::Condition(&idle));
   if (this->listener >= 0) close(this->listener);
@@ -91,59 +93,64 @@
       if (this->stopping) return;
     }
     if (!WaitReadable(this->listener)) continue;
-    const int near = accept(this->listener, nullptr, nullptr);
-    if (near < 0) continue;
+    const int client_socket = accept(this->listener, nullptr, nullptr);
+    if (client_socket < 0) continue;
     absl::MutexLock lock(&this->mutex);
-    const int far = socket(AF_INET, SOCK_STREAM, 0);
+    const int target_socket = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in address = AddressOf(this->to);
-    const bool connected =
-        !this->cut && connect(far, reinterpret_cast<sockaddr*>(&address),
-                              sizeof(address)) == 0;
-    auto link = std::make_shared<Link>(near, far);
-    if (!connected) continue;
-    this->links.push_back(link);
-    this->carriers += 2;
-    std::thread([this, link] {
-      this->Carry(link, link->near, link->far);
+    const bool is_connected =
+        !this->partitioned &&
+        connect(target_socket, reinterpret_cast<sockaddr*>(&address),
+                sizeof(address)) == 0;
+    auto connection =
+        std::make_shared<Connection>(client_socket, target_socket);
+    if (!is_connected) continue;
+    this->connections.push_back(connection);
+    this->running_forwarders += 2;
+    std::thread([this, connection] {
+      this->Forward(connection, connection->client_socket,
+                    connection->target_socket);
     }).detach();
-    std::thread([this, link] {
-      this->Carry(link, link->far, link->near);
+    std::thread([this, connection] {
+      this->Forward(connection, connection->target_socket,
+                    connection->client_socket);
     }).detach();
   }
 }
 
-void RelayStandIn::Carry(const std::shared_ptr<Link>& link, int from, int to) {
+void RelayStandIn::Forward(const std::shared_ptr<Connection>& connection,
+                           int from, int to) {
   std::array<char, kBufferBytes> buffer;
-  while (!link->broken) {
-    if (link->silent) {
+  while (!connection->broken) {
+    if (connection->stalled) {
       usleep(kPollMilliseconds * 1000);
       continue;
     }
     if (!WaitReadable(from)) continue;
     const ssize_t size = recv(from, buffer.data(), buffer.size(), 0);
     if (size <= 0) break;
-    if (link->silent) continue;
+    if (connection->stalled) continue;
     if (send(to, buffer.data(), static_cast<std::size_t>(size), MSG_NOSIGNAL) !=
         size) {
       break;
     }
   }
-  link->Break();
+  connection->Break();
   absl::MutexLock lock(&this->mutex);
-  this->links.remove(link);
-  --this->carriers;
+  this->connections.remove(connection);
+  --this->running_forwarders;
 }
 
-void RelayStandIn::SetCut(bool cut) {
+void RelayStandIn::SetCut(bool partitioned) {
   absl::MutexLock lock(&this->mutex);
-  this->cut = cut;
-  if (!cut) return;
-  for (const auto& link : this->links) link->Break();
+  this->partitioned = partitioned;
+  if (!partitioned) return;
+  for (const auto& connection : this->connections) connection->Break();
 }
 
 void RelayStandIn::SilenceOpen() {
   absl::MutexLock lock(&this->mutex);
-  for (const auto& link : this->links) link->silent = true;
+  for (const auto& connection : this->connections) connection->stalled = true;
 }
 
 }  // namespace dragonflyglade
--- a/tests/standins/relay_stand_in.h
+++ b/tests/standins/relay_stand_in.h
@@ -10,36 +10,39 @@
 
 namespace dragonflyglade {
 
-/// A stretch of network between two ends, which can be cut or go silent.
+/// A TCP proxy in front of one endpoint, which simulates a network partition or
+/// a network that silently drops all traffic.
 class RelayStandIn {
  public:
-  /// @param to where connections lead
+  /// @param to the endpoint to which connections are forwarded
   explicit RelayStandIn(Endpoint to);
   ~RelayStandIn();
 
-  /// @return where to connect to
+  /// @return the endpoint at which the proxy accepts connections
   Endpoint Start();
 
-  /// Ends all connections and refuses new ones, or lets them through again.
-  void SetCut(bool cut);
+  /// Simulates a partition: closes all connections and every new one. With
+  /// false, forwards new connections again.
+  void SetCut(bool partitioned);
 
-  /// Connections open now carry nothing more, but stay open; new ones work.
+  /// Stops forwarding on the connections open now, which stay open. New
+  /// connections work.
   void SilenceOpen();
 
  private:
-  struct Link;
+  struct Connection;
 
   void Accept();
-  void Carry(const std::shared_ptr<Link>& link, int from, int to);
+  void Forward(const std::shared_ptr<Connection>& connection, int from, int to);
 
   const Endpoint to;
   int listener = -1;
   std::thread acceptor;
   absl::Mutex mutex;
-  bool cut ABSL_GUARDED_BY(mutex) = false;
+  bool partitioned ABSL_GUARDED_BY(mutex) = false;
   bool stopping ABSL_GUARDED_BY(mutex) = false;
-  std::list<std::shared_ptr<Link>> links ABSL_GUARDED_BY(mutex);
-  int carriers ABSL_GUARDED_BY(mutex) = 0;
+  std::list<std::shared_ptr<Connection>> connections ABSL_GUARDED_BY(mutex);
+  int running_forwarders ABSL_GUARDED_BY(mutex) = 0;
 };
 
 }  // namespace dragonflyglade
--- a/tests/unit/unit-inputs.cc
+++ b/tests/unit/unit-inputs.cc
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-json GoodSettings() {
+json ValidSettings() {
   const json listen = {{"address", "127.0.0.1"}, {"port", 0}};
   return {
       {"name", "entry-1"},
@@ -25,26 +25,26 @@
 }
 
 struct SettingsCase {
-  const char* pointer;  ///< what is changed
-  json value;           ///< null: removed
-  const char* problem;  ///< part of the error; empty: accepted
+  const char* pointer;        ///< the JSON pointer of the changed setting
+  json value;                 ///< its new value; null removes it
+  const char* expected_text;  ///< part of the error; empty if accepted
 };
 
 struct LineCase {
   const char* text;
-  const char* problem;
+  const char* expected_text;
 };
 
 class InputsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(InputsTest);
-  CPPUNIT_TEST(SettingsNameWhatIsWrong);
-  CPPUNIT_TEST(EndpointsAreNumbers);
-  CPPUNIT_TEST(KvAnswersAreChecked);
-  CPPUNIT_TEST(ScenarioLinesNameWhatIsWrong);
+  CPPUNIT_TEST(NamesTheInvalidSetting);
+  CPPUNIT_TEST(AcceptsOnlyNumericEndpoints);
+  CPPUNIT_TEST(RejectsMalformedKvResponses);
+  CPPUNIT_TEST(NamesTheInvalidScenarioLine);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SettingsNameWhatIsWrong() {
+  void NamesTheInvalidSetting() {
     const std::vector<SettingsCase> cases = {
         {"/log", {{"level", "debug"}, {"json", true}}, ""},
         {"/limits", {{"threads", 8}}, ""},
@@ -64,57 +64,60 @@
         {"/log", {{"level", "loud"}}, "log.level"},
     };
     for (const SettingsCase& item : cases) {
-      json settings = GoodSettings();
+      json settings = ValidSettings();
       if (item.value.is_null()) {
         settings.erase(std::string(item.pointer).substr(1));
       } else {
         settings[json::json_pointer(item.pointer)] = item.value;
       }
-      const Result<Settings> read = ParseSettings(settings.dump());
-      const std::string text = read.Ok() ? "" : read.Error().ToString();
+      const Result<Settings> settings_result = ParseSettings(settings.dump());
+      const std::string text =
+          settings_result.Ok() ? "" : settings_result.Error().ToString();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.pointer + (": " + text),
-                                   *item.problem == '\0', read.Ok());
-      CPPUNIT_ASSERT_MESSAGE(item.pointer + (": " + text),
-                             text.find(item.problem) != std::string::npos);
+                                   *item.expected_text == '\0',
+                                   settings_result.Ok());
+      CPPUNIT_ASSERT_MESSAGE(
+          item.pointer + (": " + text),
+          text.find(item.expected_text) != std::string::npos);
     }
     CPPUNIT_ASSERT(!ParseSettings("{").Ok());
     CPPUNIT_ASSERT(!ReadSettings("/nowhere/settings.json").Ok());
   }
 
-  void EndpointsAreNumbers() {
-    for (const char* good : {"127.0.0.1:80", "http://10.0.0.1:1", "[::1]:9"}) {
-      CPPUNIT_ASSERT_MESSAGE(good, ParseEndpoint(good).Ok());
+  void AcceptsOnlyNumericEndpoints() {
+    for (const char* valid : {"127.0.0.1:80", "http://10.0.0.1:1", "[::1]:9"}) {
+      CPPUNIT_ASSERT_MESSAGE(valid, ParseEndpoint(valid).Ok());
     }
-    for (const char* bad :
+    for (const char* invalid :
          {"", "127.0.0.1", "host:80", "127.0.0.1:", "127.0.0.1:0",
           "127.0.0.1:65536", "127.0.0.1:8x", "127.0.0.256:80"}) {
-      CPPUNIT_ASSERT_MESSAGE(bad, !ParseEndpoint(bad).Ok());
+      CPPUNIT_ASSERT_MESSAGE(invalid, !ParseEndpoint(invalid).Ok());
     }
   }
 
-  void KvAnswersAreChecked() {
+  void RejectsMalformedKvResponses() {
     const KvRange range = DecodeRange(json::parse(
         R"({"header":{"revision":"7"},"kvs":[{"key":"YQ==","value":"Yg==",
             "mod_revision":"6","create_revision":"2"}]})"));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{7}, range.revision);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), range.entries[0].key);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{6}, range.entries[0].mod_revision);
-    for (const char* bad :
+    for (const char* invalid :
          {"{}", R"({"header":{"revision":"x"}})",
           R"({"header":{},"kvs":[{"key":"%%"}]})", R"({"header":7})"}) {
-      CPPUNIT_ASSERT_THROW_MESSAGE(bad, DecodeRange(json::parse(bad)),
+      CPPUNIT_ASSERT_THROW_MESSAGE(invalid, DecodeRange(json::parse(invalid)),
                                    json::exception);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("b"), PrefixEnd("a"));
     CPPUNIT_ASSERT_EQUAL(std::string("b"), PrefixEnd("a\xff"));
   }
 
-  void ScenarioLinesNameWhatIsWrong() {
-    const auto good = ParseScenario(
+  void NamesTheInvalidScenarioLine() {
+    const auto valid = ParseScenario(
         "x.scn", "# text\n\nfleet instances=3\n stop l good>=5 failed=0\n");
-    CPPUNIT_ASSERT(good.Ok());
+    CPPUNIT_ASSERT(valid.Ok());
     CPPUNIT_ASSERT_EQUAL(std::string(">="),
-                         good.Value()[1].arguments[0].comparison);
+                         valid.Value()[1].arguments[0].comparison);
     const std::vector<LineCase> cases = {
         {"explode 1", "x.scn:1: invalid argument (expected one of apply"},
         {"fleet\nkill", "x.scn:2"},
@@ -128,8 +131,8 @@
       const auto parsed = ParseScenario("x.scn", item.text);
       CPPUNIT_ASSERT_MESSAGE(item.text, !parsed.Ok());
       const std::string text = parsed.Error().ToString();
-      CPPUNIT_ASSERT_MESSAGE(text,
-                             text.find(item.problem) != std::string::npos);
+      CPPUNIT_ASSERT_MESSAGE(
+          text, text.find(item.expected_text) != std::string::npos);
     }
   }
 };
--- a/tests/unit/unit-records.cc
+++ b/tests/unit/unit-records.cc
@@ -11,7 +11,7 @@
 struct ParseCase {
   const char* key;
   const char* value;
-  const char* problem;  ///< part of the reason; empty: valid
+  const char* expected_text;  ///< part of the reason; empty for a valid record
 };
 
 RecordVersion Version(const char* key, std::int64_t revision,
@@ -21,31 +21,31 @@
 
 constexpr const char* kRateV1 = "config/rate/v1/w";
 constexpr const char* kRateV2 = "config/rate/v2/w";
-constexpr const char* kGoodV1 =
+constexpr const char* kValidV1 =
     R"({"tokens_per_second": 10, "burst_tokens": 20})";
-constexpr const char* kGoodV2 =
+constexpr const char* kValidV2 =
     R"({"tokens": 600, "per_seconds": 60, "burst_tokens": 30})";
 
 struct OfferCase {
   const char* name;
   std::vector<RecordVersion> offered;
   std::vector<RecordFate> fates;
-  double burst;  ///< in force in the end; 0: no rate
+  double burst;  ///< of the rate in force in the end; 0 for no rate
 };
 
 class RecordsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(RecordsTest);
-  CPPUNIT_TEST(SaysWhatIsWrong);
-  CPPUNIT_TEST(NeverGoesBack);
-  CPPUNIT_TEST(RetiredSchemasDoNotCount);
-  CPPUNIT_TEST(DraftsAreCheckedWhole);
+  CPPUNIT_TEST(NamesTheInvalidField);
+  CPPUNIT_TEST(KeepsTheNewestValidVersion);
+  CPPUNIT_TEST(IgnoresRetiredSchemas);
+  CPPUNIT_TEST(RejectsInvalidDrafts);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void SaysWhatIsWrong() {
+  void NamesTheInvalidField() {
     const std::vector<ParseCase> cases = {
-        {kRateV1, kGoodV1, ""},
-        {kRateV2, kGoodV2, ""},
+        {kRateV1, kValidV1, ""},
+        {kRateV2, kValidV2, ""},
         {kRateV1, R"({"tokens_per_second": 10})", "burst_tokens"},
         {kRateV1, R"({"tokens_per_second": "ten", "burst_tokens": 20})",
          "tokens_per_second: expected number"},
@@ -55,62 +55,62 @@
         {kRateV1, "{", "not JSON"},
         {kRateV1, "", "not JSON"},
         {kRateV1, "[]", "expected object"},
-        {"config/rate/v3/w", kGoodV2, "newest is v2"},
+        {"config/rate/v3/w", kValidV2, "newest is v2"},
         {"config/colour/v1/w", "{}", "unknown kind"},
-        {"config/rate/one/w", kGoodV1, "expected v1"},
-        {"config/rate/v1/a b", kGoodV1, "expected a name"},
-        {"config/rate/v1", kGoodV1, "expected config/"},
+        {"config/rate/one/w", kValidV1, "expected v1"},
+        {"config/rate/v1/a b", kValidV1, "expected a name"},
+        {"config/rate/v1", kValidV1, "expected config/"},
         {"config/pool/v1/p", R"({"kind": "cloud"})", "one of"},
         {"config/service/v1/s",
          R"({"pool": "p", "class": "urgent", "routes": []})", "routes"},
     };
     for (const ParseCase& item : cases) {
-      const auto why = WhyInvalid(Version(item.key, 1, item.value));
-      const std::string text = why.value_or("");
+      const auto reason = WhyInvalid(Version(item.key, 1, item.value));
+      const std::string text = reason.value_or("");
       const std::string name =
           std::string(item.key) + " " + item.value + ": " + text;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, *item.problem != '\0',
-                                   why.has_value());
-      CPPUNIT_ASSERT_MESSAGE(name,
-                             text.find(item.problem) != std::string::npos);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, *item.expected_text != '\0',
+                                   reason.has_value());
+      CPPUNIT_ASSERT_MESSAGE(
+          name, text.find(item.expected_text) != std::string::npos);
     }
   }
 
-  // Versions of a record reach an instance in any order and by any way: by
-  // the watch, a re-read that lags, a peer, a restart. What is in force only
-  // ever gets newer, and an invalid version replaces nothing.
-  void NeverGoesBack() {
+  // Failure: an older or invalid version of a record replaces the newest valid
+  // one. The versions reach an instance in any order, since they come from the
+  // watch, a lagging re-read, a peer or a restart.
+  void KeepsTheNewestValidVersion() {
     constexpr const char* kOther =
         R"({"tokens_per_second": 10, "burst_tokens": 99})";
     const std::vector<OfferCase> cases = {
-        {"an older one comes late",
-         {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 4, kOther)},
+        {"an older version arrives late",
+         {Version(kRateV1, 5, kValidV1), Version(kRateV1, 4, kOther)},
          {RecordFate::kInForce, RecordFate::kOld},
          20},
-        {"the same one comes twice",
-         {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 5, kOther)},
+        {"a revision arrives twice",
+         {Version(kRateV1, 5, kValidV1), Version(kRateV1, 5, kOther)},
          {RecordFate::kInForce, RecordFate::kOld},
          20},
-        {"an invalid one changes nothing",
-         {Version(kRateV1, 5, kGoodV1), Version(kRateV1, 6, "{}")},
+        {"an invalid version changes nothing",
+         {Version(kRateV1, 5, kValidV1), Version(kRateV1, 6, "{}")},
          {RecordFate::kInForce, RecordFate::kRejected},
          20},
-        {"the last good one comes after the invalid one",
-         {Version(kRateV1, 6, "{}"), Version(kRateV1, 5, kGoodV1)},
+        {"the last valid version arrives after an invalid one",
+         {Version(kRateV1, 6, "{}"), Version(kRateV1, 5, kValidV1)},
          {RecordFate::kRejected, RecordFate::kInForce},
          20},
-        {"a deletion stays",
-         {Version(kRateV1, 5, kGoodV1),
+        {"an older version arrives after a deletion",
+         {Version(kRateV1, 5, kValidV1),
           {kRateV1, 7, "", true},
           Version(kRateV1, 6, kOther)},
          {RecordFate::kInForce, RecordFate::kInForce, RecordFate::kOld},
          0},
-        {"the newer schema counts",
-         {Version(kRateV2, 5, kGoodV2), Version(kRateV1, 6, kOther)},
+        {"the newer schema is in force",
+         {Version(kRateV2, 5, kValidV2), Version(kRateV1, 6, kOther)},
          {RecordFate::kInForce, RecordFate::kInForce},
          30},
-        {"a deleted newer schema does not bring the older one back",
-         {Version(kRateV1, 5, kGoodV1), {kRateV2, 6, "", true}},
+        {"a deletion in the newer schema also hides the older one",
+         {Version(kRateV1, 5, kValidV1), {kRateV2, 6, "", true}},
          {RecordFate::kInForce, RecordFate::kInForce},
          0},
     };
@@ -125,31 +125,31 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.burst,
           rate == nullptr ? 0 : rate->limit.burst_tokens);
-      // A follower that starts from this store ends in the same state.
-      RecordStore follower(WhyInvalid);
+      // A store filled from this one ends in the same state.
+      RecordStore replica(WhyInvalid);
       for (const RecordVersion& version : store.Since(0)) {
-        follower.Offer(version);
+        replica.Offer(version);
       }
-      const auto copy = BuildCatalog(9, follower.Good());
+      const auto replica_catalog = BuildCatalog(9, replica.Good());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, catalog->rates.size(),
-                                   copy->rates.size());
+                                   replica_catalog->rates.size());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, store.Rejected().size(),
-                                   follower.Rejected().size());
+                                   replica.Rejected().size());
     }
   }
 
-  void RetiredSchemasDoNotCount() {
+  void IgnoresRetiredSchemas() {
     RecordStore store(WhyInvalid);
-    store.Offer(Version(kRateV1, 5, kGoodV1));
+    store.Offer(Version(kRateV1, 5, kValidV1));
     store.Offer(
         Version("config/retirement/v1/rate", 6, R"({"retired_up_to": 1})"));
     CPPUNIT_ASSERT(BuildCatalog(6, store.Good())->rates.empty());
-    store.Offer(Version(kRateV2, 7, kGoodV2));
+    store.Offer(Version(kRateV2, 7, kValidV2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
                          BuildCatalog(7, store.Good())->rates.size());
   }
 
-  void DraftsAreCheckedWhole() {
+  void RejectsInvalidDrafts() {
     const std::vector<std::pair<const char*, const char*>> cases = {
         {"{", "expected JSON"},
         {"[]", "at least one"},
@@ -162,12 +162,12 @@
         {R"([{"kind":"rate","schema":1,"name":"w","value":null,"x":1}])",
          "record 1.x"},
     };
-    for (const auto& [text, problem] : cases) {
+    for (const auto& [text, expected_text] : cases) {
       const auto drafts = ParseDrafts(text);
       CPPUNIT_ASSERT_MESSAGE(text, !drafts.Ok());
       CPPUNIT_ASSERT_MESSAGE(
           drafts.Error().ToString(),
-          drafts.Error().detail.find(problem) != std::string::npos);
+          drafts.Error().detail.find(expected_text) != std::string::npos);
     }
   }
 };
--- a/tests/unit/unit-threads.cc
+++ b/tests/unit/unit-threads.cc
@@ -18,39 +18,41 @@
 namespace dragonflyglade {
 namespace {
 
-// The longest that anything here may take; normally it is milliseconds.
-constexpr absl::Duration kPatience = absl::Seconds(10);
+// An upper bound for waits that normally take milliseconds.
+constexpr absl::Duration kWaitLimit = absl::Seconds(10);
 
 struct OrderCase {
-  const char* what;
+  const char* description;
   std::string body;
-  bool understood;
+  bool is_valid;
 };
 
 class ThreadsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ThreadsTest);
-  CPPUNIT_TEST(AJobThatThrowsIsDoneAgain);
-  CPPUNIT_TEST(ATaskThatThrowsIsCountedAsEnded);
-  CPPUNIT_TEST(ATaskWithoutAThreadIsNotWaitedFor);
-  CPPUNIT_TEST(AnOddAnswerToAnOrderIsAFailure);
+  CPPUNIT_TEST(RunsAJobAgainAfterAnException);
+  CPPUNIT_TEST(FinishesATaskAfterAnException);
+  CPPUNIT_TEST(DoesNotWaitForATaskWithoutAThread);
+  CPPUNIT_TEST(RejectsMalformedOrderResponses);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // An exception in a round ended the process, with all that it served.
-  void AJobThatThrowsIsDoneAgain() {
-    std::atomic<int> rounds{0};
-    absl::Notification again;
+  // Failure: an exception thrown by a periodic job terminates the process and
+  // all requests that it is serving.
+  void RunsAJobAgainAfterAnException() {
+    std::atomic<int> runs{0};
+    absl::Notification second_run;
     Worker worker([&] {
-      if (++rounds == 1) throw std::runtime_error("once");
-      if (rounds == 2) again.Notify();
+      if (++runs == 1) throw std::runtime_error("once");
+      if (runs == 2) second_run.Notify();
       return absl::Milliseconds(1);
     });
     worker.Start();
-    CPPUNIT_ASSERT(again.WaitForNotificationWithTimeout(kPatience));
+    CPPUNIT_ASSERT(second_run.WaitForNotificationWithTimeout(kWaitLimit));
   }
 
-  // An exception in a task ended the process, with all that it served.
-  void ATaskThatThrowsIsCountedAsEnded() {
+  // Failure: an exception thrown by a background task terminates the process
+  // and all requests that it is serving.
+  void FinishesATaskAfterAnException() {
     std::atomic<bool> ran{false};
     {
       TaskGroup tasks;
@@ -60,40 +62,44 @@
     CPPUNIT_ASSERT(ran);
   }
 
-  // A task whose thread could not start counted as running for good.
-  void ATaskWithoutAThreadIsNotWaitedFor() {
-    constexpr std::size_t kMoreThanThereIs = std::size_t{1} << 46;
-    pthread_attr_t usual;
-    CPPUNIT_ASSERT_EQUAL(0, pthread_getattr_default_np(&usual));
-    pthread_attr_t large;
-    CPPUNIT_ASSERT_EQUAL(0, pthread_attr_init(&large));
-    CPPUNIT_ASSERT_EQUAL(0,
-                         pthread_attr_setstacksize(&large, kMoreThanThereIs));
+  // Failure: a task whose thread cannot be created is counted as running
+  // forever, so the destructor of its group never returns. The thread creation
+  // fails here because of a stack size that no machine has.
+  void DoesNotWaitForATaskWithoutAThread() {
+    constexpr std::size_t kUnavailableStackBytes = std::size_t{1} << 46;
+    pthread_attr_t default_attributes;
+    CPPUNIT_ASSERT_EQUAL(0, pthread_getattr_default_np(&default_attributes));
+    pthread_attr_t large_attributes;
+    CPPUNIT_ASSERT_EQUAL(0, pthread_attr_init(&large_attributes));
+    CPPUNIT_ASSERT_EQUAL(0, pthread_attr_setstacksize(&large_attributes,
+                                                      kUnavailableStackBytes));
     auto tasks = std::make_unique<TaskGroup>();
-    CPPUNIT_ASSERT_EQUAL(0, pthread_setattr_default_np(&large));
+    CPPUNIT_ASSERT_EQUAL(0, pthread_setattr_default_np(&large_attributes));
     bool failed = false;
     try {
       tasks->Run([] {});
     } catch (const std::system_error&) {
       failed = true;
     }
-    CPPUNIT_ASSERT_EQUAL(0, pthread_setattr_default_np(&usual));
+    CPPUNIT_ASSERT_EQUAL(0, pthread_setattr_default_np(&default_attributes));
     CPPUNIT_ASSERT(failed);
     const int running = tasks->Running();
-    // Its destructor would wait for good.
+    // If the test fails, the group is leaked: its destructor would never
+    // return.
     if (running > 0) static_cast<void>(tasks.release());
     CPPUNIT_ASSERT_EQUAL(0, running);
   }
 
-  // Fields of another type threw in the thread that gave the order.
-  void AnOddAnswerToAnOrderIsAFailure() {
+  // Failure: an order's response with fields of an unexpected type throws an
+  // exception in the thread that sent the order.
+  void RejectsMalformedOrderResponses() {
     const std::vector<OrderCase> cases = {
-        {"as it should be", R"({"boot_id": "b", "error": ""})", true},
-        {"fields left out", "{}", true},
-        {"a number for the process", R"({"boot_id": 5})", false},
-        {"an object for the error", R"({"boot_id": "b", "error": {}})", false},
-        {"no object", "[]", false},
-        {"no JSON", "?", false},
+        {"a complete response", R"({"boot_id": "b", "error": ""})", true},
+        {"omitted fields", "{}", true},
+        {"a number as boot id", R"({"boot_id": 5})", false},
+        {"an object as error", R"({"boot_id": "b", "error": {}})", false},
+        {"a list in place of an object", "[]", false},
+        {"malformed JSON", "?", false},
     };
     for (const OrderCase& item : cases) {
       HttpServer server({"127.0.0.1", 0}, 2);
@@ -106,9 +112,9 @@
       const EngineClient engine({"127.0.0.1", port.Value()}, "t",
                                 TargetCallOptions());
       const Result<OrderReply> reply = engine.Order(EngineOrder());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.understood, reply.Ok());
-      if (!item.understood) {
-        CPPUNIT_ASSERT_MESSAGE(item.what,
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, item.is_valid, reply.Ok());
+      if (!item.is_valid) {
+        CPPUNIT_ASSERT_MESSAGE(item.description,
                                reply.Error().code == Errc::kOutcomeUnknown);
       }
     }
