--- a/dragonflyglade/caller/call_context.h
+++ b/dragonflyglade/caller/call_context.h
@@ -11,16 +11,16 @@
 
 namespace dragonflyglade {
 
-/// Waits that a class of requests bears.
+/// How long a request of a class may wait.
 struct ClassLimits {
-  absl::Duration token_wait;  ///< for tokens that accrue meanwhile
-  absl::Duration place_wait;  ///< for a place at a target
+  absl::Duration token_wait;  ///< until enough quota tokens accrue
+  absl::Duration place_wait;  ///< for a reservation at a target
 };
 
-/// Limits on what callers send and how long they wait.
+/// The limits on the size of callers' requests and on their waiting times.
 struct CallerLimits {
-  std::size_t max_body = 1u << 20;
-  std::size_t max_path = 4096;
+  std::size_t max_body = 1u << 20;  ///< bytes
+  std::size_t max_path = 4096;      ///< bytes, path and query together
   std::size_t stream_events = 256;  ///< buffered for a slow caller
   ClassLimits urgent{absl::Milliseconds(500), absl::Seconds(2)};
   ClassLimits chat{absl::Milliseconds(250), absl::Seconds(5)};
@@ -29,7 +29,7 @@
   const ClassLimits& For(RequestClass request_class) const;
 };
 
-/// What is known of a request once its key was found good.
+/// The context of a request whose caller key is valid.
 struct CallContext {
   std::string request_id;
   std::string key_id;
--- a/dragonflyglade/caller/caller_request.h
+++ b/dragonflyglade/caller/caller_request.h
@@ -12,11 +12,11 @@
 
 namespace dragonflyglade {
 
-/// A request as it came from a caller.
+/// A request received from a caller. Missing header fields are empty.
 struct CallerRequest {
   std::string method;
   std::string path;   ///< decoded, without the query
-  std::string query;  ///< as it came, without '?'
+  std::string query;  ///< not decoded, without '?'
   std::string authorization;
   std::string idempotency_key;
   std::string request_class;
@@ -25,24 +25,24 @@
   std::string body;
 };
 
-/// A whole answer to a caller.
-struct WholeAnswer {
+/// A response to a caller whose body is complete.
+struct CompleteResponse {
   int status = 200;
   std::string content_type = "application/json";
   std::string body;
 };
 
-/// An answer that comes in parts.
+/// A response to a caller whose events are sent as they arrive.
 struct StreamAnswer {
   std::shared_ptr<EventStream> stream;
 };
 
-using CallerAnswer = std::variant<WholeAnswer, StreamAnswer, Refusal>;
+using CallerAnswer = std::variant<CompleteResponse, StreamAnswer, Refusal>;
 
-/// An answer with the id of its request.
+/// A response with the id of its request.
 struct CallerReply {
   std::string request_id;
-  CallerAnswer answer;
+  CallerAnswer response;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/caller_server.cc
+++ b/dragonflyglade/caller/caller_server.cc
@@ -16,23 +16,23 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr absl::Duration kStreamCommentEvery = absl::Seconds(2);
+constexpr absl::Duration kStreamCommentInterval = absl::Seconds(2);
 constexpr const char* kJson = "application/json";
 
-CallerRequest RequestOf(const httplib::Request& wire) {
+CallerRequest ToCallerRequest(const httplib::Request& library_request) {
   CallerRequest request;
-  request.method = wire.method;
-  request.path = wire.path;
-  const std::size_t question = wire.target.find('?');
-  if (question != std::string::npos) {
-    request.query = wire.target.substr(question + 1);
+  request.method = library_request.method;
+  request.path = library_request.path;
+  const std::size_t query_start = library_request.target.find('?');
+  if (query_start != std::string::npos) {
+    request.query = library_request.target.substr(query_start + 1);
   }
-  request.authorization = wire.get_header_value("Authorization");
-  request.idempotency_key = wire.get_header_value("Idempotency-Key");
-  request.request_class = wire.get_header_value("X-Request-Class");
-  request.content_type = wire.get_header_value("Content-Type");
-  request.accept = wire.get_header_value("Accept");
-  request.body = wire.body;
+  request.authorization = library_request.get_header_value("Authorization");
+  request.idempotency_key = library_request.get_header_value("Idempotency-Key");
+  request.request_class = library_request.get_header_value("X-Request-Class");
+  request.content_type = library_request.get_header_value("Content-Type");
+  request.accept = library_request.get_header_value("Accept");
+  request.body = library_request.body;
   return request;
 }
 
@@ -47,17 +47,19 @@
                       std::to_string(std::max(1, static_cast<int>(seconds))));
 }
 
-// Writes one part of a stream. False when the stream is over.
-bool WritePart(EventStream& stream, const std::string& request_id,
-               httplib::DataSink& sink) {
-  const StreamPart part = stream.Next(kStreamCommentEvery);
+// Writes the next part of a stream, or a comment if there is none in time.
+// Returns false if the connection is broken.
+bool WriteNextPart(EventStream& stream, const std::string& request_id,
+                   httplib::DataSink& sink) {
+  const StreamPart part = stream.Next(kStreamCommentInterval);
   const auto write = [&sink](const std::string& text) {
     return sink.write(text.data(), text.size());
   };
   if (const auto* data = std::get_if<StreamData>(&part)) {
     return write(SseEvent(data->text));
   }
-  // A comment now and then shows both ends that the connection lives.
+  // Comments keep the connection active, so that both ends notice when it
+  // breaks.
   if (std::holds_alternative<StreamQuiet>(part)) return write(": wait\n\n");
   if (const auto* refusal = std::get_if<Refusal>(&part)) {
     write(SseErrorEvent(RefusalBody(*refusal, request_id)));
@@ -75,10 +77,12 @@
         metrics(metrics),
         server(std::move(listen), threads) {}
 
-  void Route();
-  void Answer(const httplib::Request& wire, httplib::Response& response);
-  void AnswerStream(const std::shared_ptr<EventStream>& stream,
-                    const std::string& request_id, httplib::Response& response);
+  void SetRoutes();
+  void Respond(const httplib::Request& library_request,
+               httplib::Response& response);
+  void RespondWithStream(const std::shared_ptr<EventStream>& stream,
+                         const std::string& request_id,
+                         httplib::Response& response);
 
   RequestHandler& handler;
   const Metrics& metrics;
@@ -87,7 +91,7 @@
   std::atomic<bool> closing{false};
 };
 
-void CallerServer::Impl::AnswerStream(
+void CallerServer::Impl::RespondWithStream(
     const std::shared_ptr<EventStream>& stream, const std::string& request_id,
     httplib::Response& response) {
   ++this->active;
@@ -95,34 +99,36 @@
   response.set_chunked_content_provider(
       "text/event-stream",
       [stream, request_id](std::size_t, httplib::DataSink& sink) {
-        return WritePart(*stream, request_id, sink);
+        return WriteNextPart(*stream, request_id, sink);
       },
       [stream, this](bool) {
-        // Whether the caller read to the end or went away: nobody reads on.
+        // Called at the end of the stream and when the caller disconnects; in
+        // both cases nobody reads the stream any more.
         stream->Cancel();
         --this->active;
       });
 }
 
-void CallerServer::Impl::Answer(const httplib::Request& wire,
-                                httplib::Response& response) {
+void CallerServer::Impl::Respond(const httplib::Request& library_request,
+                                 httplib::Response& response) {
   ++this->active;
   const absl::Cleanup ended = [this] { --this->active; };
-  const CallerReply reply = this->handler.Handle(RequestOf(wire));
+  const CallerReply reply =
+      this->handler.Handle(ToCallerRequest(library_request));
   response.set_header("X-Request-Id", reply.request_id);
   if (this->closing) response.set_header("Connection", "close");
-  if (const auto* refusal = std::get_if<Refusal>(&reply.answer)) {
+  if (const auto* refusal = std::get_if<Refusal>(&reply.response)) {
     WriteRefusal(*refusal, reply.request_id, response);
-  } else if (const auto* stream = std::get_if<StreamAnswer>(&reply.answer)) {
-    this->AnswerStream(stream->stream, reply.request_id, response);
+  } else if (const auto* stream = std::get_if<StreamAnswer>(&reply.response)) {
+    this->RespondWithStream(stream->stream, reply.request_id, response);
   } else {
-    const auto& whole = std::get<WholeAnswer>(reply.answer);
-    response.status = whole.status;
-    response.set_content(whole.body, whole.content_type);
+    const auto& complete = std::get<CompleteResponse>(reply.response);
+    response.status = complete.status;
+    response.set_content(complete.body, complete.content_type);
   }
 }
 
-void CallerServer::Impl::Route() {
+void CallerServer::Impl::SetRoutes() {
   httplib::Server& http = this->server.Library();
   http.set_payload_max_length(this->handler.Limits().max_body);
   http.Get("/healthz", [](const httplib::Request&, httplib::Response& r) {
@@ -143,16 +149,16 @@
   http.Get("/metrics", [this](const httplib::Request&, httplib::Response& r) {
     r.set_content(this->metrics.Text(), "text/plain; version=0.0.4");
   });
-  const auto answer = [this](const httplib::Request& wire,
-                             httplib::Response& response) {
-    this->Answer(wire, response);
+  const auto respond = [this](const httplib::Request& library_request,
+                              httplib::Response& response) {
+    this->Respond(library_request, response);
   };
-  http.Get(".*", answer);
-  http.Post(".*", answer);
-  http.Put(".*", answer);
-  http.Patch(".*", answer);
-  http.Delete(".*", answer);
-  // The library answers what it cannot parse without a body.
+  http.Get(".*", respond);
+  http.Post(".*", respond);
+  http.Put(".*", respond);
+  http.Patch(".*", respond);
+  http.Delete(".*", respond);
+  // The library responds to a malformed request without a body.
   http.set_error_handler([](const httplib::Request&,
                             httplib::Response& response) {
     if (!response.body.empty()) return;
@@ -167,9 +173,9 @@
   });
   http.set_exception_handler([](const httplib::Request&,
                                 httplib::Response& response,
-                                std::exception_ptr problem) {
+                                std::exception_ptr exception) {
     try {
-      std::rethrow_exception(std::move(problem));
+      std::rethrow_exception(std::move(exception));
     } catch (const std::exception& error) {
       LogFor(LogPart::kCaller).error("Request failed: {}.", error.what());
     }
@@ -182,7 +188,7 @@
                            const Metrics& metrics, int threads)
     : impl(std::make_unique<Impl>(std::move(listen), handler, metrics,
                                   threads)) {
-  this->impl->Route();
+  this->impl->SetRoutes();
 }
 
 CallerServer::~CallerServer() { this->Stop(); }
--- a/dragonflyglade/caller/caller_server.h
+++ b/dragonflyglade/caller/caller_server.h
@@ -8,25 +8,26 @@
 
 namespace dragonflyglade {
 
-/// The HTTP server towards callers.
+/// The HTTP server for callers.
 class CallerServer {
  public:
-  /// @param threads the most connections that are served at once
+  /// @param threads the number of connections that can be served at once
   CallerServer(Endpoint listen, RequestHandler& handler, const Metrics& metrics,
                int threads);
   ~CallerServer();
 
-  /// Binds and begins to answer.
-  /// @return the port, which the system chose if the settings say 0
+  /// Binds the address and starts to serve requests.
+  /// @return the port, which the system chose if the given one is 0
+  /// Errors: kUnavailable if the address cannot be bound.
   Result<int> Start();
 
-  /// Takes no new connections; those open are asked to close.
+  /// Makes every response from now on ask the caller to close its connection.
   void CloseIdle();
 
-  /// Stops once the requests under way have their answers.
+  /// Stops accepting connections and waits for the requests in progress.
   void Stop();
 
-  /// Requests and streams under way.
+  /// The number of requests and streams in progress.
   int Active() const;
 
  private:
--- a/dragonflyglade/caller/completion_request.cc
+++ b/dragonflyglade/caller/completion_request.cc
@@ -15,10 +15,10 @@
 
 constexpr double kBytesPerToken = 4.0;
 constexpr std::size_t kPrefixBytes = 256;
-constexpr std::int64_t kMostOutputTokens = 1'000'000;
-constexpr int kDeepestJson = 64;
+constexpr std::int64_t kMaxOutputTokens = 1'000'000;
+constexpr int kMaxJsonDepth = 64;
 
-Refusal Bad(std::string message) {
+Refusal BadRequest(std::string message) {
   return Refusal{RefusalCode::kBadRequest, std::move(message)};
 }
 
@@ -27,56 +27,58 @@
                  fmt::format("there is no model '{}' here", name)};
 }
 
-// A body of brackets only would overflow the stack of a recursive reader of
-// the parsed tree; real requests are a few levels deep.
-json ParseBounded(std::string_view body) {
+// Parses JSON of limited depth. A body that consists of brackets only would
+// overflow the stack of code that walks the parsed tree recursively; normal
+// requests are a few levels deep.
+json ParseWithDepthLimit(std::string_view body) {
   bool too_deep = false;
   const auto callback = [&](int depth, json::parse_event_t, json&) {
-    too_deep = too_deep || depth > kDeepestJson;
+    too_deep = too_deep || depth > kMaxJsonDepth;
     return !too_deep;
   };
   json document = json::parse(body, callback, false);
   return too_deep ? json(json::value_t::discarded) : document;
 }
 
-// The text of the prompt or of all messages, one after the other.
-std::variant<std::string, Refusal> PromptOf(const json& document,
-                                            bool is_chat) {
+// The text of the prompt, or of all messages one after the other.
+std::variant<std::string, Refusal> ParsePrompt(const json& document,
+                                               bool is_chat) {
   if (!is_chat) {
     const auto prompt = document.find("prompt");
     if (prompt == document.end() || !prompt->is_string()) {
-      return Bad("prompt: expected a string");
+      return BadRequest("prompt: expected a string");
     }
     return prompt->get<std::string>();
   }
   const auto messages = document.find("messages");
   if (messages == document.end() || !messages->is_array() ||
       messages->empty()) {
-    return Bad("messages: expected a list with at least one message");
+    return BadRequest("messages: expected a list with at least one message");
   }
   std::string text;
   for (const json& message : *messages) {
     if (!message.is_object() || !message.contains("content") ||
         !message.at("content").is_string()) {
-      return Bad("messages: expected objects with role and content strings");
+      return BadRequest(
+          "messages: expected objects with role and content strings");
     }
     text += message.at("content").get<std::string>() + "\n";
   }
   return text;
 }
 
-std::variant<double, Refusal> MaxTokensOf(const json& document,
-                                          const ModelRecord& model) {
+std::variant<double, Refusal> ParseMaxTokens(const json& document,
+                                             const ModelRecord& model) {
   const auto limit = document.find("max_tokens");
   if (limit == document.end() || limit->is_null()) {
     return static_cast<double>(model.max_output_tokens);
   }
   if (!limit->is_number_integer())
-    return Bad("max_tokens: expected an integer");
+    return BadRequest("max_tokens: expected an integer");
   const auto tokens = limit->get<std::int64_t>();
-  if (tokens < 1 || tokens > kMostOutputTokens) {
-    return Bad(fmt::format("max_tokens: expected 1 to {}, found {}",
-                           kMostOutputTokens, limit->dump()));
+  if (tokens < 1 || tokens > kMaxOutputTokens) {
+    return BadRequest(fmt::format("max_tokens: expected 1 to {}, found {}",
+                                  kMaxOutputTokens, limit->dump()));
   }
   return static_cast<double>(tokens);
 }
@@ -92,11 +94,11 @@
 std::variant<CompletionRequest, Refusal> ParseCompletion(
     std::string_view path, std::string_view body, const Catalog& catalog,
     std::string_view workspace, RequestClass request_class) {
-  const json document = ParseBounded(body);
-  if (!document.is_object()) return Bad("body: expected a JSON object");
+  const json document = ParseWithDepthLimit(body);
+  if (!document.is_object()) return BadRequest("body: expected a JSON object");
   const auto name = document.find("model");
   if (name == document.end() || !name->is_string()) {
-    return Bad("model: expected a string");
+    return BadRequest("model: expected a string");
   }
   CompletionRequest request;
   request.model = name->get<std::string>();
@@ -113,30 +115,31 @@
   request.pool = model->pool;
 
   const bool is_chat = path == kChatPath;
-  auto prompt = PromptOf(document, is_chat);
+  auto prompt = ParsePrompt(document, is_chat);
   if (auto* refusal = std::get_if<Refusal>(&prompt)) return *refusal;
   const std::string& text = std::get<std::string>(prompt);
   request.prompt_tokens = 1 + static_cast<double>(text.size()) / kBytesPerToken;
   request.prefix = StableHash(text.substr(0, kPrefixBytes));
 
-  const auto max_tokens = MaxTokensOf(document, *model);
+  const auto max_tokens = ParseMaxTokens(document, *model);
   if (const auto* refusal = std::get_if<Refusal>(&max_tokens)) return *refusal;
   request.max_tokens = std::get<double>(max_tokens);
 
   const auto stream = document.find("stream");
   if (stream != document.end() && !stream->is_boolean()) {
-    return Bad("stream: expected true or false");
+    return BadRequest("stream: expected true or false");
   }
   request.stream = stream != document.end() && stream->get<bool>();
-  // The engine is always read as a stream: a whole answer is put together
-  // here, so that a broken one is noticed and can be taken up.
-  json sent = document;
-  sent["stream"] = true;
-  // Engines serve the lower number first; what a caller asks for itself does
-  // not count.
-  sent["priority"] = static_cast<int>(request_class);
-  sent["max_tokens"] = static_cast<std::int64_t>(request.max_tokens);
-  request.body = sent.dump(-1, ' ', false, json::error_handler_t::replace);
+  // The engine always responds with a stream. A complete response is assembled
+  // from it here, so that a broken stream is noticed and can be resumed.
+  json engine_body = document;
+  engine_body["stream"] = true;
+  // Engines serve lower numbers first. A priority that the caller sets is
+  // replaced.
+  engine_body["priority"] = static_cast<int>(request_class);
+  engine_body["max_tokens"] = static_cast<std::int64_t>(request.max_tokens);
+  request.body =
+      engine_body.dump(-1, ' ', false, json::error_handler_t::replace);
   return request;
 }
 
--- a/dragonflyglade/caller/completion_request.h
+++ b/dragonflyglade/caller/completion_request.h
@@ -12,23 +12,24 @@
 
 namespace dragonflyglade {
 
-/// What a completion asks for, checked against the configuration.
+/// A completion request that was validated against the configuration.
 struct CompletionRequest {
   std::string model;    ///< the base model
   std::string adapter;  ///< empty for none
   std::string pool;
-  std::string body;  ///< the JSON to send on
+  std::string body;  ///< the JSON to send to the engine
   bool stream = false;
   double prompt_tokens = 0;  ///< estimated
   double max_tokens = 0;
   std::uint64_t prefix = 0;  ///< hash of the prompt's beginning
 
+  /// The largest number of tokens that the request can use.
   double Cost() const { return this->prompt_tokens + this->max_tokens; }
 };
 
-/// Reads a completion's JSON body.
+/// Parses a completion's JSON body.
 /// @param path "/v1/completions" or "/v1/chat/completions"
-/// @param request_class becomes the priority that engines honour
+/// @param request_class determines the priority that engines give to it
 /// Errors: bad_request for malformed input, not_found for unknown models and
 /// models that the workspace may not use.
 std::variant<CompletionRequest, Refusal> ParseCompletion(
--- a/dragonflyglade/caller/completion_runner.cc
+++ b/dragonflyglade/caller/completion_runner.cc
@@ -17,16 +17,16 @@
 
 using nlohmann::json;
 
-constexpr int kMostAttempts = 3;
-constexpr int kMostResumes = 2;
+constexpr int kMaxAttempts = 3;
+constexpr int kMaxResumes = 2;
 constexpr int kHttpOk = 200;
 constexpr int kHttpNotFound = 404;
 constexpr int kHttpTooManyRequests = 429;
 constexpr int kHttpServerError = 500;
-constexpr std::size_t kLongestErrorBody = 64u << 10;
+constexpr std::size_t kMaxErrorBodyBytes = 64u << 10;
 
-// The text that one event adds, of either completion or chat form.
-std::string TextOf(const json& event) {
+// The text in one event of a completion or a chat completion.
+std::string EventText(const json& event) {
   const auto choices = event.find("choices");
   if (choices == event.end() || !choices->is_array() || choices->empty()) {
     return {};
@@ -43,16 +43,18 @@
   return delta.at("content").get<std::string>();
 }
 
-// The model as an event names it, which may be in more detail than asked for.
-std::string ModelOf(const json& event, const std::string& otherwise) {
+// The model that an event names, which may be more specific than the requested
+// one.
+std::string EventModel(const json& event, const std::string& fallback) {
   const auto model = event.find("model");
   const bool named = model != event.end() && model->is_string();
-  return named ? model->get<std::string>() : otherwise;
+  return named ? model->get<std::string>() : fallback;
 }
 
 }  // namespace
 
-// One request on its way, shared by the caller's thread and the reader's.
+// A request in progress, shared by the thread that serves the caller and the
+// one that reads from the target.
 struct CompletionRunner::Job {
   CallContext context;
   std::string path;
@@ -61,25 +63,25 @@
   std::shared_ptr<EventStream> stream;
   std::optional<StreamRegistry::Entry> entry;
   Instant started;
-  Instant place_deadline;
+  Instant reservation_deadline;
   std::set<std::string> failed_targets;
-  int delivered = 0;  ///< events passed on
-  bool first_seen = false;
+  int delivered_events = 0;  ///< passed on to the caller
+  bool first_event_seen = false;
 };
 
-// One try at one target.
+// An attempt to run a request at one target.
 struct CompletionRunner::Attempt {
-  Attempt(TargetPlace place, EngineClient engine)
-      : place(std::move(place)), engine(std::move(engine)) {}
+  Attempt(TargetPlace reservation, EngineClient engine)
+      : reservation(std::move(reservation)), engine(std::move(engine)) {}
 
-  TargetPlace place;
+  TargetPlace reservation;
   EngineClient engine;
   int status = 0;
   std::string echoed_id;
   std::string error_body;
   SseReader reader;
   bool complete = false;
-  bool caller_gone = false;
+  bool caller_disconnected = false;
   std::optional<Failure> failure;
 };
 
@@ -110,24 +112,24 @@
   job->context = context;
   job->path = request.path;
   job->request = std::get<CompletionRequest>(std::move(parsed));
-  const ClassLimits& waits = this->limits.For(context.request_class);
+  const ClassLimits& class_limits = this->limits.For(context.request_class);
   auto admitted = this->gate.Admit(context.workspace, job->request.Cost(),
-                                   waits.token_wait);
+                                   class_limits.token_wait);
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
   job->admission = std::get<Admission>(std::move(admitted));
   job->started = this->clock.Now();
-  job->place_deadline = job->started + waits.place_wait;
+  job->reservation_deadline = job->started + class_limits.place_wait;
   job->stream = std::make_shared<EventStream>(this->limits.stream_events);
-  // The registry must not keep the stream alive after its end.
-  std::weak_ptr<EventStream> weak = job->stream;
-  job->entry.emplace(this->registry, context.key_id, [weak] {
-    if (const auto stream = weak.lock()) {
+  // A weak pointer, so that the registry does not keep an ended stream alive.
+  std::weak_ptr<EventStream> weak_stream = job->stream;
+  job->entry.emplace(this->registry, context.key_id, [weak_stream] {
+    if (const auto stream = weak_stream.lock()) {
       stream->Fail(Refusal{RefusalCode::kStreamEnded, "the key was withdrawn"});
       stream->Cancel();
     }
   });
-  // The key may have been withdrawn between its check and the line above;
-  // nobody else would end this call then.
+  // The key may have been withdrawn between its check and the registration
+  // above; in that case nothing else would end this call.
   const std::shared_ptr<const Catalog> newest = this->catalog.Get();
   const KeyRecord* key = FindRecord(newest->keys, context.key_id);
   if (key == nullptr || key->withdrawn) {
@@ -136,24 +138,26 @@
   }
   this->demand.Add(job->request.model, job->request.Cost());
   this->retries.RequestMade();
-  this->tasks.Run([this, job] { this->Produce(*job); });
-  if (!job->request.stream) return this->Collect(*job);
+  this->tasks.Run([this, job] { this->RunJob(*job); });
+  if (!job->request.stream) return this->CollectResponse(*job);
   if (std::optional<Refusal> failure = job->stream->WaitForStart()) {
     return *failure;
   }
   return StreamAnswer{job->stream};
 }
 
-void CompletionRunner::Produce(Job& job) {
-  // Also after an exception: the caller waits for the stream's end. A stream
-  // that has ended takes no failure.
+void CompletionRunner::RunJob(Job& job) {
+  // Runs after an exception as well, since the caller waits for the end of the
+  // stream. Fail has no effect on a stream that has ended.
   const absl::Cleanup end = [this, &job] {
     job.stream->Fail(
         Refusal{RefusalCode::kInternal, "the request failed here"});
-    // An engine may stop early; what it did not generate is given back.
-    this->gate.Settle(
-        job.admission,
-        job.delivered == 0 ? 0 : job.request.prompt_tokens + job.delivered);
+    // An engine may generate fewer tokens than the request allows; the rest is
+    // refunded.
+    this->gate.Settle(job.admission,
+                      job.delivered_events == 0
+                          ? 0
+                          : job.request.prompt_tokens + job.delivered_events);
   };
   this->TryTargets(job);
   this->metrics.Observe(
@@ -162,7 +166,7 @@
       absl::ToDoubleSeconds(this->clock.Now() - job.started));
 }
 
-std::variant<TargetPlace, Refusal> CompletionRunner::FindPlace(Job& job) {
+std::variant<TargetPlace, Refusal> CompletionRunner::Reserve(Job& job) {
   TargetNeed need;
   need.pool = job.request.pool;
   need.model = job.request.model;
@@ -174,43 +178,48 @@
   return WaitForPlace(
       this->dispatcher, need,
       PlaceRequest{job.context.workspace, job.context.request_class,
-                   job.place_deadline, job.request.model});
+                   job.reservation_deadline, job.request.model});
 }
 
 void CompletionRunner::TryTargets(Job& job) {
-  for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
-    auto place = this->FindPlace(job);
-    if (auto* refusal = std::get_if<Refusal>(&place)) {
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    auto reservation = this->Reserve(job);
+    if (auto* refusal = std::get_if<Refusal>(&reservation)) {
       job.stream->Fail(*refusal);
       return;
     }
-    if (this->AttemptOnce(job, std::get<TargetPlace>(place))) return;
-    job.failed_targets.insert(std::get<TargetPlace>(place).target);
+    if (this->RunAttempt(job, std::get<TargetPlace>(reservation))) return;
+    job.failed_targets.insert(std::get<TargetPlace>(reservation).target);
   }
   job.stream->Fail(
       Refusal{RefusalCode::kTargetLost, "several targets failed this request"});
 }
 
-// True when the request has its final answer.
-bool CompletionRunner::AttemptOnce(Job& job, const TargetPlace& place) {
-  Attempt attempt(place, EngineClient(Endpoint{place.address, place.port},
-                                      place.target, this->call_options));
+// Returns true if the request has its final result, false if it is to be
+// retried at another target.
+bool CompletionRunner::RunAttempt(Job& job, const TargetPlace& reservation) {
+  Attempt attempt(reservation,
+                  EngineClient(Endpoint{reservation.address, reservation.port},
+                               reservation.target, this->call_options));
   EngineRequest request{job.path, job.request.body, job.context.request_id};
   PlaceOutcome outcome = PlaceOutcome::kNeutral;
-  absl::Cleanup release = [&] { this->dispatcher.Release(place, outcome); };
-  this->ReadFrom(job, attempt, EngineClient::RequestFor(request));
-  for (int i = 0; i < kMostResumes && this->Resume(job, attempt); ++i) {
+  absl::Cleanup release = [&] {
+    this->dispatcher.Release(reservation, outcome);
+  };
+  this->ReadStream(job, attempt, EngineClient::RequestFor(request));
+  for (int i = 0; i < kMaxResumes && this->Resume(job, attempt); ++i) {
   }
-  outcome = this->Judge(job, attempt);
+  outcome = this->OutcomeOf(job, attempt);
   std::move(release).Invoke();
   if (attempt.complete) {
-    this->targets.NotePrefix(place.pool, place.target, job.request.prefix);
+    this->targets.NotePrefix(reservation.pool, reservation.target,
+                             job.request.prefix);
     job.stream->Finish();
     return true;
   }
-  if (attempt.caller_gone || job.stream->Cancelled()) return true;
+  if (attempt.caller_disconnected || job.stream->Cancelled()) return true;
   if (this->MayRetry(job, attempt)) return false;
-  if (job.delivered > 0) {
+  if (job.delivered_events > 0) {
     job.stream->Fail(Refusal{RefusalCode::kStreamEnded,
                              "the stream broke off and could not be resumed"});
   } else if (attempt.failure.has_value()) {
@@ -225,8 +234,8 @@
   return true;
 }
 
-void CompletionRunner::ReadFrom(Job& job, Attempt& attempt,
-                                const HttpRequest& request) {
+void CompletionRunner::ReadStream(Job& job, Attempt& attempt,
+                                  const HttpRequest& request) {
   const std::shared_ptr<HttpCall> call = attempt.engine.NewCall();
   job.stream->OnCancel([call] { call->Cancel(); });
   attempt.failure.reset();
@@ -240,29 +249,30 @@
     if (data == kStreamEndMarker) {
       attempt.complete = true;
     } else {
-      ++job.delivered;
+      ++job.delivered_events;
     }
-    if (!job.first_seen) {
-      job.first_seen = true;
+    if (!job.first_event_seen) {
+      job.first_event_seen = true;
       this->metrics.Observe(
           "dragonflyglade_first_token_seconds",
           fmt::format("class=\"{}\"", NameOf(job.context.request_class)),
           absl::ToDoubleSeconds(this->clock.Now() - job.started));
     }
     if (job.stream->Push(data)) return true;
-    attempt.caller_gone = true;
+    attempt.caller_disconnected = true;
     return false;
   };
   const auto on_data = [&](std::string_view data) {
-    // Failure: a target mixes up two connections, and one workspace reads
-    // another's letter. The echoed id tells whose answer it is; where it is
-    // another's, nothing of it is passed on.
-    const bool is_own = attempt.echoed_id.empty() ||
-                        attempt.echoed_id == job.context.request_id;
-    if (!is_own) return false;
+    // Failure: a target mixes up two connections, so that a workspace receives
+    // the response to another workspace's request. The echoed request id shows
+    // which request the response belongs to; nothing of another request's
+    // response is passed on.
+    const bool is_own_response = attempt.echoed_id.empty() ||
+                                 attempt.echoed_id == job.context.request_id;
+    if (!is_own_response) return false;
     if (attempt.status != kHttpOk) {
       attempt.error_body.append(data);
-      return attempt.error_body.size() < kLongestErrorBody;
+      return attempt.error_body.size() < kMaxErrorBodyBytes;
     }
     for (const std::string& event : attempt.reader.Feed(data)) {
       if (attempt.complete) return false;
@@ -278,38 +288,40 @@
   } else if (attempt.status == kHttpOk) {
     attempt.failure =
         MakeFailure(Errc::kTruncated, "read stream",
-                    "target " + attempt.place.target, "no end marker");
+                    "target " + attempt.reservation.target, "no end marker");
   }
-  if (attempt.failure.has_value() && !attempt.caller_gone &&
+  if (attempt.failure.has_value() && !attempt.caller_disconnected &&
       !job.stream->Cancelled()) {
     LogFor(LogPart::kTarget).warn("{}.", attempt.failure->ToString());
   }
 }
 
-// Takes a broken stream up where it stopped. False when that is not possible
-// or not needed.
+// Resumes a broken stream where it stopped. Returns true if the resumed stream
+// broke as well and may be resumed again.
 bool CompletionRunner::Resume(Job& job, Attempt& attempt) {
-  if (attempt.complete || attempt.caller_gone || job.delivered == 0) {
+  if (attempt.complete || attempt.caller_disconnected ||
+      job.delivered_events == 0) {
     return false;
   }
   if (job.stream->Cancelled() || !attempt.failure.has_value()) return false;
-  const int before = job.delivered;
-  this->ReadFrom(job, attempt,
-                 EngineClient::ResumeFor(job.context.request_id, before));
+  const int events_before = job.delivered_events;
+  this->ReadStream(
+      job, attempt,
+      EngineClient::ResumeFor(job.context.request_id, events_before));
   if (attempt.complete) {
     this->metrics.Count("dragonflyglade_streams_resumed_total");
   }
   return !attempt.complete && attempt.status == kHttpOk;
 }
 
-PlaceOutcome CompletionRunner::Judge(Job& job, const Attempt& attempt) {
+PlaceOutcome CompletionRunner::OutcomeOf(Job& job, const Attempt& attempt) {
   if (attempt.complete) return PlaceOutcome::kGood;
-  if (attempt.caller_gone || job.stream->Cancelled()) {
+  if (attempt.caller_disconnected || job.stream->Cancelled()) {
     return PlaceOutcome::kNeutral;
   }
   if (attempt.failure.has_value()) {
     if (attempt.failure->code == Errc::kConnectFailed) {
-      // A target that refuses connections is on its way out or gone.
+      // A target that refuses connections is shutting down or has terminated.
       this->metrics.Count("dragonflyglade_target_connect_failures_total");
     }
     return PlaceOutcome::kTargetFault;
@@ -319,7 +331,7 @@
 }
 
 bool CompletionRunner::MayRetry(const Job& job, const Attempt& attempt) {
-  if (job.delivered > 0) return false;
+  if (job.delivered_events > 0) return false;
   const bool certainly_not_run = attempt.failure.has_value() &&
                                  attempt.failure->code == Errc::kConnectFailed;
   if (certainly_not_run) return true;
@@ -331,8 +343,8 @@
   return true;
 }
 
-// Puts a whole answer together from the stream.
-CallerAnswer CompletionRunner::Collect(Job& job) {
+// Assembles a complete response from the stream.
+CallerAnswer CompletionRunner::CollectResponse(Job& job) {
   const bool is_chat = job.path == kChatPath;
   std::string text;
   json last = json::object();
@@ -349,28 +361,28 @@
         return Refusal{RefusalCode::kAnswerTruncated,
                        "the target sent an event that is not JSON"};
       }
-      text += TextOf(last);
+      text += EventText(last);
     }
   }
   if (job.stream->Cancelled()) {
     return Refusal{RefusalCode::kStreamEnded, "the call was ended early"};
   }
-  json answer = {{"id", job.context.request_id},
-                 {"model", ModelOf(last, job.request.model)},
-                 {"object", is_chat ? "chat.completion" : "text_completion"}};
+  json response = {{"id", job.context.request_id},
+                   {"model", EventModel(last, job.request.model)},
+                   {"object", is_chat ? "chat.completion" : "text_completion"}};
   json choice = {{"index", 0}, {"finish_reason", finish_reason}};
   if (is_chat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
   } else {
     choice["text"] = text;
   }
-  answer["choices"] = json::array({choice});
-  answer["usage"] = {
+  response["choices"] = json::array({choice});
+  response["usage"] = {
       {"prompt_tokens", static_cast<int>(job.request.prompt_tokens)},
-      {"completion_tokens", job.delivered}};
-  WholeAnswer whole;
-  whole.body = answer.dump(-1, ' ', false, json::error_handler_t::replace);
-  return whole;
+      {"completion_tokens", job.delivered_events}};
+  CompleteResponse complete;
+  complete.body = response.dump(-1, ' ', false, json::error_handler_t::replace);
+  return complete;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/completion_runner.h
+++ b/dragonflyglade/caller/completion_runner.h
@@ -20,11 +20,11 @@
 
 namespace dragonflyglade {
 
-/// Runs completions at model engines, whole or as streams.
+/// Runs completions at model engines and returns complete responses or streams.
 ///
-/// A completion changes nothing at the engine, so it may be tried again as
-/// long as the caller has seen none of it; after that a broken stream is
-/// taken up where it stopped, or ended with an explicit error event.
+/// A completion changes nothing at the engine, so it may be retried as long as
+/// the caller has received no part of the response. After that a broken stream
+/// is resumed where it stopped, or ended with an explicit error event.
 class CompletionRunner {
  public:
   CompletionRunner(AdmissionGate& gate, Dispatcher& dispatcher,
@@ -34,25 +34,25 @@
                    TargetCallOptions call_options, std::string_view zone,
                    Clock clock);
 
-  /// Answers a completion request whose key is good.
+  /// Handles a completion request whose key is valid.
   CallerAnswer Run(const CallContext& context, const CallerRequest& request);
 
-  /// Streams and calls under way.
+  /// The number of unfinished completions.
   int Running() const { return this->tasks.Running(); }
 
  private:
   struct Job;
   struct Attempt;
 
-  void Produce(Job& job);
+  void RunJob(Job& job);
   void TryTargets(Job& job);
-  bool AttemptOnce(Job& job, const TargetPlace& place);
-  void ReadFrom(Job& job, Attempt& attempt, const HttpRequest& request);
+  bool RunAttempt(Job& job, const TargetPlace& reservation);
+  void ReadStream(Job& job, Attempt& attempt, const HttpRequest& request);
   bool Resume(Job& job, Attempt& attempt);
-  PlaceOutcome Judge(Job& job, const Attempt& attempt);
+  PlaceOutcome OutcomeOf(Job& job, const Attempt& attempt);
   bool MayRetry(const Job& job, const Attempt& attempt);
-  std::variant<TargetPlace, Refusal> FindPlace(Job& job);
-  CallerAnswer Collect(Job& job);
+  std::variant<TargetPlace, Refusal> Reserve(Job& job);
+  CallerAnswer CollectResponse(Job& job);
 
   AdmissionGate& gate;
   Dispatcher& dispatcher;
--- a/dragonflyglade/caller/event_stream.cc
+++ b/dragonflyglade/caller/event_stream.cc
@@ -58,12 +58,12 @@
   return this->cancelled;
 }
 
-StreamPart EventStream::Next(absl::Duration limit) {
+StreamPart EventStream::Next(absl::Duration time_limit) {
   absl::MutexLock lock(&this->mutex);
   const auto has_part = [this]() ABSL_SHARED_LOCKS_REQUIRED(mutex) {
     return !this->events.empty() || this->Ended();
   };
-  this->mutex.AwaitWithTimeout(absl::Condition(&has_part), limit);
+  this->mutex.AwaitWithTimeout(absl::Condition(&has_part), time_limit);
   if (!this->events.empty()) {
     StreamData data{std::move(this->events.front())};
     this->events.pop_front();
--- a/dragonflyglade/caller/event_stream.h
+++ b/dragonflyglade/caller/event_stream.h
@@ -14,44 +14,48 @@
 
 namespace dragonflyglade {
 
-/// One event for the caller.
+/// The data of one event.
 struct StreamData {
   std::string text;
 };
-/// The stream ended whole.
+/// The stream ended, without a failure.
 struct StreamDone {};
-/// Nothing came in time.
+/// No event arrived within the time limit.
 struct StreamQuiet {};
 using StreamPart = std::variant<StreamData, StreamDone, StreamQuiet, Refusal>;
 
-/// Carries a stream's events from the thread that reads a target to the one
-/// that writes to the caller. Bounded: a slow caller slows its own reader.
+/// A bounded queue of events from the thread that reads a target's response to
+/// the thread that writes to the caller. The reading thread blocks while the
+/// queue is full, so a slow caller slows down only its own target connection.
 /// Thread-safe.
 class EventStream {
  public:
+  /// @param limit the number of buffered events
   explicit EventStream(std::size_t limit);
 
-  /// Adds an event; waits while the stream is full. False once cancelled.
+  /// Adds an event; blocks while the stream is full.
+  /// @return false if the stream has ended
   bool Push(std::string text);
 
-  /// Ends the stream whole.
+  /// Ends the stream successfully.
   void Finish();
 
-  /// Ends the stream with a failure that the caller is told of.
+  /// Ends the stream with a failure, unless it has ended already.
   void Fail(Refusal refusal);
 
-  /// The reader has no more use for the stream, or a writer ends it early.
+  /// Ends the stream early, from either side.
   void Cancel();
 
-  /// What to do when the stream is cancelled; done at once if it is already.
+  /// Sets the action to run when the stream is cancelled. It runs immediately
+  /// if the stream is cancelled already.
   void OnCancel(std::function<void()> action);
 
   bool Cancelled() const;
 
-  /// Waits for the next part, and takes it.
-  StreamPart Next(absl::Duration limit);
+  /// Waits for the next part and removes it.
+  StreamPart Next(absl::Duration time_limit);
 
-  /// Waits until there is an event or an end, without taking it.
+  /// Waits for the first event or the end, without removing it.
   /// @return the failure, if the stream failed before its first event
   std::optional<Refusal> WaitForStart();
 
--- a/dragonflyglade/caller/instance_answer.cc
+++ b/dragonflyglade/caller/instance_answer.cc
@@ -10,13 +10,13 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostChoices = 8;
-constexpr double kFullLoad = 1000.0;
-constexpr double kLeastWeight = 0.05;
-constexpr double kZoneFactor = 2.0;
-constexpr double kHolderFactor = 2.0;
-constexpr double kModelFactor = 1.5;
-constexpr std::size_t kModelHomes = 3;
+constexpr std::size_t kMaxChoices = 8;
+constexpr double kFullLoadPermille = 1000.0;
+constexpr double kMinWeight = 0.05;
+constexpr double kSameZoneFactor = 2.0;
+constexpr double kShareOwnerFactor = 2.0;
+constexpr double kModelOwnerFactor = 1.5;
+constexpr std::size_t kOwnersPerModel = 3;
 
 bool Contains(absl::Span<const std::string> names, std::string_view name) {
   return std::find(names.begin(), names.end(), name) != names.end();
@@ -25,29 +25,29 @@
 }  // namespace
 
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& question,
-    absl::Span<const std::string> share_holders) {
-  std::vector<const MemberStatement*> usable;
+    absl::Span<const MemberStatement> members, const InstanceQuestion& query,
+    absl::Span<const std::string> share_owners) {
+  std::vector<const MemberStatement*> usable_members;
   std::vector<std::string> names;
   for (const MemberStatement& member : members) {
     const bool heard = member.incarnation != 0;
     if (!heard || member.leaving || member.state != MemberState::kAlive) {
       continue;
     }
-    usable.push_back(&member);
+    usable_members.push_back(&member);
     names.push_back(member.info.name);
   }
-  std::vector<std::string> homes;
-  if (!question.model.empty()) {
-    homes = RendezvousOwners(question.model, names, kModelHomes);
+  std::vector<std::string> model_owners;
+  if (!query.model.empty()) {
+    model_owners = RendezvousOwners(query.model, names, kOwnersPerModel);
   }
   std::vector<InstanceChoice> choices;
-  for (const MemberStatement* member : usable) {
+  for (const MemberStatement* member : usable_members) {
     double weight =
-        std::max(kLeastWeight, 1.0 - member->load_permille / kFullLoad);
-    if (member->info.zone == question.zone) weight *= kZoneFactor;
-    if (Contains(share_holders, member->info.name)) weight *= kHolderFactor;
-    if (Contains(homes, member->info.name)) weight *= kModelFactor;
+        std::max(kMinWeight, 1.0 - member->load_permille / kFullLoadPermille);
+    if (member->info.zone == query.zone) weight *= kSameZoneFactor;
+    if (Contains(share_owners, member->info.name)) weight *= kShareOwnerFactor;
+    if (Contains(model_owners, member->info.name)) weight *= kModelOwnerFactor;
     choices.push_back(InstanceChoice{member->info.name, member->info.address,
                                      member->info.caller_port,
                                      member->info.zone, weight});
@@ -56,7 +56,7 @@
             [](const InstanceChoice& a, const InstanceChoice& b) {
               return a.weight > b.weight;
             });
-  if (choices.size() > kMostChoices) choices.resize(kMostChoices);
+  if (choices.size() > kMaxChoices) choices.resize(kMaxChoices);
   double total = 0;
   for (const InstanceChoice& choice : choices) total += choice.weight;
   for (InstanceChoice& choice : choices) choice.weight /= total;
@@ -73,9 +73,9 @@
                     {"availability_zone", choice.zone},
                     {"weight", choice.weight}});
   }
-  const json answer = {{"instances", list},
-                       {"keep_seconds", absl::ToInt64Seconds(keep)}};
-  return answer.dump();
+  const json response = {{"instances", list},
+                         {"keep_seconds", absl::ToInt64Seconds(keep)}};
+  return response.dump();
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/instance_answer.h
+++ b/dragonflyglade/caller/instance_answer.h
@@ -12,32 +12,34 @@
 
 namespace dragonflyglade {
 
-/// One instance that a caller should use.
+/// An instance that a caller should connect to.
 struct InstanceChoice {
   std::string name;
   std::string address;
   int port = 0;
   std::string zone;
-  double weight = 0;  ///< share of new connections
+  double weight = 0;  ///< the fraction of new connections to send there
 };
 
-/// What a caller asks by: its availability zone, model and workspace.
+/// The parameters of a caller's query for instances; each may be empty.
 struct InstanceQuestion {
   std::string zone;
   std::string model;
   std::string workspace;
 };
 
-/// Chooses which instances a caller should use.
+/// Chooses the instances that a caller should connect to.
 ///
-/// Live ones that are not leaving; weighted by free capacity, by being in the
-/// caller's zone, and by holding a share of its workspace's rate, which saves
-/// a loan for each request.
+/// These are live instances that are not leaving. The weight of an instance
+/// grows with its free capacity, if it is in the caller's zone, and if it owns
+/// a share of the workspace's rate, since it then need not borrow tokens for
+/// each request.
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& question,
-    absl::Span<const std::string> share_holders);
+    absl::Span<const MemberStatement> members, const InstanceQuestion& query,
+    absl::Span<const std::string> share_owners);
 
-/// The JSON of the answer.
+/// Encodes the choices as the JSON body of the response.
+/// @param keep how long the caller may cache them
 std::string EncodeInstances(absl::Span<const InstanceChoice> choices,
                             absl::Duration keep);
 
--- a/dragonflyglade/caller/paths.h
+++ b/dragonflyglade/caller/paths.h
@@ -5,7 +5,7 @@
 
 namespace dragonflyglade {
 
-/// The paths of the HTTP API towards callers.
+/// The paths of the HTTP API for callers.
 inline constexpr std::string_view kCompletionsPath = "/v1/completions";
 inline constexpr std::string_view kChatPath = "/v1/chat/completions";
 inline constexpr std::string_view kModelsPath = "/v1/models";
--- a/dragonflyglade/caller/place.cc
+++ b/dragonflyglade/caller/place.cc
@@ -23,10 +23,10 @@
 std::variant<TargetPlace, Refusal> WaitForPlace(Dispatcher& dispatcher,
                                                 const TargetNeed& need,
                                                 const PlaceRequest& request) {
-  const auto place = dispatcher.Acquire(
+  const auto result = dispatcher.Acquire(
       need, request.workspace, request.request_class, request.deadline);
-  if (const auto* found = std::get_if<TargetPlace>(&place)) return *found;
-  if (const auto* reason = std::get_if<NoPlace>(&place)) {
+  if (const auto* found = std::get_if<TargetPlace>(&result)) return *found;
+  if (const auto* reason = std::get_if<NoPlace>(&result)) {
     return RefusalFor(*reason, request.what);
   }
   return Refusal{RefusalCode::kQueueFull,
--- a/dragonflyglade/caller/place.h
+++ b/dragonflyglade/caller/place.h
@@ -9,18 +9,19 @@
 
 namespace dragonflyglade {
 
-/// Who waits for a place, and for how long.
+/// A request's wait for a reservation at a target.
 struct PlaceRequest {
   std::string_view workspace;
   RequestClass request_class = RequestClass::kChat;
   Instant deadline;
-  std::string_view what;  ///< the model or service, for messages
+  std::string_view what;  ///< the model or service, for refusal messages
 };
 
-/// The refusal for a place that could not be had.
+/// The refusal for a reservation that could not be made.
 Refusal RefusalFor(NoPlace reason, std::string_view what);
 
-/// Waits for a place at a target, or says why there is none.
+/// Waits for a reservation at a target.
+/// @return the reservation, or a refusal that says why there is none
 std::variant<TargetPlace, Refusal> WaitForPlace(Dispatcher& dispatcher,
                                                 const TargetNeed& need,
                                                 const PlaceRequest& request);
--- a/dragonflyglade/caller/request_handler.cc
+++ b/dragonflyglade/caller/request_handler.cc
@@ -18,15 +18,15 @@
 
 constexpr std::size_t kRequestIdBytes = 8;
 constexpr std::string_view kBearer = "Bearer ";
-constexpr std::size_t kLongestIdempotencyKey = 256;
+constexpr std::size_t kMaxIdempotencyKeyBytes = 256;
 
-std::string_view BearerOf(std::string_view authorization) {
+std::string_view BearerToken(std::string_view authorization) {
   if (authorization.substr(0, kBearer.size()) != kBearer) return {};
   return authorization.substr(kBearer.size());
 }
 
-// The value of one query parameter; values that would need decoding are not
-// used here.
+// The value of one query parameter, not decoded, since no valid value contains
+// escapes; empty if it is missing.
 std::string QueryValue(std::string_view query, std::string_view name) {
   while (!query.empty()) {
     const std::size_t end = query.find('&');
@@ -41,7 +41,7 @@
   return {};
 }
 
-bool Holds(std::string_view text, std::string_view part) {
+bool Contains(std::string_view text, std::string_view part) {
   return text.find(part) != std::string_view::npos;
 }
 
@@ -87,9 +87,9 @@
 CallerReply RequestHandler::Handle(const CallerRequest& request) {
   CallerReply reply;
   reply.request_id = RandomHex(kRequestIdBytes);
-  reply.answer = this->Answer(request, reply.request_id);
+  reply.response = this->Process(request, reply.request_id);
   this->metrics.Count("dragonflyglade_requests_total");
-  if (const auto* refusal = std::get_if<Refusal>(&reply.answer)) {
+  if (const auto* refusal = std::get_if<Refusal>(&reply.response)) {
     const std::string_view code = RuleOf(refusal->code).name;
     this->metrics.Count("dragonflyglade_refusals_total",
                         fmt::format("code=\"{}\"", code));
@@ -98,8 +98,8 @@
   return reply;
 }
 
-CallerAnswer RequestHandler::Answer(const CallerRequest& request,
-                                    const std::string& request_id) {
+CallerAnswer RequestHandler::Process(const CallerRequest& request,
+                                     const std::string& request_id) {
   if (request.path.size() + request.query.size() > this->limits.max_path) {
     return Refusal{RefusalCode::kBadRequest, "the path is too long"};
   }
@@ -108,7 +108,7 @@
         RefusalCode::kBodyTooLarge,
         fmt::format("the body is above {} bytes", this->limits.max_body)};
   }
-  if (request.path == kInstancesPath) return this->AnswerInstances(request);
+  if (request.path == kInstancesPath) return this->ListInstances(request);
   const auto readiness = this->Readiness();
   if (const auto* refusal = std::get_if<Refusal>(&readiness)) return *refusal;
   auto context = this->Authenticate(request, request_id);
@@ -118,18 +118,18 @@
 
 std::variant<CallContext, Refusal> RequestHandler::Authenticate(
     const CallerRequest& request, const std::string& request_id) const {
-  const std::string_view shown = BearerOf(request.authorization);
-  if (shown.empty()) {
+  const std::string_view bearer_token = BearerToken(request.authorization);
+  if (bearer_token.empty()) {
     return Refusal{RefusalCode::kMissingKey,
                    "expected the header Authorization: Bearer KEY"};
   }
   CallContext context;
   context.catalog = this->catalog.Get();
-  const auto checked = CheckCallerKey(*context.catalog, shown);
-  if (const auto* problem = std::get_if<KeyProblem>(&checked)) {
-    // Malformed and unknown keys get the same answer: it tells nothing about
-    // which keys there are.
-    if (*problem != KeyProblem::kWithdrawn) {
+  const auto checked = CheckCallerKey(*context.catalog, bearer_token);
+  if (const auto* key_problem = std::get_if<KeyProblem>(&checked)) {
+    // Malformed and unknown keys get the same response, which reveals nothing
+    // about the existing keys.
+    if (*key_problem != KeyProblem::kWithdrawn) {
       return Refusal{RefusalCode::kUnknownKey, "the key is not known"};
     }
     return Refusal{RefusalCode::kKeyWithdrawn, "the key was withdrawn"};
@@ -138,13 +138,15 @@
   if (FindRecord(context.catalog->workspaces, key.workspace) == nullptr) {
     return Refusal{RefusalCode::kUnknownKey, "the key is not known"};
   }
-  // Failure: a client puts its key into the path or the body as well, and a
-  // target gets it and logs it. The secret is long and random, so finding it
-  // there is never chance.
-  const std::string secret(shown.substr(shown.rfind('_') + 1));
-  if (Holds(request.path, secret) || Holds(request.query, secret) ||
-      Holds(request.body, secret) || Holds(request.idempotency_key, secret) ||
-      Holds(request.content_type, secret) || Holds(request.accept, secret)) {
+  // Failure: a client puts its key into the path or the body as well, so that a
+  // target receives and logs it. The secret is long and random, so it never
+  // occurs there by chance.
+  const std::string secret(bearer_token.substr(bearer_token.rfind('_') + 1));
+  if (Contains(request.path, secret) || Contains(request.query, secret) ||
+      Contains(request.body, secret) ||
+      Contains(request.idempotency_key, secret) ||
+      Contains(request.content_type, secret) ||
+      Contains(request.accept, secret)) {
     return Refusal{RefusalCode::kBadRequest,
                    "the key may stand in the Authorization header only"};
   }
@@ -156,62 +158,61 @@
 
 CallerAnswer RequestHandler::RunAuthenticated(const CallContext& context,
                                               const CallerRequest& request) {
-  CallContext own = context;
+  CallContext class_context = context;
   if (!request.request_class.empty()) {
-    const std::optional<RequestClass> wanted =
+    const std::optional<RequestClass> requested_class =
         RequestClassOf(request.request_class);
-    if (!wanted.has_value() || *wanted == RequestClass::kUrgent) {
+    if (!requested_class.has_value() ||
+        *requested_class == RequestClass::kUrgent) {
       return Refusal{RefusalCode::kBadRequest,
                      "X-Request-Class: expected chat or batch"};
     }
-    own.request_class = *wanted;
+    class_context.request_class = *requested_class;
   }
-  if (request.idempotency_key.size() > kLongestIdempotencyKey) {
+  if (request.idempotency_key.size() > kMaxIdempotencyKeyBytes) {
     return Refusal{RefusalCode::kBadRequest, "Idempotency-Key is too long"};
   }
   if (request.path == kModelsPath) {
     if (request.method != "GET") {
       return Refusal{RefusalCode::kMethodNotAllowed, "expected GET"};
     }
-    return this->AnswerModels(own);
+    return this->ListModels(class_context);
   }
   if (request.path == kCompletionsPath || request.path == kChatPath) {
     if (request.method != "POST") {
       return Refusal{RefusalCode::kMethodNotAllowed, "expected POST"};
     }
-    return this->completions.Run(own, request);
+    return this->completions.Run(class_context, request);
   }
   if (request.path.rfind(kServicePrefix, 0) == 0) {
-    return this->services.Run(own, request);
+    return this->services.Run(class_context, request);
   }
   return NotFound(request);
 }
 
-CallerAnswer RequestHandler::AnswerInstances(
-    const CallerRequest& request) const {
+CallerAnswer RequestHandler::ListInstances(const CallerRequest& request) const {
   if (request.method != "GET") {
     return Refusal{RefusalCode::kMethodNotAllowed, "expected GET"};
   }
-  InstanceQuestion question;
-  question.zone = QueryValue(request.query, "zone");
-  question.model = QueryValue(request.query, "model");
-  question.workspace = QueryValue(request.query, "workspace");
-  std::vector<std::string> holders;
+  InstanceQuestion query;
+  query.zone = QueryValue(request.query, "zone");
+  query.model = QueryValue(request.query, "model");
+  query.workspace = QueryValue(request.query, "workspace");
+  std::vector<std::string> share_owners;
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
-  const Allotment* allotment =
-      FindRecord(catalog->allotments, question.workspace);
+  const Allotment* allotment = FindRecord(catalog->allotments, query.workspace);
   if (allotment != nullptr) {
     for (const HolderShare& holder : allotment->holders) {
-      if (holder.share > 0) holders.push_back(holder.instance);
+      if (holder.share > 0) share_owners.push_back(holder.instance);
     }
   }
-  WholeAnswer answer;
-  answer.body = EncodeInstances(
-      ChooseInstances(this->membership.All(), question, holders), this->keep);
-  return answer;
+  CompleteResponse response;
+  response.body = EncodeInstances(
+      ChooseInstances(this->membership.All(), query, share_owners), this->keep);
+  return response;
 }
 
-CallerAnswer RequestHandler::AnswerModels(const CallContext& context) const {
+CallerAnswer RequestHandler::ListModels(const CallContext& context) const {
   json list = json::array();
   const auto add = [&list](const std::string& name) {
     list.push_back(
@@ -219,9 +220,9 @@
   };
   for (const auto& [name, model] : context.catalog->models) add(name);
   for (const auto& [name, adapter] : context.catalog->adapters) add(name);
-  WholeAnswer answer;
-  answer.body = json({{"object", "list"}, {"data", list}}).dump();
-  return answer;
+  CompleteResponse response;
+  response.body = json({{"object", "list"}, {"data", list}}).dump();
+  return response;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/request_handler.h
+++ b/dragonflyglade/caller/request_handler.h
@@ -20,31 +20,32 @@
 /// Whether the instance takes new work.
 enum class ServingState { kStarting, kServing, kDraining };
 
-/// Answers callers' requests: checks the key, then hands the request to the
-/// part that runs it. Thread-safe.
+/// Handles callers' requests: authenticates the caller by its key and passes
+/// the request to the runner that executes it. Thread-safe.
 class RequestHandler {
  public:
+  /// @param keep how long callers may cache the list of instances
   RequestHandler(const CatalogHolder& catalog, const Freshness& freshness,
                  const Membership& membership, CompletionRunner& completions,
                  ServiceRunner& services, Metrics& metrics, CallerLimits limits,
                  absl::Duration keep);
 
-  /// Answers any request.
+  /// Handles a request.
   CallerReply Handle(const CallerRequest& request);
 
-  /// Whether new work is taken, and if not, why.
+  /// Whether new work is accepted; a refusal says why not.
   std::variant<ServingState, Refusal> Readiness() const;
 
-  /// How long callers may keep a which-instance answer.
+  /// How long callers may cache the list of instances.
   absl::Duration Keep() const { return this->keep; }
 
   const CallerLimits& Limits() const { return this->limits; }
 
  private:
-  CallerAnswer Answer(const CallerRequest& request,
-                      const std::string& request_id);
-  CallerAnswer AnswerInstances(const CallerRequest& request) const;
-  CallerAnswer AnswerModels(const CallContext& context) const;
+  CallerAnswer Process(const CallerRequest& request,
+                       const std::string& request_id);
+  CallerAnswer ListInstances(const CallerRequest& request) const;
+  CallerAnswer ListModels(const CallContext& context) const;
   std::variant<CallContext, Refusal> Authenticate(
       const CallerRequest& request, const std::string& request_id) const;
   CallerAnswer RunAuthenticated(const CallContext& context,
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -14,11 +14,11 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr int kMostAttempts = 3;
-constexpr absl::Duration kClaimDeadline = absl::Seconds(2);
-constexpr absl::Duration kClaimPause = absl::Milliseconds(50);
+constexpr int kMaxAttempts = 3;
+constexpr absl::Duration kClaimTimeout = absl::Seconds(2);
+constexpr absl::Duration kClaimRetryInterval = absl::Milliseconds(50);
 constexpr std::size_t kNonceBytes = 16;
-constexpr std::size_t kLongestStoredAnswer = 256u << 10;
+constexpr std::size_t kMaxStoredResponseBytes = 256u << 10;
 
 bool Matches(const ServiceRoute& route, std::string_view method,
              std::string_view path) {
@@ -44,16 +44,16 @@
   return nullptr;
 }
 
-// A path that a service could read as another one than the route that was
-// checked, such as "/balance/../payout".
-bool IsPlainPath(std::string_view path) {
+// Rejects paths that a service could resolve to another path than the one that
+// was checked against its routes, such as "/balance/../payout".
+bool IsUnambiguousPath(std::string_view path) {
   if (path.find("..") != std::string_view::npos) return false;
   if (path.find("//") != std::string_view::npos) return false;
   for (const char c : path) {
-    const bool plain = std::isalnum(static_cast<unsigned char>(c)) != 0 ||
-                       std::string_view("/-._~:@!$&'()*+,;=").find(c) !=
-                           std::string_view::npos;
-    if (!plain) return false;
+    const bool is_allowed = std::isalnum(static_cast<unsigned char>(c)) != 0 ||
+                            std::string_view("/-._~:@!$&'()*+,;=").find(c) !=
+                                std::string_view::npos;
+    if (!is_allowed) return false;
   }
   return true;
 }
@@ -77,18 +77,19 @@
 
 CallerAnswer ServiceRunner::Run(const CallContext& context,
                                 const CallerRequest& request) {
-  std::string_view rest = request.path;
-  rest.remove_prefix(kServicePrefix.size());
-  const std::size_t slash = rest.find('/');
-  const std::string_view name = rest.substr(0, slash);
-  const std::string path =
-      slash == std::string_view::npos ? "/" : std::string(rest.substr(slash));
+  std::string_view service_path = request.path;
+  service_path.remove_prefix(kServicePrefix.size());
+  const std::size_t slash = service_path.find('/');
+  const std::string_view name = service_path.substr(0, slash);
+  const std::string path = slash == std::string_view::npos
+                               ? "/"
+                               : std::string(service_path.substr(slash));
   const ServiceRecord* service = FindRecord(context.catalog->services, name);
   if (service == nullptr) {
     return Refusal{RefusalCode::kNotFound,
                    fmt::format("there is no service '{}' here", name)};
   }
-  if (!IsPlainPath(path)) {
+  if (!IsUnambiguousPath(path)) {
     return Refusal{RefusalCode::kBadRequest,
                    "path: expected plain segments without '..' or '//'"};
   }
@@ -106,17 +107,17 @@
   job.path = request.query.empty() ? path : path + "?" + request.query;
   job.repeatable = route->repeatable;
 
-  const ClassLimits& waits = this->limits.For(service->request_class);
+  const ClassLimits& class_limits = this->limits.For(service->request_class);
   auto admitted = this->gate.Admit(context.workspace, service->cost_tokens,
-                                   waits.token_wait);
+                                   class_limits.token_wait);
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
-  job.place_deadline = this->clock.Now() + waits.place_wait;
+  job.reservation_deadline = this->clock.Now() + class_limits.place_wait;
   const Instant started = this->clock.Now();
-  CallerAnswer answer = !job.repeatable && !request.idempotency_key.empty()
-                            ? this->RunClaimed(job)
-                            : this->Send(job).answer;
-  // A call that a refusal kept from running cost nothing.
-  const auto* refusal = std::get_if<Refusal>(&answer);
+  CallerAnswer response = !job.repeatable && !request.idempotency_key.empty()
+                              ? this->RunClaimed(job)
+                              : this->Send(job).response;
+  // A refused call that certainly did not run is refunded.
+  const auto* refusal = std::get_if<Refusal>(&response);
   const bool not_run =
       refusal != nullptr && RuleOf(refusal->code).ran == Ran::kNo;
   this->gate.Settle(std::get<Admission>(admitted),
@@ -125,10 +126,10 @@
       "dragonflyglade_request_seconds",
       fmt::format("class=\"{}\"", NameOf(service->request_class)),
       absl::ToDoubleSeconds(this->clock.Now() - started));
-  return answer;
+  return response;
 }
 
-std::variant<TargetPlace, Refusal> ServiceRunner::FindPlace(
+std::variant<TargetPlace, Refusal> ServiceRunner::Reserve(
     const Job& job, const std::set<std::string>& avoid) {
   TargetNeed need;
   need.pool = job.service->pool;
@@ -138,24 +139,24 @@
   return WaitForPlace(
       this->dispatcher, need,
       PlaceRequest{job.context->workspace, job.service->request_class,
-                   job.place_deadline, job.service->name});
+                   job.reservation_deadline, job.service->name});
 }
 
-Result<HttpReply> ServiceRunner::CallTarget(const Job& job,
-                                            const TargetPlace& place) const {
+Result<HttpReply> ServiceRunner::CallTarget(
+    const Job& job, const TargetPlace& reservation) const {
   HttpOptions options;
   options.connect_timeout = this->call_options.connect_timeout;
   options.read_timeout = this->call_options.read_timeout;
   options.max_body = this->call_options.max_body;
-  HttpCall call(Endpoint{place.address, place.port}, options,
-                "target " + place.target);
+  HttpCall call(Endpoint{reservation.address, reservation.port}, options,
+                "target " + reservation.target);
   HttpRequest request;
   request.method = job.request->method;
   request.path = job.path;
   request.body = job.request->body;
   request.content_type = job.request->content_type;
-  // Only these headers go on. A list of what is kept back would miss the next
-  // header that some client uses to carry a key.
+  // Only these headers are passed on. A list of headers to drop would miss the
+  // next header in which some client sends a key.
   request.headers = {{"X-Request-Id", job.context->request_id},
                      {"X-Workspace", job.context->workspace}};
   if (!job.request->accept.empty()) {
@@ -164,73 +165,74 @@
   return call.Run(request);
 }
 
-ServiceRunner::CallEnd ServiceRunner::EndOf(
+ServiceRunner::CallEnd ServiceRunner::CallEndFor(
     const Job& job, const Result<HttpReply>& reply) const {
   CallEnd end;
   if (reply.Ok()) {
-    const HttpReply& whole = reply.Value();
-    if (!whole.head.request_id.empty() &&
-        whole.head.request_id != job.context->request_id) {
-      end.answer = Refusal{RefusalCode::kAnswerMismatch,
-                           "the target answered another request"};
+    const HttpReply& target_response = reply.Value();
+    if (!target_response.head.request_id.empty() &&
+        target_response.head.request_id != job.context->request_id) {
+      end.response = Refusal{RefusalCode::kAnswerMismatch,
+                             "the target answered another request"};
       return end;
     }
-    WholeAnswer answer;
-    answer.status = whole.head.status;
-    answer.content_type = whole.head.content_type;
-    answer.body = whole.body;
-    end.answer = std::move(answer);
+    CompleteResponse response;
+    response.status = target_response.head.status;
+    response.content_type = target_response.head.content_type;
+    response.body = target_response.body;
+    end.response = std::move(response);
     end.state = ClaimState::kDone;
     return end;
   }
   const std::error_code& code = reply.Error().code;
   if (code == Errc::kConnectFailed) {
     end.certainly_not_run = true;
-    end.answer =
+    end.response =
         Refusal{RefusalCode::kTargetsUnreachable, "no connection to a target"};
   } else if (code == Errc::kTimeout) {
-    end.answer = Refusal{RefusalCode::kTargetTimeout,
-                         "the target did not answer in time"};
+    end.response = Refusal{RefusalCode::kTargetTimeout,
+                           "the target did not answer in time"};
   } else if (code == Errc::kTruncated) {
-    end.answer = Refusal{RefusalCode::kAnswerTruncated,
-                         "the target's answer was cut short"};
+    end.response = Refusal{RefusalCode::kAnswerTruncated,
+                           "the target's answer was cut short"};
   } else {
-    end.answer = Refusal{RefusalCode::kTargetLost,
-                         "the connection to the target was lost"};
+    end.response = Refusal{RefusalCode::kTargetLost,
+                           "the connection to the target was lost"};
   }
   return end;
 }
 
-// Failure: a payout is sent, its answer is lost, and a second attempt pays
-// twice. Only a failure to connect proves that no byte arrived; after any
-// other failure a call that may not be repeated ends with "unknown".
+// Failure: a payout is sent, its response is lost, and a second attempt pays
+// twice. Only a failure to connect proves that no byte arrived. After any other
+// failure, a call that may not be repeated ends with an unknown outcome.
 ServiceRunner::CallEnd ServiceRunner::Send(const Job& job) {
   this->retries.RequestMade();
   std::set<std::string> avoid;
   CallEnd end;
-  for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
-    const auto place = this->FindPlace(job, avoid);
-    if (const auto* refusal = std::get_if<Refusal>(&place)) {
-      // After a failed attempt that may have run, its outcome is the answer.
+  for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
+    const auto reservation = this->Reserve(job, avoid);
+    if (const auto* refusal = std::get_if<Refusal>(&reservation)) {
+      // If an earlier attempt may have run, its result is returned.
       const bool may_have_run = attempt > 0 && !end.certainly_not_run;
       if (may_have_run) return end;
-      end.answer = *refusal;
+      end.response = *refusal;
       end.certainly_not_run = true;
       return end;
     }
-    const TargetPlace& found = std::get<TargetPlace>(place);
-    const Result<HttpReply> reply = this->CallTarget(job, found);
-    this->dispatcher.Release(
-        found, reply.Ok() ? PlaceOutcome::kGood : PlaceOutcome::kTargetFault);
+    const TargetPlace& reserved_target = std::get<TargetPlace>(reservation);
+    const Result<HttpReply> reply = this->CallTarget(job, reserved_target);
+    this->dispatcher.Release(reserved_target, reply.Ok()
+                                                  ? PlaceOutcome::kGood
+                                                  : PlaceOutcome::kTargetFault);
     if (!reply.Ok()) {
       LogFor(LogPart::kTarget).warn("{}.", reply.Error().ToString());
     }
-    const bool had_run = attempt > 0 && !end.certainly_not_run;
-    end = this->EndOf(job, reply);
+    const bool may_have_run_before = attempt > 0 && !end.certainly_not_run;
+    end = this->CallEndFor(job, reply);
     // An earlier attempt of a repeatable call may have run.
-    if (had_run) end.certainly_not_run = false;
+    if (may_have_run_before) end.certainly_not_run = false;
     if (reply.Ok()) return end;
-    avoid.insert(found.target);
+    avoid.insert(reserved_target.target);
     if (end.certainly_not_run) continue;
     if (!job.repeatable || !this->retries.TakeRetry()) return end;
     this->metrics.Count("dragonflyglade_retries_total");
@@ -239,13 +241,13 @@
 }
 
 ClaimStep ServiceRunner::TakeClaim(const std::string& key, const Claim& claim) {
-  const Instant deadline = this->clock.Now() + kClaimDeadline;
+  const Instant deadline = this->clock.Now() + kClaimTimeout;
   while (true) {
     const ClaimWrite write = this->claims.Create(key, claim);
-    const bool may_retry = this->clock.Now() + kClaimPause < deadline;
+    const bool may_retry = this->clock.Now() + kClaimRetryInterval < deadline;
     ClaimStep step = AfterClaimWrite(claim, write, may_retry);
     if (!std::holds_alternative<TryAgain>(step)) return step;
-    absl::SleepFor(kClaimPause);
+    absl::SleepFor(kClaimRetryInterval);
   }
 }
 
@@ -263,8 +265,8 @@
   }
   if (const auto* replay = std::get_if<Replay>(&step)) {
     this->metrics.Count("dragonflyglade_claims_replayed_total");
-    return WholeAnswer{replay->answer.status, replay->answer.content_type,
-                       replay->answer.body};
+    return CompleteResponse{replay->answer.status, replay->answer.content_type,
+                            replay->answer.body};
   }
   if (std::holds_alternative<KeyReused>(step)) {
     return Refusal{RefusalCode::kIdempotencyKeyReused,
@@ -284,21 +286,21 @@
   CallEnd end = this->Send(job);
   if (end.certainly_not_run) {
     this->claims.Release(key, revision);
-    return end.answer;
+    return end.response;
   }
   claim.state = end.state;
-  if (const auto* answer = std::get_if<WholeAnswer>(&end.answer)) {
-    // An answer too large to keep is not replayed; a repeat is then told
-    // that the outcome is unknown.
-    if (answer->body.size() > kLongestStoredAnswer) {
+  if (const auto* response = std::get_if<CompleteResponse>(&end.response)) {
+    // A response that is too large to store cannot be replayed, so a repeated
+    // call gets an unknown outcome.
+    if (response->body.size() > kMaxStoredResponseBytes) {
       claim.state = ClaimState::kUnknown;
     } else {
-      claim.answer =
-          StoredAnswer{answer->status, answer->content_type, answer->body};
+      claim.answer = StoredAnswer{response->status, response->content_type,
+                                  response->body};
     }
   }
   this->claims.Finish(key, revision, claim);
-  return end.answer;
+  return end.response;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/service_runner.h
+++ b/dragonflyglade/caller/service_runner.h
@@ -17,11 +17,11 @@
 
 namespace dragonflyglade {
 
-/// Passes calls on to plain services.
+/// Runs calls to plain services, which are targets that run no models.
 ///
-/// A call that may not be repeated is sent once, on a new connection; with an
-/// Idempotency-Key it is claimed before, so that it runs at most once however
-/// often the caller asks.
+/// A call that may not be repeated is sent once, on a new connection. If it has
+/// an Idempotency-Key, a claim is written first, so that the call runs at most
+/// once however often the caller sends it.
 class ServiceRunner {
  public:
   ServiceRunner(AdmissionGate& gate, Dispatcher& dispatcher, ClaimStore& claims,
@@ -29,31 +29,32 @@
                 TargetCallOptions call_options, std::string_view zone,
                 Clock clock);
 
-  /// Answers "/v1/services/<name>/<path>" for a key that is good.
+  /// Handles a request for "/v1/services/<name>/<path>" whose key is valid.
   CallerAnswer Run(const CallContext& context, const CallerRequest& request);
 
  private:
-  /// A call on its way to a service.
+  /// A call to a service.
   struct Job {
     const CallContext* context = nullptr;
     const CallerRequest* request = nullptr;
     const ServiceRecord* service = nullptr;
-    std::string path;  ///< at the service
+    std::string path;  ///< at the service, with the query
     bool repeatable = false;
-    Instant place_deadline;
+    Instant reservation_deadline;
   };
-  /// How a call ended, as far as its claim is concerned.
+  /// The result of a call, and the state that its claim gets.
   struct CallEnd {
-    CallerAnswer answer;
+    CallerAnswer response;
     ClaimState state = ClaimState::kUnknown;
     bool certainly_not_run = false;
   };
 
   CallEnd Send(const Job& job);
-  CallEnd EndOf(const Job& job, const Result<HttpReply>& reply) const;
-  std::variant<TargetPlace, Refusal> FindPlace(
+  CallEnd CallEndFor(const Job& job, const Result<HttpReply>& reply) const;
+  std::variant<TargetPlace, Refusal> Reserve(
       const Job& job, const std::set<std::string>& avoid);
-  Result<HttpReply> CallTarget(const Job& job, const TargetPlace& place) const;
+  Result<HttpReply> CallTarget(const Job& job,
+                               const TargetPlace& reservation) const;
   CallerAnswer RunClaimed(const Job& job);
   ClaimStep TakeClaim(const std::string& key, const Claim& claim);
   CallerAnswer SendClaimed(const Job& job, const std::string& key,
--- a/tests/unit/unit-callers.cc
+++ b/tests/unit/unit-callers.cc
@@ -26,31 +26,31 @@
   const char* path;
   const char* workspace;
   std::string body;
-  const char* problem;  ///< part of the refusal; empty: accepted
+  const char* expected_text;  ///< part of the refusal; empty if accepted
 };
 
 struct KeyCase {
   const char* name;
-  std::string shown;
+  std::string presented_key;
   int expected;  ///< a KeyProblem, or -1 for accepted
 };
 
 class CallersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallersTest);
-  CPPUNIT_TEST(CompletionBodiesAreChecked);
-  CPPUNIT_TEST(TheClassBecomesThePriority);
-  CPPUNIT_TEST(KeysAreChecked);
-  CPPUNIT_TEST(EventsAreCutWherever);
-  CPPUNIT_TEST(StreamsEndOnce);
-  CPPUNIT_TEST(InstancesAreChosenByZoneLoadAndShare);
+  CPPUNIT_TEST(RejectsMalformedCompletions);
+  CPPUNIT_TEST(SetsThePriorityByRequestClass);
+  CPPUNIT_TEST(RejectsInvalidKeys);
+  CPPUNIT_TEST(SplitsEventsAtAnyChunkSize);
+  CPPUNIT_TEST(EndsAStreamOnce);
+  CPPUNIT_TEST(ChoosesInstancesByZoneLoadAndShare);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void CompletionBodiesAreChecked() {
+  void RejectsMalformedCompletions() {
     const Catalog catalog = SmallCatalog();
     const char* plain = "/v1/completions";
     const char* chat = "/v1/chat/completions";
-    const std::string deep(5000, '[');
+    const std::string deeply_nested(5000, '[');
     const std::vector<BodyCase> cases = {
         {plain, "all", R"({"model":"m","prompt":"x"})", ""},
         {plain, "all", R"({"model":"m-a","prompt":"x","max_tokens":3})", ""},
@@ -61,7 +61,7 @@
         {plain, "all", R"({"model":"z","prompt":"x"})", "no model 'z'"},
         {plain, "all", "", "JSON object"},
         {plain, "all", "[]", "JSON object"},
-        {plain, "all", deep, "JSON object"},
+        {plain, "all", deeply_nested, "JSON object"},
         {plain, "all", R"({"prompt":"x"})", "model: expected"},
         {plain, "all", R"({"model":7,"prompt":"x"})", "model: expected"},
         {plain, "all", R"({"model":"m"})", "prompt: expected"},
@@ -81,30 +81,31 @@
           ParseCompletion(item.path, item.body, catalog, item.workspace);
       const auto* refusal = std::get_if<Refusal>(&parsed);
       const std::string text = refusal == nullptr ? "" : refusal->message;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.body, *item.problem != '\0',
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.body, *item.expected_text != '\0',
                                    refusal != nullptr);
-      CPPUNIT_ASSERT_MESSAGE(item.body + ": " + text,
-                             text.find(item.problem) != std::string::npos);
+      CPPUNIT_ASSERT_MESSAGE(
+          item.body + ": " + text,
+          text.find(item.expected_text) != std::string::npos);
     }
   }
 
-  void TheClassBecomesThePriority() {
+  void SetsThePriorityByRequestClass() {
     const Catalog catalog = SmallCatalog();
-    // What a caller writes there itself is replaced.
+    // A priority that the caller sets is replaced.
     const std::string body = R"({"model":"m","prompt":"x","priority":-9})";
     for (const RequestClass kind :
          {RequestClass::kUrgent, RequestClass::kChat, RequestClass::kBatch}) {
       const auto parsed =
           ParseCompletion("/v1/completions", body, catalog, "all", kind);
       const auto& request = std::get<CompletionRequest>(parsed);
-      const auto sent = nlohmann::json::parse(request.body);
+      const auto engine_body = nlohmann::json::parse(request.body);
       CPPUNIT_ASSERT_EQUAL(static_cast<int>(kind),
-                           sent.at("priority").get<int>());
-      CPPUNIT_ASSERT(sent.at("stream").get<bool>());
+                           engine_body.at("priority").get<int>());
+      CPPUNIT_ASSERT(engine_body.at("stream").get<bool>());
     }
   }
 
-  void KeysAreChecked() {
+  void RejectsInvalidKeys() {
     Catalog catalog;
     const CallerKey good = NewCallerKey();
     const CallerKey withdrawn = NewCallerKey();
@@ -135,7 +136,7 @@
         {"only the id", "dg_" + good.id, problem(KeyProblem::kMalformed)},
     };
     for (const KeyCase& item : cases) {
-      const auto checked = CheckCallerKey(catalog, item.shown);
+      const auto checked = CheckCallerKey(catalog, item.presented_key);
       const auto* found = std::get_if<KeyProblem>(&checked);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
@@ -143,7 +144,7 @@
     }
   }
 
-  void EventsAreCutWherever() {
+  void SplitsEventsAtAnyChunkSize() {
     const std::string stream =
         ": comment\n\ndata: one\n\nevent: x\r\ndata: two\r\ndata:three\r\n\r\n"
         "data: [DONE]\n\ndata: cut";
@@ -161,7 +162,7 @@
     }
   }
 
-  void StreamsEndOnce() {
+  void EndsAStreamOnce() {
     EventStream stream(2);
     CPPUNIT_ASSERT(stream.Push("a"));
     stream.Fail(Refusal{RefusalCode::kStreamEnded, "withdrawn"});
@@ -177,7 +178,7 @@
     CPPUNIT_ASSERT(done);
   }
 
-  void InstancesAreChosenByZoneLoadAndShare() {
+  void ChoosesInstancesByZoneLoadAndShare() {
     std::vector<MemberStatement> members;
     for (const char* name : {"far", "near", "busy", "leaving", "dead", "new"}) {
       MemberStatement member;
@@ -191,9 +192,9 @@
     members[3].leaving = true;
     members[4].state = MemberState::kDead;
     members[5].incarnation = 0;
-    const std::vector<std::string> holders = {"far"};
+    const std::vector<std::string> share_owners = {"far"};
     const auto choices =
-        ChooseInstances(members, InstanceQuestion{"z", "", "w"}, holders);
+        ChooseInstances(members, InstanceQuestion{"z", "", "w"}, share_owners);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, choices.size());
     CPPUNIT_ASSERT_EQUAL(std::string("busy"), choices.back().name);
     double total = 0;
