--- a/dragonflyglade/operator/audit_trail.cc
+++ b/dragonflyglade/operator/audit_trail.cc
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kSegmentEntries = 200;
-constexpr std::size_t kSegmentBytes = 128u << 10;
-constexpr std::int64_t kSegmentsKept = 16;
-constexpr std::size_t kMostPending = 10'000;
+constexpr std::size_t kMaxSegmentEntries = 200;
+constexpr std::size_t kMaxSegmentBytes = 128u << 10;
+constexpr std::int64_t kMaxSegmentsPerWriter = 16;
+constexpr std::size_t kMaxPendingEntries = 10'000;
 
 }  // namespace
 
@@ -54,8 +54,8 @@
   return entries;
 }
 
-// Segments are numbered by the writer's start, so a restarted writer goes on
-// after its former ones without reading them.
+// The numbers of a writer's segments begin with the time of its start, so a
+// restarted writer continues after its earlier segments without reading them.
 AuditTrail::AuditTrail(const KvClient& kv, std::string_view writer)
     : kv(kv),
       writer(writer),
@@ -76,8 +76,9 @@
   entry.subject = std::string(subject);
   entry.detail = std::move(detail);
   absl::MutexLock lock(&this->mutex);
-  // A long outage must not take the memory of the instance.
-  if (this->pending.size() >= kMostPending) return;
+  // Beyond the limit entries are dropped, so that a long outage of the service
+  // cannot exhaust the instance's memory.
+  if (this->pending.size() >= kMaxPendingEntries) return;
   this->pending.push_back(std::move(entry));
 }
 
@@ -91,32 +92,35 @@
   std::vector<AuditEntry> batch;
   {
     absl::MutexLock lock(&this->mutex);
-    const std::size_t count = std::min(this->pending.size(), kSegmentEntries);
+    const std::size_t count =
+        std::min(this->pending.size(), kMaxSegmentEntries);
     batch.assign(this->pending.begin(),
                  this->pending.begin() + static_cast<std::ptrdiff_t>(count));
   }
   if (batch.empty()) return Done{};
-  const bool is_full = this->segment.size() + batch.size() > kSegmentEntries ||
-                       this->segment.dump().size() > kSegmentBytes;
+  const bool is_full =
+      this->segment.size() + batch.size() > kMaxSegmentEntries ||
+      this->segment.dump().size() > kMaxSegmentBytes;
   if (is_full) {
     this->segment = json::array();
     ++this->number;
   }
-  json next = this->segment;
+  json next_segment = this->segment;
   for (const AuditEntry& entry : batch) {
-    next.push_back(EncodeAuditEntry(entry));
+    next_segment.push_back(EncodeAuditEntry(entry));
   }
   std::vector<KvWrite> writes = {
-      {this->SegmentKey(this->number), next.dump(), 0, false}};
-  const bool drops = this->number - this->first_kept >= kSegmentsKept;
-  if (drops)
+      {this->SegmentKey(this->number), next_segment.dump(), 0, false}};
+  const bool drops_oldest =
+      this->number - this->first_kept >= kMaxSegmentsPerWriter;
+  if (drops_oldest)
     writes.push_back({this->SegmentKey(this->first_kept), "", 0, true});
-  // The whole segment is written again, so a write whose answer was lost is
-  // simply repeated.
+  // The whole segment is rewritten, so a write whose response was lost can be
+  // repeated safely.
   const Result<KvTxnReply> reply = this->kv.Txn({}, writes);
   if (!reply.Ok()) return reply.Error();
-  this->segment = std::move(next);
-  if (drops) ++this->first_kept;
+  this->segment = std::move(next_segment);
+  if (drops_oldest) ++this->first_kept;
   absl::MutexLock lock(&this->mutex);
   this->pending.erase(
       this->pending.begin(),
--- a/dragonflyglade/operator/audit_trail.h
+++ b/dragonflyglade/operator/audit_trail.h
@@ -12,7 +12,7 @@
 
 namespace dragonflyglade {
 
-/// One change, made by an operator or by the system itself.
+/// One change, made by an operator or by an instance.
 struct AuditEntry {
   std::string time;     ///< UTC, RFC 3339
   std::string actor;    ///< an operator's name or an instance's
@@ -25,30 +25,32 @@
 /// Throws nlohmann::json::exception for anything malformed.
 AuditEntry DecodeAuditEntry(const nlohmann::json& object);
 
-/// The prefix of all segments.
+/// The key prefix of all segments in the key-value service.
 inline constexpr std::string_view kAuditPrefix = "audit/";
 
-/// Reads a whole trail, oldest first.
+/// Reads the entries of all writers, oldest first.
+/// Errors: those of KvClient; kBadAnswer for a malformed segment.
 Result<std::vector<AuditEntry>> ReadAuditTrail(const KvClient& kv);
 
 /// Appends entries to one writer's own segments in the key-value service.
 ///
-/// Segments are bounded in size, and a writer keeps the newest few, so the
-/// trail cannot outgrow the service. Thread-safe.
+/// A segment is a key with a list of entries. Segments are bounded in size, and
+/// a writer keeps only its newest ones, so the trail cannot fill the service.
+/// Thread-safe.
 class AuditTrail {
  public:
-  /// @param writer separates the segments of writers, so they never collide
+  /// @param writer part of the segments' keys, so that writers never collide
   AuditTrail(const KvClient& kv, std::string_view writer);
 
-  /// Adds an entry to write with the next Flush.
+  /// Adds an entry, which the next Flush writes.
   void Add(std::string_view action, std::string_view subject,
            nlohmann::json detail);
 
-  /// Writes what was added. After a failure the entries stay for the next
-  /// flush; an entry may then stand twice, but none is lost.
+  /// Writes pending entries, as many as fit into a segment. After a failure
+  /// they stay pending; an entry may then be written twice, but none is lost.
   Status Flush();
 
-  /// Entries that wait to be written.
+  /// The number of entries that are not written yet.
   std::size_t Pending() const;
 
  private:
--- a/dragonflyglade/operator/caller_key.cc
+++ b/dragonflyglade/operator/caller_key.cc
@@ -13,7 +13,7 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::string_view kPrefix = "dg_";
+constexpr std::string_view kKeyPrefix = "dg_";
 constexpr std::size_t kIdBytes = 8;
 constexpr std::size_t kSecretBytes = 32;
 constexpr std::size_t kSaltBytes = 16;
@@ -23,7 +23,7 @@
   return text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
 
-std::string HexOf(const unsigned char* data, std::size_t size) {
+std::string ToHex(const unsigned char* data, std::size_t size) {
   return absl::BytesToHexString(
       absl::string_view(reinterpret_cast<const char*>(data), size));
 }
@@ -31,14 +31,14 @@
 }  // namespace
 
 std::string CallerKey::ToString() const {
-  return std::string(kPrefix) + this->id + "_" + this->secret;
+  return std::string(kKeyPrefix) + this->id + "_" + this->secret;
 }
 
 Result<CallerKey> ParseCallerKey(std::string_view text) {
   const Failure malformed = MakeFailure(Errc::kInvalidArgument, "read key",
                                         "caller", "not of the form of a key");
-  if (text.substr(0, kPrefix.size()) != kPrefix) return malformed;
-  text.remove_prefix(kPrefix.size());
+  if (text.substr(0, kKeyPrefix.size()) != kKeyPrefix) return malformed;
+  text.remove_prefix(kKeyPrefix.size());
   const std::size_t separator = text.find('_');
   if (separator == std::string_view::npos) return malformed;
   const std::string_view id = text.substr(0, separator);
@@ -50,10 +50,10 @@
 std::string RandomHex(std::size_t bytes) {
   std::vector<unsigned char> buffer(bytes);
   if (RAND_bytes(buffer.data(), static_cast<int>(bytes)) != 1) {
-    // Without randomness a key or nonce could be guessed or repeated.
+    // Without randomness a key could be guessed and a nonce could repeat.
     throw std::runtime_error("the system's random source failed");
   }
-  return HexOf(buffer.data(), buffer.size());
+  return ToHex(buffer.data(), buffer.size());
 }
 
 CallerKey NewCallerKey() {
@@ -66,30 +66,33 @@
   std::array<unsigned char, SHA256_DIGEST_LENGTH> digest;
   SHA256(reinterpret_cast<const unsigned char*>(text.data()), text.size(),
          digest.data());
-  return HexOf(digest.data(), digest.size());
+  return ToHex(digest.data(), digest.size());
 }
 
 std::string DigestOf(std::string_view salt, std::string_view secret) {
   return Sha256Hex(std::string(salt) + std::string(secret));
 }
 
-// Failure: an answer that comes sooner for a wrong first byte lets a caller
-// guess a digest byte by byte, and one that comes sooner for an unknown id
-// tells which ids exist. The whole digest is always computed and compared,
-// for an unknown id against a digest that nothing has.
+// Failure: a response that is faster for a wrong first byte lets a caller guess
+// a digest byte by byte, and one that is faster for an unknown id reveals which
+// ids exist. So the whole digest is always computed and compared; for an
+// unknown id, it is compared with a digest that no secret has.
 std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
                                                    std::string_view text) {
   const Result<CallerKey> key = ParseCallerKey(text);
   if (!key.Ok()) return KeyProblem::kMalformed;
   const KeyRecord* record = FindRecord(catalog.keys, key.Value().id);
-  static const std::string kNobody(std::size_t{2} * SHA256_DIGEST_LENGTH, '0');
-  const std::string salt = record == nullptr ? kNobody : record->salt;
-  const std::string expected = record == nullptr ? kNobody : record->digest;
+  static const std::string kPlaceholderDigest(
+      std::size_t{2} * SHA256_DIGEST_LENGTH, '0');
+  const std::string salt =
+      record == nullptr ? kPlaceholderDigest : record->salt;
+  const std::string expected =
+      record == nullptr ? kPlaceholderDigest : record->digest;
   const std::string digest = DigestOf(salt, key.Value().secret);
-  const bool same =
+  const bool digests_match =
       expected.size() == digest.size() &&
       CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
-  if (record == nullptr || !same) return KeyProblem::kUnknown;
+  if (record == nullptr || !digests_match) return KeyProblem::kUnknown;
   if (record->withdrawn) return KeyProblem::kWithdrawn;
   return *record;
 }
--- a/dragonflyglade/operator/caller_key.h
+++ b/dragonflyglade/operator/caller_key.h
@@ -9,7 +9,7 @@
 
 namespace dragonflyglade {
 
-/// A key as a caller shows it: "dg_<id>_<secret>", both hex.
+/// A caller's key. Its text form is "dg_<id>_<secret>", both in hex.
 struct CallerKey {
   std::string id;
   std::string secret;
@@ -17,29 +17,30 @@
   std::string ToString() const;
 };
 
-/// Reads a key. Errors: kInvalidArgument; the text is not repeated in them.
+/// Parses a key. Errors: kInvalidArgument; the error does not repeat the text.
 Result<CallerKey> ParseCallerKey(std::string_view text);
 
-/// A new key from the system's random source.
+/// Generates a key from the system's random source.
 CallerKey NewCallerKey();
 
-/// A new salt, hex.
+/// Generates a salt, in hex.
 std::string NewSalt();
 
-/// SHA-256 over salt and secret, hex. The secret is 256 random bits, so a
-/// fast digest is enough: there is nothing to guess.
+/// The SHA-256 digest of salt and secret, in hex. The secret has 256 random
+/// bits and cannot be guessed, so a fast digest is sufficient.
 std::string DigestOf(std::string_view salt, std::string_view secret);
 
-/// SHA-256 over a text, hex.
+/// The SHA-256 digest of a text, in hex.
 std::string Sha256Hex(std::string_view text);
 
-/// Random bytes from the system, hex.
+/// Random bytes from the system, in hex.
+/// Throws std::runtime_error if the random source fails.
 std::string RandomHex(std::size_t bytes);
 
-/// Why a key does not let a request in.
+/// Why a caller's key is not accepted.
 enum class KeyProblem { kMalformed, kUnknown, kWithdrawn };
 
-/// Finds the record that a shown key belongs to.
+/// Finds the record of a key that a caller presented, and checks the secret.
 std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
                                                    std::string_view text);
 
--- a/dragonflyglade/operator/catalog.cc
+++ b/dragonflyglade/operator/catalog.cc
@@ -5,7 +5,7 @@
 namespace dragonflyglade {
 namespace {
 
-struct AddTo {
+struct CatalogInserter {
   Catalog& catalog;
   const std::string& name;
 
@@ -45,51 +45,52 @@
 
 const CatalogBuilder::Parsed* CatalogBuilder::Read(
     const RecordVersion& version) {
-  Parsed& known = this->parsed[version.key];
-  if (known.revision == version.revision) return &known;
+  Parsed& cached = this->parsed[version.key];
+  if (cached.revision == version.revision) return &cached;
   const Result<RecordKey> key = ParseRecordKey(version.key);
   if (!key.Ok()) return nullptr;
-  known.revision = version.revision;
-  known.key = key.Value();
-  known.record.reset();
-  if (version.deleted) return &known;
-  Result<Record> record = ParseRecord(known.key, version.value);
-  if (record.Ok()) known.record = std::move(record.Value());
-  return &known;
+  cached.revision = version.revision;
+  cached.key = key.Value();
+  cached.record.reset();
+  if (version.deleted) return &cached;
+  Result<Record> record = ParseRecord(cached.key, version.value);
+  if (record.Ok()) cached.record = std::move(record.Value());
+  return &cached;
 }
 
 std::map<std::string, int> CatalogBuilder::RetiredSchemas(
-    absl::Span<const RecordVersion> good) {
+    absl::Span<const RecordVersion> valid_versions) {
   std::map<std::string, int> retired;
-  for (const RecordVersion& version : good) {
-    const Parsed* known = this->Read(version);
-    if (known == nullptr || !known->record.has_value()) continue;
-    const auto* record = std::get_if<RetirementRecord>(&*known->record);
+  for (const RecordVersion& version : valid_versions) {
+    const Parsed* cached = this->Read(version);
+    if (cached == nullptr || !cached->record.has_value()) continue;
+    const auto* record = std::get_if<RetirementRecord>(&*cached->record);
     if (record != nullptr) retired[record->kind] = record->retired_up_to;
   }
   return retired;
 }
 
 std::shared_ptr<const Catalog> CatalogBuilder::Build(
-    std::int64_t revision, absl::Span<const RecordVersion> good) {
-  const std::map<std::string, int> retired = this->RetiredSchemas(good);
+    std::int64_t revision, absl::Span<const RecordVersion> valid_versions) {
+  const std::map<std::string, int> retired =
+      this->RetiredSchemas(valid_versions);
   std::map<std::string, Candidate> newest;
-  for (const RecordVersion& version : good) {
-    const Parsed* known = this->Read(version);
-    if (known == nullptr) continue;
-    const RecordKey& key = known->key;
+  for (const RecordVersion& version : valid_versions) {
+    const Parsed* cached = this->Read(version);
+    if (cached == nullptr) continue;
+    const RecordKey& key = cached->key;
     const auto limit = retired.find(key.kind);
     if (limit != retired.end() && key.schema <= limit->second) continue;
     Candidate& candidate = newest[key.kind + "/" + key.name];
     if (candidate.schema >= key.schema) continue;
-    candidate = Candidate{known, key.schema};
+    candidate = Candidate{cached, key.schema};
   }
   auto catalog = std::make_shared<Catalog>();
   catalog->revision = revision;
   for (const auto& [path, candidate] : newest) {
     if (candidate.parsed == nullptr) continue;
     if (!candidate.parsed->record.has_value()) continue;
-    std::visit(AddTo{*catalog, candidate.parsed->key.name},
+    std::visit(CatalogInserter{*catalog, candidate.parsed->key.name},
                *candidate.parsed->record);
     catalog->schema_in_use[path] = candidate.schema;
   }
@@ -97,8 +98,8 @@
 }
 
 std::shared_ptr<const Catalog> BuildCatalog(
-    std::int64_t revision, absl::Span<const RecordVersion> good) {
-  return CatalogBuilder().Build(revision, good);
+    std::int64_t revision, absl::Span<const RecordVersion> valid_versions) {
+  return CatalogBuilder().Build(revision, valid_versions);
 }
 
 std::shared_ptr<const Catalog> CatalogHolder::Get() const {
--- a/dragonflyglade/operator/catalog.h
+++ b/dragonflyglade/operator/catalog.h
@@ -13,11 +13,12 @@
 
 namespace dragonflyglade {
 
-/// The records in force, by kind and name. Immutable once built, so that one
-/// request sees one configuration from beginning to end.
+/// The configuration records in force, by kind and name. A catalog is not
+/// changed after it is built, so a request sees one configuration from
+/// beginning to end.
 ///
-/// Of several schema versions of one record the newest that is understood and
-/// not retired counts; if that one is deleted, the record is.
+/// If a record exists in several schema versions, the newest that is supported
+/// and not retired is in force; if that one is deleted, the record is deleted.
 struct Catalog {
   template <typename T>
   using ByName = std::map<std::string, T, std::less<>>;
@@ -36,15 +37,15 @@
   ByName<int> schema_in_use;  ///< "kind/name" to schema version
 };
 
-/// Builds catalogs, and reads only the records that changed since the last
-/// one. Not synchronised.
+/// Builds catalogs, and parses only the records that changed since the previous
+/// one. Not thread-safe.
 class CatalogBuilder {
  public:
-  /// The catalog of the good record versions.
+  /// Builds the catalog of valid record versions.
   /// Complexity: O(n log n) in the records, with a small constant for those
-  /// that were read before.
-  std::shared_ptr<const Catalog> Build(std::int64_t revision,
-                                       absl::Span<const RecordVersion> good);
+  /// that are parsed already.
+  std::shared_ptr<const Catalog> Build(
+      std::int64_t revision, absl::Span<const RecordVersion> valid_versions);
 
  private:
   struct Parsed {
@@ -59,23 +60,23 @@
 
   const Parsed* Read(const RecordVersion& version);
   std::map<std::string, int> RetiredSchemas(
-      absl::Span<const RecordVersion> good);
+      absl::Span<const RecordVersion> valid_versions);
 
   std::map<std::string, Parsed, std::less<>> parsed;
 };
 
-/// Builds one catalog of the good record versions.
+/// Builds a single catalog of valid record versions.
 std::shared_ptr<const Catalog> BuildCatalog(
-    std::int64_t revision, absl::Span<const RecordVersion> good);
+    std::int64_t revision, absl::Span<const RecordVersion> valid_versions);
 
-/// A record by name, or null.
+/// Finds a record by name; null if there is none.
 template <typename T>
 const T* FindRecord(const Catalog::ByName<T>& records, std::string_view name) {
   const auto found = records.find(name);
   return found == records.end() ? nullptr : &found->second;
 }
 
-/// The catalog in force, which any thread may read and one replaces.
+/// Shares the catalog in force between threads. Thread-safe.
 class CatalogHolder {
  public:
   std::shared_ptr<const Catalog> Get() const;
--- a/dragonflyglade/operator/commands.cc
+++ b/dragonflyglade/operator/commands.cc
@@ -39,24 +39,24 @@
     "use: dragonflyglade audit --kv ADDRESS:PORT [--json]"
     " [--subject TEXT]\n";
 
-// What was typed, parsed; or the exit code if the command ends here.
+// A parsed command line. If exit is set, the command ends with this exit code.
 struct Parsed {
   po::variables_map options;
-  std::vector<std::string> words;
+  std::vector<std::string> operands;
   std::optional<int> exit;
 };
 
 Parsed Parse(const std::vector<std::string>& arguments,
-             po::options_description described, const char* use,
+             po::options_description description, const char* use,
              const CommandOutput& output) {
   Parsed parsed;
-  described.add_options()("help", "show this text")(
+  description.add_options()("help", "show this text")(
       "words", po::value<std::vector<std::string>>(), "");
   po::positional_options_description positional;
   positional.add("words", -1);
   try {
     po::store(po::command_line_parser(arguments)
-                  .options(described)
+                  .options(description)
                   .positional(positional)
                   .run(),
               parsed.options);
@@ -72,18 +72,18 @@
     return parsed;
   }
   if (parsed.options.count("words") > 0) {
-    parsed.words = parsed.options["words"].as<std::vector<std::string>>();
+    parsed.operands = parsed.options["words"].as<std::vector<std::string>>();
   }
   return parsed;
 }
 
-int BadUse(const CommandOutput& output, std::string_view what,
-           const char* use) {
+int ReportBadUse(const CommandOutput& output, std::string_view what,
+                 const char* use) {
   fmt::print(output.err, "{}\n{}", what, use);
   return kExitBadUse;
 }
 
-int Failed(const CommandOutput& output, const Failure& failure) {
+int ReportFailure(const CommandOutput& output, const Failure& failure) {
   fmt::print(output.err, "{}\n", failure.ToString());
   const bool bad_input = failure.code == Errc::kInvalidRecord ||
                          failure.code == Errc::kInvalidArgument;
@@ -91,17 +91,17 @@
 }
 
 po::options_description KvOptionsDescription() {
-  po::options_description described;
-  described.add_options()("kv", po::value<std::vector<std::string>>(),
-                          "an endpoint of the key-value service")(
+  po::options_description description;
+  description.add_options()("kv", po::value<std::vector<std::string>>(),
+                            "an endpoint of the key-value service")(
       "operator", po::value<std::string>(), "who makes the change")(
       "expect-revision", po::value<std::int64_t>(),
       "the revision that was read")("json", "JSON output")(
       "subject", po::value<std::string>(), "only entries on this subject");
-  return described;
+  return description;
 }
 
-Result<KvOptions> KvOptionsOf(const Parsed& parsed) {
+Result<KvOptions> ParseKvOptions(const Parsed& parsed) {
   KvOptions options;
   options.call_timeout = kCommandKvTimeout;
   if (parsed.options.count("kv") == 0) {
@@ -125,7 +125,7 @@
   return user != nullptr && *user != '\0' ? user : kDefaultOperator;
 }
 
-Result<std::vector<RecordDraft>> DraftsOf(const std::string& path) {
+Result<std::vector<RecordDraft>> ReadDraftsFile(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   std::ostringstream text;
   text << file.rdbuf();
@@ -138,49 +138,50 @@
 
 int Validate(const std::vector<std::string>& files,
              const CommandOutput& output) {
-  if (files.empty()) return BadUse(output, "expected a FILE", kConfigUse);
-  int worst = kExitDone;
+  if (files.empty()) return ReportBadUse(output, "expected a FILE", kConfigUse);
+  int exit_code = kExitDone;
   for (const std::string& file : files) {
-    const auto drafts = DraftsOf(file);
+    const auto drafts = ReadDraftsFile(file);
     if (drafts.Ok()) {
       fmt::print(output.out, "{}: {} valid records\n", file,
                  drafts.Value().size());
     } else {
-      worst = Failed(output, drafts.Error());
+      exit_code = ReportFailure(output, drafts.Error());
     }
   }
-  return worst;
+  return exit_code;
 }
 
 int Apply(ConfigEditor& editor, const Parsed& parsed,
-          const std::vector<std::string>& words, const CommandOutput& output) {
-  if (words.size() != 1) {
-    return BadUse(output, "expected one FILE", kConfigUse);
+          const std::vector<std::string>& operands,
+          const CommandOutput& output) {
+  if (operands.size() != 1) {
+    return ReportBadUse(output, "expected one FILE", kConfigUse);
   }
-  auto drafts = DraftsOf(words[0]);
-  if (!drafts.Ok()) return Failed(output, drafts.Error());
+  auto drafts = ReadDraftsFile(operands[0]);
+  if (!drafts.Ok()) return ReportFailure(output, drafts.Error());
   if (parsed.options.count("expect-revision") > 0) {
     if (drafts.Value().size() != 1) {
-      return BadUse(output, "--expect-revision goes with a single record",
-                    kConfigUse);
+      return ReportBadUse(output, "--expect-revision goes with a single record",
+                          kConfigUse);
     }
     drafts.Value().front().expected_revision =
         parsed.options["expect-revision"].as<std::int64_t>();
   }
   const auto revision = editor.Apply(drafts.Value(), "config apply");
-  if (!revision.Ok()) return Failed(output, revision.Error());
+  if (!revision.Ok()) return ReportFailure(output, revision.Error());
   fmt::print(output.out, "applied {} records at revision {}\n",
              drafts.Value().size(), revision.Value());
   return kExitDone;
 }
 
-int Get(const ConfigEditor& editor, const std::vector<std::string>& words,
+int Get(const ConfigEditor& editor, const std::vector<std::string>& operands,
         const CommandOutput& output) {
-  if (words.size() != 2) {
-    return BadUse(output, "expected KIND NAME", kConfigUse);
+  if (operands.size() != 2) {
+    return ReportBadUse(output, "expected KIND NAME", kConfigUse);
   }
-  const auto entries = editor.Get(words[0], words[1]);
-  if (!entries.Ok()) return Failed(output, entries.Error());
+  const auto entries = editor.Get(operands[0], operands[1]);
+  if (!entries.Ok()) return ReportFailure(output, entries.Error());
   for (const KvEntry& entry : entries.Value()) {
     fmt::print(output.out, "{} at revision {}\n{}\n", entry.key,
                entry.mod_revision, entry.value);
@@ -198,34 +199,35 @@
              entry.action, entry.subject, entry.detail.dump());
 }
 
-int History(const KvClient& kv, const std::vector<std::string>& words,
+int History(const KvClient& kv, const std::vector<std::string>& operands,
             bool as_json, const CommandOutput& output) {
-  if (words.size() != 2) {
-    return BadUse(output, "expected KIND NAME", kConfigUse);
+  if (operands.size() != 2) {
+    return ReportBadUse(output, "expected KIND NAME", kConfigUse);
   }
   const auto trail = ReadAuditTrail(kv);
-  if (!trail.Ok()) return Failed(output, trail.Error());
+  if (!trail.Ok()) return ReportFailure(output, trail.Error());
   for (const AuditEntry& entry : trail.Value()) {
     const Result<RecordKey> key = ParseRecordKey(entry.subject);
-    if (!key.Ok() || key.Value().kind != words[0]) continue;
-    if (key.Value().name == words[1]) PrintEntry(entry, as_json, output);
+    if (!key.Ok() || key.Value().kind != operands[0]) continue;
+    if (key.Value().name == operands[1]) PrintEntry(entry, as_json, output);
   }
   return kExitDone;
 }
 
-int Retire(ConfigEditor& editor, const std::vector<std::string>& words,
+int Retire(ConfigEditor& editor, const std::vector<std::string>& operands,
            const CommandOutput& output) {
-  const bool usable =
-      words.size() == 2 && !words[1].empty() &&
-      words[1].find_first_not_of("0123456789") == std::string::npos &&
-      words[1].size() < 4;
-  if (!usable) {
-    return BadUse(output, "expected KIND SCHEMA, such as rate 1", kConfigUse);
+  const bool is_valid =
+      operands.size() == 2 && !operands[1].empty() &&
+      operands[1].find_first_not_of("0123456789") == std::string::npos &&
+      operands[1].size() < 4;
+  if (!is_valid) {
+    return ReportBadUse(output, "expected KIND SCHEMA, such as rate 1",
+                        kConfigUse);
   }
-  const auto revision = editor.Retire(words[0], std::stoi(words[1]));
-  if (!revision.Ok()) return Failed(output, revision.Error());
-  fmt::print(output.out, "retired {} up to v{} at revision {}\n", words[0],
-             words[1], revision.Value());
+  const auto revision = editor.Retire(operands[0], std::stoi(operands[1]));
+  if (!revision.Ok()) return ReportFailure(output, revision.Error());
+  fmt::print(output.out, "retired {} up to v{} at revision {}\n", operands[0],
+             operands[1], revision.Value());
   return kExitDone;
 }
 
@@ -235,74 +237,75 @@
                      const CommandOutput& output) {
   Parsed parsed = Parse(arguments, KvOptionsDescription(), kConfigUse, output);
   if (parsed.exit.has_value()) return *parsed.exit;
-  if (parsed.words.empty()) {
-    return BadUse(output, "expected a config command", kConfigUse);
+  if (parsed.operands.empty()) {
+    return ReportBadUse(output, "expected a config command", kConfigUse);
   }
-  const std::string command = parsed.words.front();
-  const std::vector<std::string> words(parsed.words.begin() + 1,
-                                       parsed.words.end());
-  if (command == "validate") return Validate(words, output);
-  const bool known = command == "apply" || command == "get" ||
-                     command == "history" || command == "retire";
-  if (!known) return BadUse(output, "no such command: " + command, kConfigUse);
-  const Result<KvOptions> options = KvOptionsOf(parsed);
-  if (!options.Ok()) return Failed(output, options.Error());
+  const std::string command = parsed.operands.front();
+  const std::vector<std::string> operands(parsed.operands.begin() + 1,
+                                          parsed.operands.end());
+  if (command == "validate") return Validate(operands, output);
+  const bool is_known = command == "apply" || command == "get" ||
+                        command == "history" || command == "retire";
+  if (!is_known)
+    return ReportBadUse(output, "no such command: " + command, kConfigUse);
+  const Result<KvOptions> options = ParseKvOptions(parsed);
+  if (!options.Ok()) return ReportFailure(output, options.Error());
   const KvClient kv(options.Value());
   ConfigEditor editor(kv, OperatorName(parsed));
-  if (command == "apply") return Apply(editor, parsed, words, output);
-  if (command == "get") return Get(editor, words, output);
+  if (command == "apply") return Apply(editor, parsed, operands, output);
+  if (command == "get") return Get(editor, operands, output);
   if (command == "history") {
-    return History(kv, words, parsed.options.count("json") > 0, output);
+    return History(kv, operands, parsed.options.count("json") > 0, output);
   }
-  return Retire(editor, words, output);
+  return Retire(editor, operands, output);
 }
 
 int RunKeyCommand(const std::vector<std::string>& arguments,
                   const CommandOutput& output) {
   Parsed parsed = Parse(arguments, KvOptionsDescription(), kKeyUse, output);
   if (parsed.exit.has_value()) return *parsed.exit;
-  const bool usable =
-      parsed.words.size() == 2 &&
-      (parsed.words[0] == "grant" || parsed.words[0] == "withdraw");
-  if (!usable) {
-    return BadUse(output, "expected grant WORKSPACE or withdraw KEY_ID",
-                  kKeyUse);
+  const bool is_valid =
+      parsed.operands.size() == 2 &&
+      (parsed.operands[0] == "grant" || parsed.operands[0] == "withdraw");
+  if (!is_valid) {
+    return ReportBadUse(output, "expected grant WORKSPACE or withdraw KEY_ID",
+                        kKeyUse);
   }
-  const Result<KvOptions> options = KvOptionsOf(parsed);
-  if (!options.Ok()) return Failed(output, options.Error());
+  const Result<KvOptions> options = ParseKvOptions(parsed);
+  if (!options.Ok()) return ReportFailure(output, options.Error());
   const KvClient kv(options.Value());
   ConfigEditor editor(kv, OperatorName(parsed));
-  if (parsed.words[0] == "grant") {
-    const auto granted = editor.GrantKey(parsed.words[1]);
-    if (!granted.Ok()) return Failed(output, granted.Error());
+  if (parsed.operands[0] == "grant") {
+    const auto granted = editor.GrantKey(parsed.operands[1]);
+    if (!granted.Ok()) return ReportFailure(output, granted.Error());
     fmt::print(output.err, "id {}, shown only this once:\n",
                granted.Value().key.id);
     fmt::print(output.out, "{}\n", granted.Value().key.ToString());
     return kExitDone;
   }
-  const auto revision = editor.WithdrawKey(parsed.words[1]);
-  if (!revision.Ok()) return Failed(output, revision.Error());
-  fmt::print(output.out, "withdrew {} at revision {}\n", parsed.words[1],
+  const auto revision = editor.WithdrawKey(parsed.operands[1]);
+  if (!revision.Ok()) return ReportFailure(output, revision.Error());
+  fmt::print(output.out, "withdrew {} at revision {}\n", parsed.operands[1],
              revision.Value());
   return kExitDone;
 }
 
 int RunStatusCommand(const std::vector<std::string>& arguments,
                      const CommandOutput& output) {
-  po::options_description described;
-  described.add_options()("instance", po::value<std::string>(),
-                          "the instance's operator address")("json",
-                                                             "JSON output");
-  const Parsed parsed = Parse(arguments, described, kStatusUse, output);
+  po::options_description description;
+  description.add_options()("instance", po::value<std::string>(),
+                            "the instance's operator address")("json",
+                                                               "JSON output");
+  const Parsed parsed = Parse(arguments, description, kStatusUse, output);
   if (parsed.exit.has_value()) return *parsed.exit;
-  if (parsed.options.count("instance") == 0 || !parsed.words.empty()) {
-    return BadUse(output, "expected --instance ADDRESS:PORT", kStatusUse);
+  if (parsed.options.count("instance") == 0 || !parsed.operands.empty()) {
+    return ReportBadUse(output, "expected --instance ADDRESS:PORT", kStatusUse);
   }
   const Result<Endpoint> instance =
       ParseEndpoint(parsed.options["instance"].as<std::string>());
-  if (!instance.Ok()) return Failed(output, instance.Error());
+  if (!instance.Ok()) return ReportFailure(output, instance.Error());
   const Result<json> status = FetchStatus(instance.Value());
-  if (!status.Ok()) return Failed(output, status.Error());
+  if (!status.Ok()) return ReportFailure(output, status.Error());
   if (parsed.options.count("json") > 0) {
     fmt::print(output.out, "{}\n", status.Value().dump(2));
     return kExitDone;
@@ -310,9 +313,9 @@
   try {
     fmt::print(output.out, "{}", StatusText(status.Value()));
   } catch (const json::exception& error) {
-    return Failed(output,
-                  MakeFailure(Errc::kBadAnswer, "show status",
-                              instance.Value().ToString(), error.what()));
+    return ReportFailure(
+        output, MakeFailure(Errc::kBadAnswer, "show status",
+                            instance.Value().ToString(), error.what()));
   }
   return kExitDone;
 }
@@ -322,14 +325,15 @@
   const Parsed parsed =
       Parse(arguments, KvOptionsDescription(), kAuditUse, output);
   if (parsed.exit.has_value()) return *parsed.exit;
-  if (!parsed.words.empty()) {
-    return BadUse(output, "unexpected " + parsed.words.front(), kAuditUse);
+  if (!parsed.operands.empty()) {
+    return ReportBadUse(output, "unexpected " + parsed.operands.front(),
+                        kAuditUse);
   }
-  const Result<KvOptions> options = KvOptionsOf(parsed);
-  if (!options.Ok()) return Failed(output, options.Error());
+  const Result<KvOptions> options = ParseKvOptions(parsed);
+  if (!options.Ok()) return ReportFailure(output, options.Error());
   const KvClient kv(options.Value());
   const auto trail = ReadAuditTrail(kv);
-  if (!trail.Ok()) return Failed(output, trail.Error());
+  if (!trail.Ok()) return ReportFailure(output, trail.Error());
   const std::string subject = parsed.options.count("subject") > 0
                                   ? parsed.options["subject"].as<std::string>()
                                   : std::string();
--- a/dragonflyglade/operator/commands.h
+++ b/dragonflyglade/operator/commands.h
@@ -7,19 +7,20 @@
 
 namespace dragonflyglade {
 
-/// Exit codes of all commands.
+/// The exit codes of all commands.
 inline constexpr int kExitDone = 0;
 inline constexpr int kExitFailed = 1;
 inline constexpr int kExitBadUse = 2;
 
-/// Where a command writes.
+/// The streams to which a command writes.
 struct CommandOutput {
   std::ostream& out;
   std::ostream& err;
 };
 
-/// The operators' commands. The arguments begin after the command's name.
-/// @return an exit code
+// The commands for operators. The arguments start after the command's name;
+// each returns one of the exit codes above.
+
 int RunConfigCommand(const std::vector<std::string>& arguments,
                      const CommandOutput& output);
 int RunKeyCommand(const std::vector<std::string>& arguments,
--- a/dragonflyglade/operator/config_editor.cc
+++ b/dragonflyglade/operator/config_editor.cc
@@ -14,53 +14,57 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "configuration";
-constexpr std::size_t kMostDrafts = 100;
+constexpr const char* kConfigurationPeer = "configuration";
+constexpr std::size_t kMaxDrafts = 100;
 constexpr int kReadBackAttempts = 5;
-constexpr absl::Duration kReadBackPause = absl::Milliseconds(300);
+constexpr absl::Duration kReadBackInterval = absl::Milliseconds(300);
 constexpr std::size_t kAuditSuffixBytes = 4;
 
-Failure Invalid(std::string_view why) {
-  return MakeFailure(Errc::kInvalidRecord, "read drafts", kPeer, why);
+Failure InvalidDraft(std::string_view why) {
+  return MakeFailure(Errc::kInvalidRecord, "read drafts", kConfigurationPeer,
+                     why);
 }
 
 Result<RecordDraft> ParseDraft(const json& item, std::size_t index) {
-  const std::string where = fmt::format("record {}", index + 1);
+  const std::string position = fmt::format("record {}", index + 1);
   if (!item.is_object()) {
-    return Invalid(where + ": expected an object; found " + item.dump());
+    return InvalidDraft(position + ": expected an object; found " +
+                        item.dump());
   }
   for (const auto& [field, value] : item.items()) {
     static const std::set<std::string> kKnown = {"kind", "schema", "name",
                                                  "value"};
     if (kKnown.count(field) > 0) continue;
-    return Invalid(fmt::format("{}.{}: expected only kind, schema, name, value",
-                               where, field));
+    return InvalidDraft(fmt::format(
+        "{}.{}: expected only kind, schema, name, value", position, field));
   }
-  const bool typed = item.contains("kind") && item.at("kind").is_string() &&
-                     item.contains("name") && item.at("name").is_string() &&
-                     item.contains("schema") &&
-                     item.at("schema").is_number_integer() &&
-                     item.contains("value");
-  if (!typed) {
-    return Invalid(where +
-                   ": expected kind and name as strings, schema as a number, "
-                   "and value");
+  const bool has_fields =
+      item.contains("kind") && item.at("kind").is_string() &&
+      item.contains("name") && item.at("name").is_string() &&
+      item.contains("schema") && item.at("schema").is_number_integer() &&
+      item.contains("value");
+  if (!has_fields) {
+    return InvalidDraft(
+        position +
+        ": expected kind and name as strings, schema as a number, "
+        "and value");
   }
   RecordDraft draft;
   draft.key = RecordKey{item.at("kind"), item.at("schema"), item.at("name")};
   draft.value = item.at("value");
   const std::vector<std::string> kinds = RecordKinds();
   if (std::find(kinds.begin(), kinds.end(), draft.key.kind) == kinds.end()) {
-    return Invalid(fmt::format("{}.kind: expected one of {}; found {}", where,
-                               fmt::join(kinds, ", "), draft.key.kind));
+    return InvalidDraft(fmt::format("{}.kind: expected one of {}; found {}",
+                                    position, fmt::join(kinds, ", "),
+                                    draft.key.kind));
   }
   const Result<RecordKey> key = ParseRecordKey(draft.key.ToString());
-  if (!key.Ok()) return Invalid(where + ": " + key.Error().detail);
+  if (!key.Ok()) return InvalidDraft(position + ": " + key.Error().detail);
   if (draft.value.is_null()) return draft;
   const Result<Record> record = ParseRecord(draft.key, draft.value.dump());
   if (!record.Ok()) {
-    return Invalid(fmt::format("{} ({}): {}", where, draft.key.ToString(),
-                               record.Error().detail));
+    return InvalidDraft(fmt::format(
+        "{} ({}): {}", position, draft.key.ToString(), record.Error().detail));
   }
   return draft;
 }
@@ -69,20 +73,20 @@
 
 Result<std::vector<RecordDraft>> ParseDrafts(std::string_view text) {
   json document = json::parse(text, nullptr, false);
-  if (document.is_discarded()) return Invalid("expected JSON");
+  if (document.is_discarded()) return InvalidDraft("expected JSON");
   if (!document.is_array()) document = json::array({document});
-  if (document.empty()) return Invalid("expected at least one record");
-  if (document.size() > kMostDrafts) {
-    return Invalid(fmt::format("expected at most {} records; found {}",
-                               kMostDrafts, document.size()));
+  if (document.empty()) return InvalidDraft("expected at least one record");
+  if (document.size() > kMaxDrafts) {
+    return InvalidDraft(fmt::format("expected at most {} records; found {}",
+                                    kMaxDrafts, document.size()));
   }
   std::vector<RecordDraft> drafts;
-  std::set<std::string> seen;
+  std::set<std::string> keys;
   for (std::size_t i = 0; i < document.size(); ++i) {
     const Result<RecordDraft> draft = ParseDraft(document[i], i);
     if (!draft.Ok()) return draft.Error();
-    if (!seen.insert(draft.Value().key.ToString()).second) {
-      return Invalid(draft.Value().key.ToString() + ": stands twice");
+    if (!keys.insert(draft.Value().key.ToString()).second) {
+      return InvalidDraft(draft.Value().key.ToString() + ": stands twice");
     }
     drafts.push_back(draft.Value());
   }
@@ -118,27 +122,28 @@
   return entries.dump();
 }
 
-// Failure: the answer to the write is lost, the operator repeats the command
-// and is told of a conflict with himself. The audit segment has a key of its
-// own and is written in the same transaction, so its presence tells whether
-// the change took effect.
-Result<std::int64_t> ConfigEditor::Commit(const std::vector<KvExpect>& expects,
-                                          std::vector<KvWrite> writes,
-                                          const std::string& audit_key) {
-  const Result<KvTxnReply> reply = this->kv.Txn(expects, writes);
+// Failure: the response to the write is lost, and the operator who repeats the
+// command gets a conflict with the first attempt. The audit segment has a key
+// of its own and is written in the same transaction, so its presence shows
+// whether the change took effect.
+Result<std::int64_t> ConfigEditor::Commit(
+    const std::vector<KvExpect>& conditions, std::vector<KvWrite> writes,
+    const std::string& audit_key) {
+  const Result<KvTxnReply> reply = this->kv.Txn(conditions, writes);
   if (reply.Ok()) {
     if (reply.Value().succeeded) return reply.Value().revision;
     std::vector<std::string> changed;
-    for (const KvExpect& expect : expects) {
+    for (const KvExpect& condition : conditions) {
       const auto& found = reply.Value().found;
-      const auto entry =
-          std::find_if(found.begin(), found.end(),
-                       [&](const KvEntry& e) { return e.key == expect.key; });
+      const auto entry = std::find_if(
+          found.begin(), found.end(),
+          [&](const KvEntry& e) { return e.key == condition.key; });
       const std::int64_t revision =
           entry == found.end() ? 0 : entry->mod_revision;
-      if (revision == expect.mod_revision) continue;
+      if (revision == condition.mod_revision) continue;
       changed.push_back(fmt::format("{} is at revision {}, expected {}",
-                                    expect.key, revision, expect.mod_revision));
+                                    condition.key, revision,
+                                    condition.mod_revision));
     }
     return MakeFailure(Errc::kConflict, "apply", "kv",
                        fmt::format("{}", fmt::join(changed, "; ")));
@@ -151,7 +156,7 @@
     if (range.Ok() && !range.Value().entries.empty()) {
       return range.Value().entries.front().mod_revision;
     }
-    absl::SleepFor(kReadBackPause);
+    absl::SleepFor(kReadBackInterval);
   }
   return MakeFailure(Errc::kOutcomeUnknown, "apply", "kv",
                      "look with 'config get' before trying again");
@@ -159,7 +164,7 @@
 
 Result<std::int64_t> ConfigEditor::Apply(const std::vector<RecordDraft>& drafts,
                                          std::string_view action) {
-  std::vector<KvExpect> expects;
+  std::vector<KvExpect> conditions;
   std::vector<KvWrite> writes;
   for (const RecordDraft& draft : drafts) {
     const std::string key = draft.key.ToString();
@@ -169,7 +174,7 @@
       if (!current.Ok()) return current;
       expected = current.Value();
     }
-    expects.push_back(KvExpect{key, expected});
+    conditions.push_back(KvExpect{key, expected});
     writes.push_back(
         KvWrite{key, draft.value.dump(), 0, draft.value.is_null()});
   }
@@ -178,7 +183,7 @@
       absl::ToUnixMicros(absl::Now()), RandomHex(kAuditSuffixBytes));
   writes.push_back(
       KvWrite{audit_key, this->AuditSegment(drafts, action), 0, false});
-  return this->Commit(expects, std::move(writes), audit_key);
+  return this->Commit(conditions, std::move(writes), audit_key);
 }
 
 Result<std::vector<KvEntry>> ConfigEditor::Get(std::string_view kind,
@@ -193,14 +198,14 @@
     for (const KvEntry& entry : range.Value().entries) found.push_back(entry);
   }
   if (!found.empty()) return found;
-  return MakeFailure(Errc::kUnknownRecord, "get", kPeer,
+  return MakeFailure(Errc::kUnknownRecord, "get", kConfigurationPeer,
                      fmt::format("{} {}", kind, name));
 }
 
 Result<std::int64_t> ConfigEditor::Retire(std::string_view kind, int schema) {
   if (schema < 1 || schema >= NewestSchema(kind)) {
     return MakeFailure(
-        Errc::kInvalidArgument, "retire", kPeer,
+        Errc::kInvalidArgument, "retire", kConfigurationPeer,
         fmt::format("expected a schema of {} before its newest, v{}", kind,
                     NewestSchema(kind)));
   }
@@ -218,13 +223,13 @@
       (version <= schema ? old_names : new_names).insert(key.Value().name);
     }
   }
-  std::vector<std::string> left;
+  std::vector<std::string> unmigrated_names;
   std::set_difference(old_names.begin(), old_names.end(), new_names.begin(),
-                      new_names.end(), std::back_inserter(left));
-  if (!left.empty()) {
-    return MakeFailure(
-        Errc::kRefused, "retire", kPeer,
-        fmt::format("without a newer version: {}", fmt::join(left, ", ")));
+                      new_names.end(), std::back_inserter(unmigrated_names));
+  if (!unmigrated_names.empty()) {
+    return MakeFailure(Errc::kRefused, "retire", kConfigurationPeer,
+                       fmt::format("without a newer version: {}",
+                                   fmt::join(unmigrated_names, ", ")));
   }
   RecordDraft draft;
   draft.key = RecordKey{"retirement", 1, std::string(kind)};
@@ -256,7 +261,7 @@
   const KvEntry& entry = stored.Value().front();
   json value = json::parse(entry.value, nullptr, false);
   if (!value.is_object()) {
-    return MakeFailure(Errc::kInvalidRecord, "withdraw", kPeer,
+    return MakeFailure(Errc::kInvalidRecord, "withdraw", kConfigurationPeer,
                        entry.key + " is not a key record");
   }
   value["withdrawn"] = true;
--- a/dragonflyglade/operator/metrics.cc
+++ b/dragonflyglade/operator/metrics.cc
@@ -11,7 +11,7 @@
 
 namespace acc = boost::accumulators;
 
-std::string Labelled(const std::string& name, const std::string& label) {
+std::string WithLabel(const std::string& name, const std::string& label) {
   return label.empty() ? name : fmt::format("{}{{{}}}", name, label);
 }
 
@@ -50,7 +50,8 @@
 }
 
 std::string Metrics::Text() const {
-  // Lines of one name must stand together, so they are sorted first.
+  // The format requires that the lines of one name are adjacent, so they are
+  // sorted first.
   std::map<Series, std::string> lines;
   std::map<std::string, std::string_view> types;
   for (const Shard& shard : this->shards) {
@@ -58,19 +59,19 @@
     for (const auto& [series, value] : shard.counters) {
       types[series.first] = "counter";
       lines[series] =
-          fmt::format("{} {}\n", Labelled(series.first, series.second), value);
+          fmt::format("{} {}\n", WithLabel(series.first, series.second), value);
     }
     for (const auto& [series, distribution] : shard.distributions) {
       const auto& [name, label] = series;
       types[name] = "summary";
       lines[series] = fmt::format(
           "{} {}\n{} {}\n{} {}\n{} {}\n",
-          Labelled(name, WithQuantile(label, "0.5")),
+          WithLabel(name, WithQuantile(label, "0.5")),
           acc::p_square_quantile(distribution.median),
-          Labelled(name, WithQuantile(label, "0.95")),
+          WithLabel(name, WithQuantile(label, "0.95")),
           acc::p_square_quantile(distribution.p95),
-          Labelled(name + "_sum", label), acc::sum(distribution.total),
-          Labelled(name + "_count", label), acc::count(distribution.total));
+          WithLabel(name + "_sum", label), acc::sum(distribution.total),
+          WithLabel(name + "_count", label), acc::count(distribution.total));
     }
   }
   {
@@ -81,12 +82,12 @@
     }
   }
   std::string text;
-  std::string last;
+  std::string previous_name;
   for (const auto& [series, line] : lines) {
-    if (series.first != last) {
+    if (series.first != previous_name) {
       text += fmt::format("# TYPE {} {}\n", series.first, types[series.first]);
     }
-    last = series.first;
+    previous_name = series.first;
     text += line;
   }
   return text;
--- a/dragonflyglade/operator/metrics.h
+++ b/dragonflyglade/operator/metrics.h
@@ -17,7 +17,7 @@
 
 namespace dragonflyglade {
 
-/// Counters and distributions, in Prometheus's text format.
+/// Counters, distributions and gauges, exported in Prometheus's text format.
 /// Thread-safe; names are spread over shards with a lock each.
 class Metrics {
  public:
@@ -26,17 +26,18 @@
   /// @param label one label, such as `code="over_rate"`; may be empty
   void Count(std::string_view name, std::string_view label = {}, double by = 1);
 
-  /// Adds an observation to a distribution; reported as count, sum and the
-  /// 0.5 and 0.95 quantiles.
+  /// Adds an observation to a distribution, which is exported as its count, sum
+  /// and 0.5 and 0.95 quantiles.
   void Observe(std::string_view name, std::string_view label, double value);
 
-  /// Adds a value that is read when the text is written.
+  /// Adds a gauge.
+  /// @param read called for the present value at each export
   void AddGauge(std::string_view name, std::function<double()> read);
 
-  /// All metrics as text.
+  /// Exports all metrics as text.
   std::string Text() const;
 
-  /// The counters of a name, by label.
+  /// The values of all counters of a name, by label.
   std::map<std::string, double> Counters(std::string_view name) const;
 
  private:
@@ -51,7 +52,7 @@
     QuantileAccumulator median{boost::accumulators::quantile_probability = 0.5};
     QuantileAccumulator p95{boost::accumulators::quantile_probability = 0.95};
   };
-  // Name and label.
+  // The name and the label of a time series.
   using Series = std::pair<std::string, std::string>;
   struct Shard {
     mutable absl::Mutex mutex;
--- a/dragonflyglade/operator/record_schemas.h
+++ b/dragonflyglade/operator/record_schemas.h
@@ -6,7 +6,7 @@
 
 namespace dragonflyglade {
 
-/// The JSON schema of a kind's records at a schema version; null if there is
+/// The JSON schema of a schema version of a kind of records; null if there is
 /// none.
 const nlohmann::json* RecordSchema(std::string_view kind, int version);
 
--- a/dragonflyglade/operator/records.cc
+++ b/dragonflyglade/operator/records.cc
@@ -14,29 +14,29 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "configuration";
-constexpr std::size_t kLongestName = 128;
-constexpr int kHighestSchemaTried = 16;
+constexpr const char* kConfigurationPeer = "configuration";
+constexpr std::size_t kMaxNameBytes = 128;
+constexpr int kMaxSchemaVersion = 16;
 
-constexpr std::array<std::string_view, 9> kKinds = {
+constexpr std::array<std::string_view, 9> kOperatorKinds = {
     "workspace", "key",       "rate",    "pool",      "model",
     "adapter",   "placement", "service", "retirement"};
 
-Failure Invalid(std::string_view step, std::string_view why) {
-  return MakeFailure(Errc::kInvalidRecord, step, kPeer, why);
+Failure InvalidRecord(std::string_view step, std::string_view why) {
+  return MakeFailure(Errc::kInvalidRecord, step, kConfigurationPeer, why);
 }
 
-bool IsName(std::string_view text) {
-  if (text.empty() || text.size() > kLongestName) return false;
+bool IsValidName(std::string_view text) {
+  if (text.empty() || text.size() > kMaxNameBytes) return false;
   for (const char c : text) {
-    const bool known = std::isalnum(static_cast<unsigned char>(c)) != 0 ||
-                       c == '.' || c == '_' || c == '-';
-    if (!known) return false;
+    const bool is_allowed = std::isalnum(static_cast<unsigned char>(c)) != 0 ||
+                            c == '.' || c == '_' || c == '-';
+    if (!is_allowed) return false;
   }
   return true;
 }
 
-std::vector<std::string_view> Split(std::string_view text) {
+std::vector<std::string_view> SplitAtSlashes(std::string_view text) {
   std::vector<std::string_view> parts;
   std::size_t start = 0;
   while (true) {
@@ -47,7 +47,7 @@
   }
 }
 
-int SchemaNumber(std::string_view text) {
+int ParseSchemaVersion(std::string_view text) {
   int number = 0;
   if (text.size() < 2 || text.front() != 'v') return 0;
   const char* end = text.data() + text.size();
@@ -171,19 +171,20 @@
 }
 
 Result<RecordKey> ParseRecordKey(std::string_view text) {
-  const std::vector<std::string_view> parts = Split(text);
+  const std::vector<std::string_view> parts = SplitAtSlashes(text);
   if (parts.size() != 4 || parts[0] != "config") {
-    return Invalid(
+    return InvalidRecord(
         "read record key",
         fmt::format("expected config/<kind>/v<n>/<name>, found '{}'", text));
   }
-  const int schema = SchemaNumber(parts[2]);
+  const int schema = ParseSchemaVersion(parts[2]);
   if (schema < 1) {
-    return Invalid("read record key",
-                   fmt::format("expected v1, v2, ...; found '{}'", parts[2]));
+    return InvalidRecord(
+        "read record key",
+        fmt::format("expected v1, v2, ...; found '{}'", parts[2]));
   }
-  if (!IsName(parts[3])) {
-    return Invalid(
+  if (!IsValidName(parts[3])) {
+    return InvalidRecord(
         "read record key",
         fmt::format("expected a name of letters, digits, '.', '_' and '-'; "
                     "found '{}'",
@@ -193,11 +194,11 @@
 }
 
 std::vector<std::string> RecordKinds() {
-  return {kKinds.begin(), kKinds.end()};
+  return {kOperatorKinds.begin(), kOperatorKinds.end()};
 }
 
 int NewestSchema(std::string_view kind) {
-  for (int version = kHighestSchemaTried; version > 0; --version) {
+  for (int version = kMaxSchemaVersion; version > 0; --version) {
     if (RecordSchema(kind, version) != nullptr) return version;
   }
   return 0;
@@ -206,23 +207,26 @@
 Result<Record> ParseRecord(const RecordKey& key, std::string_view value) {
   const int newest = NewestSchema(key.kind);
   if (newest == 0) {
-    return Invalid("read record", fmt::format("unknown kind '{}'", key.kind));
+    return InvalidRecord("read record",
+                         fmt::format("unknown kind '{}'", key.kind));
   }
   const json* schema = RecordSchema(key.kind, key.schema);
   if (schema == nullptr) {
-    return Invalid("read record",
-                   fmt::format("schema v{} of {} is not known here; newest is "
-                               "v{}",
-                               key.schema, key.kind, newest));
+    return InvalidRecord(
+        "read record",
+        fmt::format("schema v{} of {} is not known here; newest is "
+                    "v{}",
+                    key.schema, key.kind, newest));
   }
   const json document = json::parse(value, nullptr, false);
-  if (document.is_discarded()) return Invalid("read record", "not JSON");
+  if (document.is_discarded()) return InvalidRecord("read record", "not JSON");
   const std::vector<SchemaProblem> problems = CheckSchema(*schema, document);
-  if (!problems.empty()) return Invalid("read record", Describe(problems));
+  if (!problems.empty())
+    return InvalidRecord("read record", Describe(problems));
   try {
     return ToRecord(key, document);
   } catch (const json::exception& error) {
-    return Invalid("read record", error.what());
+    return InvalidRecord("read record", error.what());
   }
 }
 
--- a/dragonflyglade/operator/records.h
+++ b/dragonflyglade/operator/records.h
@@ -16,10 +16,10 @@
 
 namespace dragonflyglade {
 
-/// The prefix of all records of the configuration.
+/// The key prefix of all configuration records.
 inline constexpr std::string_view kConfigPrefix = "config/";
 
-/// Where a record stands: "config/<kind>/v<schema>/<name>".
+/// A record's key in the key-value service: "config/<kind>/v<schema>/<name>".
 struct RecordKey {
   std::string kind;
   int schema = 0;
@@ -28,17 +28,17 @@
   std::string ToString() const;
 };
 
-/// Reads a record's key. Errors: kInvalidRecord.
+/// Parses a record's key. Errors: kInvalidRecord.
 Result<RecordKey> ParseRecordKey(std::string_view text);
 
-/// A tenant.
+/// A workspace, which is a tenant of the platform.
 struct WorkspaceRecord {
   std::string name;
   std::string description;
-  std::vector<std::string> models;  ///< the only ones it may use; empty: all
+  std::vector<std::string> models;  ///< those it may use; empty for all
 };
 
-/// A caller's key; the secret itself is nowhere kept.
+/// A caller's key; the secret itself is stored nowhere.
 struct KeyRecord {
   std::string id;
   std::string workspace;
@@ -47,22 +47,22 @@
   bool withdrawn = false;
 };
 
-/// A workspace's rate over the whole fleet.
+/// A workspace's rate limit over the whole fleet.
 struct RateRecord {
   std::string workspace;
   RateLimit limit;
 };
 
-/// What kind of targets a pool has.
+/// The kind of targets in a pool.
 enum class PoolKind { kEngine, kService };
 
-/// A set of targets that can stand in for each other.
+/// A set of interchangeable targets.
 struct PoolRecord {
   std::string name;
   PoolKind kind = PoolKind::kEngine;
   std::int64_t memory_bytes = 0;  ///< accelerator memory of one target
-  bool fenced = false;            ///< targets refuse orders with an old fence
-  std::string role;  ///< that its engines should have; empty: as they are
+  bool fenced = false;  ///< targets refuse orders with an old fencing token
+  std::string role;     ///< set on its engines; empty to leave them unchanged
 };
 
 /// A model that engines can load.
@@ -71,17 +71,17 @@
   std::string pool;
   std::string version;
   std::int64_t bytes = 0;
-  int max_output_tokens = 0;  ///< assumed when a request names none
+  int max_output_tokens = 0;  ///< the default limit of a request
 };
 
-/// An adapter on a model.
+/// An adapter of a model.
 struct AdapterRecord {
   std::string name;
   std::string model;
   std::int64_t bytes = 0;
 };
 
-/// How many copies of a model are wanted.
+/// The desired number of replicas of a model.
 struct PlacementRecord {
   std::string model;
   int copies = 1;
@@ -94,7 +94,7 @@
   bool repeatable = false;
 };
 
-/// A plain service.
+/// A plain service, whose targets run no models.
 struct ServiceRecord {
   std::string name;
   std::string pool;
@@ -103,7 +103,7 @@
   std::vector<ServiceRoute> routes;
 };
 
-/// Schemas of a kind up to this number are out of use.
+/// The retired schema versions of a kind: all up to a number.
 struct RetirementRecord {
   std::string kind;
   int retired_up_to = 0;
@@ -116,23 +116,26 @@
 /// The kinds of records that operators write.
 std::vector<std::string> RecordKinds();
 
-/// The kind of the fleet's own records of shares, which travel the same way.
+/// The kind of the records of quota shares. Instances write these themselves
+/// and distribute them like the operators' records.
 inline constexpr std::string_view kAllotmentKind = "allotment";
 
-/// Where a workspace's allotment stands.
+/// The key of a workspace's allotment record.
 std::string AllotmentKey(std::string_view workspace);
 
-/// The value of an allotment's record.
+/// Encodes the value of an allotment record.
 std::string EncodeAllotment(const Allotment& allotment);
 
-/// The newest schema of a kind that is understood here; 0 for unknown kinds.
+/// The newest schema version of a kind that this program supports; 0 for an
+/// unknown kind.
 int NewestSchema(std::string_view kind);
 
-/// Reads a record of any kind and schema.
-/// Errors: kInvalidRecord, with the path, what was expected and found.
+/// Parses a record of any kind and schema version.
+/// Errors: kInvalidRecord, with the path of the invalid field, what was
+/// expected and what was found.
 Result<Record> ParseRecord(const RecordKey& key, std::string_view value);
 
-/// Why a record version cannot be taken, or nothing if it can.
+/// The reason why a record version is invalid; nothing if it is valid.
 std::optional<std::string> WhyInvalid(const RecordVersion& version);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/operator/schema_check.cc
+++ b/dragonflyglade/operator/schema_check.cc
@@ -15,10 +15,11 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kLongestFound = 80;
+constexpr std::size_t kMaxFoundBytes = 80;
 
-// The library writes a path as "<root>", "[limits]", "[0]".
-std::vector<std::string> StepsOf(const std::vector<std::string>& context) {
+// The validation library's path has elements such as "<root>", "[limits]" and
+// "[0]". Returns the names in brackets.
+std::vector<std::string> ParsePath(const std::vector<std::string>& context) {
   std::vector<std::string> steps;
   for (const std::string& part : context) {
     if (part.size() > 2 && part.front() == '[') {
@@ -71,7 +72,7 @@
   return fmt::format("{}", fmt::join(names, ", "));
 }
 
-std::string ExpectedBy(const json* schema) {
+std::string DescribeExpected(const json* schema) {
   if (schema == nullptr) return "a known setting";
   std::vector<std::string> parts;
   if (schema->contains("type")) {
@@ -99,27 +100,28 @@
   return fmt::format("{}", fmt::join(parts, ", "));
 }
 
-std::string FoundText(const json* value) {
+std::string DescribeFound(const json* value) {
   if (value == nullptr) return "nothing";
   std::string text =
       value->dump(-1, ' ', false, json::error_handler_t::replace);
-  if (text.size() > kLongestFound) {
-    text = text.substr(0, kLongestFound) + "...";
+  if (text.size() > kMaxFoundBytes) {
+    text = text.substr(0, kMaxFoundBytes) + "...";
   }
   return text;
 }
 
-SchemaProblem ProblemAt(const json& schema, const json& document,
-                        const std::vector<std::string>& steps) {
+SchemaProblem MakeProblem(const json& schema, const json& document,
+                          const std::vector<std::string>& steps) {
   SchemaProblem problem;
   problem.path =
       steps.empty() ? "(document)" : fmt::format("{}", fmt::join(steps, "."));
-  problem.expected = ExpectedBy(SchemaAt(schema, steps));
-  problem.found = FoundText(ValueAt(document, steps));
+  problem.expected = DescribeExpected(SchemaAt(schema, steps));
+  problem.found = DescribeFound(ValueAt(document, steps));
   return problem;
 }
 
-// The library names the object, not the field that is too many.
+// For an unknown field the validation library names only the object, so its
+// unknown fields are searched here.
 void AddUnknownFields(const json& schema, const json& document,
                       const std::vector<std::string>& steps,
                       std::vector<SchemaProblem>& problems) {
@@ -131,9 +133,10 @@
     if (rule->at("properties").contains(name)) continue;
     std::vector<std::string> path = steps;
     path.push_back(name);
-    problems.push_back(SchemaProblem{
-        fmt::format("{}", fmt::join(path, ".")),
-        "no such field; known are " + PropertyNames(*rule), FoundText(&value)});
+    problems.push_back(
+        SchemaProblem{fmt::format("{}", fmt::join(path, ".")),
+                      "no such field; known are " + PropertyNames(*rule),
+                      DescribeFound(&value)});
   }
 }
 
@@ -151,21 +154,22 @@
   std::vector<SchemaProblem> problems;
   if (validator.validate(parsed, target, &results)) return problems;
 
-  std::vector<std::vector<std::string>> places;
+  std::vector<std::vector<std::string>> paths;
   valijson::ValidationResults::Error error;
-  while (results.popError(error)) places.push_back(StepsOf(error.context));
-  std::sort(places.begin(), places.end(),
+  while (results.popError(error)) paths.push_back(ParsePath(error.context));
+  std::sort(paths.begin(), paths.end(),
             [](const auto& a, const auto& b) { return a.size() > b.size(); });
-  places.erase(std::unique(places.begin(), places.end()), places.end());
-  for (const auto& place : places) {
-    AddUnknownFields(schema, document, place, problems);
+  paths.erase(std::unique(paths.begin(), paths.end()), paths.end());
+  for (const auto& path : paths) {
+    AddUnknownFields(schema, document, path, problems);
   }
-  // An object is wrong because something in it is; the innermost says most.
-  const std::size_t deepest = places.empty() ? 0 : places.front().size();
-  for (const auto& place : places) {
-    const bool is_inner = place.size() == deepest;
+  // An object is invalid because a value inside it is, so only the innermost
+  // path is reported.
+  const std::size_t deepest = paths.empty() ? 0 : paths.front().size();
+  for (const auto& path : paths) {
+    const bool is_inner = path.size() == deepest;
     if (is_inner && problems.empty()) {
-      problems.push_back(ProblemAt(schema, document, place));
+      problems.push_back(MakeProblem(schema, document, path));
     }
   }
   return problems;
--- a/dragonflyglade/operator/schema_check.h
+++ b/dragonflyglade/operator/schema_check.h
@@ -9,15 +9,15 @@
 
 namespace dragonflyglade {
 
-/// One place where a document does not fit its schema.
+/// One place at which a document does not match its schema.
 struct SchemaProblem {
   std::string path;      ///< e.g. "limits.max_body_bytes"
   std::string expected;  ///< e.g. "integer, at least 1"
   std::string found;     ///< the value there, or "nothing"
 };
 
-/// Checks a document against a JSON schema (draft 7).
-/// @return the problems, most specific first; empty if there are none
+/// Validates a document against a JSON schema (draft 7).
+/// @return the problems, the most specific first; empty if it is valid
 std::vector<SchemaProblem> CheckSchema(const nlohmann::json& schema,
                                        const nlohmann::json& document);
 
--- a/dragonflyglade/operator/settings_options.cc
+++ b/dragonflyglade/operator/settings_options.cc
@@ -11,14 +11,14 @@
     const std::vector<std::string>& arguments, std::string_view use,
     const CommandOutput& output) {
   namespace po = boost::program_options;
-  po::options_description described;
-  described.add_options()("help", "show this text")(
+  po::options_description description;
+  description.add_options()("help", "show this text")(
       "settings", po::value<std::string>(), "the settings file")(
       "check", "only check the settings");
   po::variables_map options;
   try {
     po::store(po::command_line_parser(arguments)
-                  .options(described)
+                  .options(description)
                   .positional({})
                   .run(),
               options);
--- a/dragonflyglade/operator/settings_options.h
+++ b/dragonflyglade/operator/settings_options.h
@@ -10,15 +10,15 @@
 
 namespace dragonflyglade {
 
-/// The options of a command that runs from a settings file.
+/// The options of a command that is started with a settings file.
 struct SettingsOptions {
   std::string settings;  ///< path
   bool check = false;    ///< only check the settings
 };
 
-/// Reads "--settings FILE [--check]". Prints help and complaints.
-/// @param use the command's line of use, with its end of line
-/// @return the options, or the exit code to end with
+/// Parses "--settings FILE [--check]". Prints the help text and errors.
+/// @param use the command's usage line, with a newline at the end
+/// @return the options, or the exit code with which the command ends
 std::variant<SettingsOptions, int> ParseSettingsOptions(
     const std::vector<std::string>& arguments, std::string_view use,
     const CommandOutput& output);
--- a/dragonflyglade/operator/status_server.h
+++ b/dragonflyglade/operator/status_server.h
@@ -10,7 +10,7 @@
 
 namespace dragonflyglade {
 
-/// Shows operators what an instance sees: GET /status, as JSON.
+/// Serves an instance's status to operators, as JSON at GET /status.
 class StatusServer {
  public:
   using Read = std::function<nlohmann::json()>;
@@ -18,7 +18,7 @@
   StatusServer(Endpoint listen, Read read);
   ~StatusServer();
 
-  /// @return the port, which the system chose if the settings say 0
+  /// @return the port, which the system chose if the given one is 0
   Result<int> Start();
   void Stop();
 
@@ -27,10 +27,11 @@
   std::unique_ptr<Impl> impl;
 };
 
-/// Asks an instance for its status. Errors: kUnavailable, kBadAnswer.
+/// Fetches an instance's status. Errors: those of HttpCall; kBadAnswer for a
+/// malformed response.
 Result<nlohmann::json> FetchStatus(const Endpoint& instance);
 
-/// The status in lines for people.
+/// Formats a status as lines of text.
 std::string StatusText(const nlohmann::json& status);
 
 }  // namespace dragonflyglade
