--- a/dragonflyglade/caller/sse.cc
+++ b/dragonflyglade/caller/sse.cc
@@ -10,9 +10,9 @@
 constexpr std::string_view kDataField = "data:";
 
 // The data lines of one event, joined by newlines.
-std::string DataOf(std::string_view event) {
+std::string EventData(std::string_view event) {
   std::string data;
-  bool first = true;
+  bool is_first_line = true;
   while (!event.empty()) {
     const std::size_t end = event.find('\n');
     std::string_view line(event.substr(0, end));
@@ -20,8 +20,8 @@
     if (line.substr(0, kDataField.size()) != kDataField) continue;
     line.remove_prefix(kDataField.size());
     if (!line.empty() && line.front() == ' ') line.remove_prefix(1);
-    if (!first) data += '\n';
-    first = false;
+    if (!is_first_line) data += '\n';
+    is_first_line = false;
     data.append(line);
   }
   return data;
@@ -37,7 +37,7 @@
   std::size_t end = 0;
   while ((end = this->buffer.find(kEventEnd)) != std::string::npos) {
     const std::string_view whole = this->buffer;
-    const std::string data = DataOf(whole.substr(0, end));
+    const std::string data = EventData(whole.substr(0, end));
     this->buffer.erase(0, end + kEventEnd.size());
     if (!data.empty()) events.push_back(data);
   }
--- a/dragonflyglade/caller/sse.h
+++ b/dragonflyglade/caller/sse.h
@@ -7,27 +7,27 @@
 
 namespace dragonflyglade {
 
-/// The last event's data of a completion stream.
+/// The data of the last event of a completion stream.
 inline constexpr std::string_view kStreamEndMarker = "[DONE]";
 
-/// Cuts a stream of server-sent events into the data of each event.
-/// Comments are dropped; an event without its blank line is never given out.
+/// Splits a stream of server-sent events into the data of its events. Comments
+/// are dropped, and an event is returned only when its blank line has arrived.
 class SseReader {
  public:
-  /// Adds bytes and returns the data of the events that they complete.
+  /// Adds received bytes and returns the data of the events that they complete.
   std::vector<std::string> Feed(std::string_view bytes);
 
-  /// Whether bytes of an unfinished event are left.
+  /// Whether bytes of an incomplete event are buffered.
   bool HasRemainder() const { return !this->buffer.empty(); }
 
  private:
   std::string buffer;
 };
 
-/// One event with the data, as it goes over the wire.
+/// Encodes an event with the data.
 std::string SseEvent(std::string_view data);
 
-/// An event of type "error" with the data.
+/// Encodes an event of type "error" with the data.
 std::string SseErrorEvent(std::string_view data);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/stream_registry.cc
+++ b/dragonflyglade/caller/stream_registry.cc
@@ -16,7 +16,7 @@
     : registry(registry), key_id(key_id) {
   Shard& shard = registry.ShardOf(this->key_id);
   absl::MutexLock lock(&shard.mutex);
-  this->number = shard.next++;
+  this->number = shard.next_number++;
   shard.calls[this->key_id].emplace(this->number, std::move(end));
 }
 
@@ -38,7 +38,8 @@
     if (found == shard.calls.end()) return 0;
     for (const auto& [number, end] : found->second) ends.push_back(end);
   }
-  // Outside the lock, because ending a call removes it from here.
+  // The calls are ended without the lock, since each one then removes its entry
+  // and takes the lock itself.
   for (const End& end : ends) end();
   return ends.size();
 }
--- a/dragonflyglade/caller/stream_registry.h
+++ b/dragonflyglade/caller/stream_registry.h
@@ -13,14 +13,14 @@
 
 namespace dragonflyglade {
 
-/// The running calls of each key, so that a withdrawal can end them.
-/// Thread-safe; keys are spread over shards with a lock each.
+/// The running calls of each caller key, so that they can be ended when the key
+/// is withdrawn. Thread-safe; keys are spread over shards with a lock each.
 class StreamRegistry {
  public:
   /// Ends one running call.
   using End = std::function<void()>;
 
-  /// Keeps a call in the registry while it lives.
+  /// Registers a call for the lifetime of the entry.
   class Entry {
    public:
     Entry(StreamRegistry& registry, std::string_view key_id, End end);
@@ -34,10 +34,11 @@
     std::uint64_t number;
   };
 
-  /// Ends all calls of a key. Returns how many there were.
+  /// Ends all calls of a key.
+  /// @return the number of calls
   std::size_t EndAll(std::string_view key_id);
 
-  /// Ids of keys with running calls.
+  /// The ids of the keys with running calls.
   std::vector<std::string> KeysInUse() const;
 
  private:
@@ -45,7 +46,7 @@
     mutable absl::Mutex mutex;
     std::map<std::string, std::map<std::uint64_t, End>, std::less<>> calls
         ABSL_GUARDED_BY(mutex);
-    std::uint64_t next ABSL_GUARDED_BY(mutex) = 1;
+    std::uint64_t next_number ABSL_GUARDED_BY(mutex) = 1;
   };
   static constexpr std::size_t kShards = 16;
 
