--- a/tests/platform/platform-codecs.cc
+++ b/tests/platform/platform-codecs.cc
@@ -132,7 +132,7 @@
 
   void RejectsMalformedConfigurations() {
     const std::vector<MalformedCase> cases = {
-        {"an empty value", ""},
+        {"nothing", ""},
         {"truncated JSON", "{"},
         {"a list in place of an object", "[]"},
         {"no version", R"({"routes": [], "services": []})"},
