--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -14,8 +14,7 @@
                              PeerClient& peers)
     : shares(shares), membership(membership), peers(peers) {}
 
-void AdmissionGate::BorrowFromPeer(Admission& admission,
-                                   const BorrowFrom& step) {
+void AdmissionGate::RequestLoan(Admission& admission, const BorrowFrom& step) {
   ++this->borrows;
   std::optional<Loan> loan;
   const std::optional<MemberStatement> lender =
@@ -46,7 +45,7 @@
     const AdmissionStep step = this->shares.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return admission;
     if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
-      this->BorrowFromPeer(admission, *borrow);
+      this->RequestLoan(admission, *borrow);
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
     } else if (const auto* over = std::get_if<OverRate>(&step)) {
--- a/dragonflyglade/peer/admission_gate.h
+++ b/dragonflyglade/peer/admission_gate.h
@@ -33,7 +33,7 @@
   std::int64_t Borrows() const { return this->borrows; }
 
  private:
-  void BorrowFromPeer(Admission& admission, const BorrowFrom& step);
+  void RequestLoan(Admission& admission, const BorrowFrom& step);
   void ReturnLoans(std::string_view workspace,
                    absl::Span<const LoanReturn> returns);
 
--- a/tests/standins/engine_stand_in.cc
+++ b/tests/standins/engine_stand_in.cc
@@ -83,7 +83,7 @@
   }
 }
 
-void EngineStandIn::RecordRequest(const httplib::Request& request) {
+void EngineStandIn::RecordReceived(const httplib::Request& request) {
   absl::MutexLock lock(&this->mutex);
   this->received_text += request.target + "\n";
   for (const auto& [name, value] : request.headers) {
@@ -94,7 +94,7 @@
 
 void EngineStandIn::HandleCompletion(const httplib::Request& request,
                                      httplib::Response& response) {
-  this->RecordRequest(request);
+  this->RecordReceived(request);
   const json body = json::parse(request.body);
   const std::string model = body.at("model");
   const int tokens = body.at("max_tokens");
@@ -289,7 +289,7 @@
 void EngineStandIn::HandleOrder(const std::string& kind,
                                 const httplib::Request& request,
                                 httplib::Response& response) {
-  this->RecordRequest(request);
+  this->RecordReceived(request);
   const json body = json::parse(request.body);
   const std::int64_t fence = std::stoll(request.get_header_value("X-Fence"));
   std::string boot_id;
--- a/tests/standins/engine_stand_in.h
+++ b/tests/standins/engine_stand_in.h
@@ -99,7 +99,7 @@
                   httplib::Response& response);
   std::string Execute(const std::string& kind, const nlohmann::json& body);
   nlohmann::json LoadReportJson();
-  void RecordRequest(const httplib::Request& request);
+  void RecordReceived(const httplib::Request& request);
   bool BreaksStream(std::size_t sent_events);
 
   const EngineBehaviour behaviour;
