--- a/dragonflyglade/caller/call_context.h
+++ b/dragonflyglade/caller/call_context.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "absl/time/time.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/request_class.h"
-#include "dragonflyglade/decision/share_book.h"
 #include "dragonflyglade/operator/catalog.h"
 
 namespace dragonflyglade {
--- a/dragonflyglade/caller/caller_request.h
+++ b/dragonflyglade/caller/caller_request.h
@@ -33,16 +33,16 @@
 };
 
 /// A response to a caller whose events are sent as they arrive.
-struct StreamAnswer {
+struct StreamResponse {
   std::shared_ptr<EventStream> stream;
 };
 
-using CallerAnswer = std::variant<CompleteResponse, StreamAnswer, Refusal>;
+using CallerResponse = std::variant<CompleteResponse, StreamResponse, Refusal>;
 
 /// A response with the id of its request.
-struct CallerReply {
+struct IdentifiedResponse {
   std::string request_id;
-  CallerAnswer response;
+  CallerResponse response;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/caller_server.cc
+++ b/dragonflyglade/caller/caller_server.cc
@@ -38,7 +38,7 @@
 
 void WriteRefusal(const Refusal& refusal, const std::string& request_id,
                   httplib::Response& response) {
-  const RefusalRule& rule = RuleOf(refusal.code);
+  const RefusalRule& rule = RefusalRuleFor(refusal.code);
   response.status = rule.http_status;
   response.set_content(RefusalBody(refusal, request_id), kJson);
   if (!rule.retry_later) return;
@@ -60,7 +60,7 @@
   }
   // Comments keep the connection active, so that both ends notice when it
   // breaks.
-  if (std::holds_alternative<StreamQuiet>(part)) return write(": wait\n\n");
+  if (std::holds_alternative<StreamTimeout>(part)) return write(": wait\n\n");
   if (const auto* refusal = std::get_if<Refusal>(&part)) {
     write(SseErrorEvent(RefusalBody(*refusal, request_id)));
   }
@@ -113,13 +113,14 @@
                                  httplib::Response& response) {
   ++this->active;
   const absl::Cleanup ended = [this] { --this->active; };
-  const CallerReply reply =
+  const IdentifiedResponse reply =
       this->handler.Handle(ToCallerRequest(library_request));
   response.set_header("X-Request-Id", reply.request_id);
   if (this->closing) response.set_header("Connection", "close");
   if (const auto* refusal = std::get_if<Refusal>(&reply.response)) {
     WriteRefusal(*refusal, reply.request_id, response);
-  } else if (const auto* stream = std::get_if<StreamAnswer>(&reply.response)) {
+  } else if (const auto* stream =
+                 std::get_if<StreamResponse>(&reply.response)) {
     this->RespondWithStream(stream->stream, reply.request_id, response);
   } else {
     const auto& complete = std::get<CompleteResponse>(reply.response);
@@ -129,7 +130,7 @@
 }
 
 void CallerServer::Impl::SetRoutes() {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   http.set_payload_max_length(this->handler.Limits().max_body);
   http.Get("/healthz", [](const httplib::Request&, httplib::Response& r) {
     r.set_content("{\"status\":\"ok\"}", kJson);
--- a/dragonflyglade/caller/completion_runner.cc
+++ b/dragonflyglade/caller/completion_runner.cc
@@ -8,7 +8,7 @@
 
 #include "absl/cleanup/cleanup.h"
 #include "dragonflyglade/caller/paths.h"
-#include "dragonflyglade/caller/place.h"
+#include "dragonflyglade/caller/reservation.h"
 #include "dragonflyglade/caller/sse.h"
 #include "dragonflyglade/net/log.h"
 
@@ -71,10 +71,10 @@
 
 // An attempt to run a request at one target.
 struct CompletionRunner::Attempt {
-  Attempt(TargetPlace reservation, EngineClient engine)
+  Attempt(TargetReservation reservation, EngineClient engine)
       : reservation(std::move(reservation)), engine(std::move(engine)) {}
 
-  TargetPlace reservation;
+  TargetReservation reservation;
   EngineClient engine;
   int status = 0;
   std::string echoed_id;
@@ -85,11 +85,14 @@
   std::optional<Failure> failure;
 };
 
-CompletionRunner::CompletionRunner(
-    AdmissionGate& gate, Dispatcher& dispatcher, TargetBook& targets,
-    StreamRegistry& registry, const CatalogHolder& catalog, DemandBook& demand,
-    RetryBudget& retries, Metrics& metrics, CallerLimits limits,
-    TargetCallOptions call_options, std::string_view zone, Clock clock)
+CompletionRunner::CompletionRunner(AdmissionGate& gate, Dispatcher& dispatcher,
+                                   TargetRegistry& targets,
+                                   StreamRegistry& registry,
+                                   const CatalogHolder& catalog,
+                                   DemandTracker& demand, RetryBudget& retries,
+                                   Metrics& metrics, CallerLimits limits,
+                                   TargetCallOptions call_options,
+                                   std::string_view zone, Clock clock)
     : gate(gate),
       dispatcher(dispatcher),
       targets(targets),
@@ -103,8 +106,8 @@
       zone(zone),
       clock(clock) {}
 
-CallerAnswer CompletionRunner::Run(const CallContext& context,
-                                   const CallerRequest& request) {
+CallerResponse CompletionRunner::Run(const CallContext& context,
+                                     const CallerRequest& request) {
   auto parsed = ParseCompletion(request.path, request.body, *context.catalog,
                                 context.workspace, context.request_class);
   if (auto* refusal = std::get_if<Refusal>(&parsed)) return *refusal;
@@ -137,13 +140,13 @@
     return Refusal{RefusalCode::kKeyWithdrawn, "the key was withdrawn"};
   }
   this->demand.Add(job->request.model, job->request.Cost());
-  this->retries.RequestMade();
+  this->retries.RecordRequest();
   this->tasks.Run([this, job] { this->RunJob(*job); });
   if (!job->request.stream) return this->CollectResponse(*job);
   if (std::optional<Refusal> failure = job->stream->WaitForStart()) {
     return *failure;
   }
-  return StreamAnswer{job->stream};
+  return StreamResponse{job->stream};
 }
 
 void CompletionRunner::RunJob(Job& job) {
@@ -166,8 +169,8 @@
       absl::ToDoubleSeconds(this->clock.Now() - job.started));
 }
 
-std::variant<TargetPlace, Refusal> CompletionRunner::Reserve(Job& job) {
-  TargetNeed need;
+std::variant<TargetReservation, Refusal> CompletionRunner::Reserve(Job& job) {
+  TargetRequirements need;
   need.pool = job.request.pool;
   need.model = job.request.model;
   need.adapter = job.request.adapter;
@@ -175,10 +178,10 @@
   need.prefix = job.request.prefix;
   need.tokens = job.request.Cost();
   need.avoid = job.failed_targets;
-  return WaitForPlace(
+  return WaitForReservation(
       this->dispatcher, need,
-      PlaceRequest{job.context.workspace, job.context.request_class,
-                   job.reservation_deadline, job.request.model});
+      ReservationRequest{job.context.workspace, job.context.request_class,
+                         job.reservation_deadline, job.request.model});
 }
 
 void CompletionRunner::TryTargets(Job& job) {
@@ -188,8 +191,8 @@
       job.stream->Fail(*refusal);
       return;
     }
-    if (this->RunAttempt(job, std::get<TargetPlace>(reservation))) return;
-    job.failed_targets.insert(std::get<TargetPlace>(reservation).target);
+    if (this->RunAttempt(job, std::get<TargetReservation>(reservation))) return;
+    job.failed_targets.insert(std::get<TargetReservation>(reservation).target);
   }
   job.stream->Fail(
       Refusal{RefusalCode::kTargetLost, "several targets failed this request"});
@@ -197,23 +200,24 @@
 
 // Returns true if the request has its final result, false if it is to be
 // retried at another target.
-bool CompletionRunner::RunAttempt(Job& job, const TargetPlace& reservation) {
+bool CompletionRunner::RunAttempt(Job& job,
+                                  const TargetReservation& reservation) {
   Attempt attempt(reservation,
                   EngineClient(Endpoint{reservation.address, reservation.port},
                                reservation.target, this->call_options));
   EngineRequest request{job.path, job.request.body, job.context.request_id};
-  PlaceOutcome outcome = PlaceOutcome::kNeutral;
+  RequestOutcome outcome = RequestOutcome::kNeutral;
   absl::Cleanup release = [&] {
     this->dispatcher.Release(reservation, outcome);
   };
-  this->ReadStream(job, attempt, EngineClient::RequestFor(request));
+  this->ReadStream(job, attempt, EngineClient::MakeCompletionRequest(request));
   for (int i = 0; i < kMaxResumes && this->Resume(job, attempt); ++i) {
   }
   outcome = this->OutcomeOf(job, attempt);
   std::move(release).Invoke();
   if (attempt.complete) {
-    this->targets.NotePrefix(reservation.pool, reservation.target,
-                             job.request.prefix);
+    this->targets.RecordCachedPrefix(reservation.pool, reservation.target,
+                                     job.request.prefix);
     job.stream->Finish();
     return true;
   }
@@ -240,7 +244,7 @@
   job.stream->OnCancel([call] { call->Cancel(); });
   attempt.failure.reset();
   attempt.reader = SseReader();
-  const auto on_head = [&](const HttpHead& head) {
+  const auto on_head = [&](const HttpResponseHead& head) {
     attempt.status = head.status;
     attempt.echoed_id = head.request_id;
     return true;
@@ -307,27 +311,27 @@
   const int events_before = job.delivered_events;
   this->ReadStream(
       job, attempt,
-      EngineClient::ResumeFor(job.context.request_id, events_before));
+      EngineClient::MakeResumeRequest(job.context.request_id, events_before));
   if (attempt.complete) {
     this->metrics.Count("dragonflyglade_streams_resumed_total");
   }
   return !attempt.complete && attempt.status == kHttpOk;
 }
 
-PlaceOutcome CompletionRunner::OutcomeOf(Job& job, const Attempt& attempt) {
-  if (attempt.complete) return PlaceOutcome::kGood;
+RequestOutcome CompletionRunner::OutcomeOf(Job& job, const Attempt& attempt) {
+  if (attempt.complete) return RequestOutcome::kSucceeded;
   if (attempt.caller_disconnected || job.stream->Cancelled()) {
-    return PlaceOutcome::kNeutral;
+    return RequestOutcome::kNeutral;
   }
   if (attempt.failure.has_value()) {
     if (attempt.failure->code == Errc::kConnectFailed) {
       // A target that refuses connections is shutting down or has terminated.
       this->metrics.Count("dragonflyglade_target_connect_failures_total");
     }
-    return PlaceOutcome::kTargetFault;
+    return RequestOutcome::kTargetFault;
   }
-  return attempt.status >= kHttpServerError ? PlaceOutcome::kTargetFault
-                                            : PlaceOutcome::kNeutral;
+  return attempt.status >= kHttpServerError ? RequestOutcome::kTargetFault
+                                            : RequestOutcome::kNeutral;
 }
 
 bool CompletionRunner::MayRetry(const Job& job, const Attempt& attempt) {
@@ -338,13 +342,13 @@
   const bool may_help =
       attempt.failure.has_value() || attempt.status >= kHttpServerError ||
       attempt.status == kHttpNotFound || attempt.status == kHttpTooManyRequests;
-  if (!may_help || !this->retries.TakeRetry()) return false;
+  if (!may_help || !this->retries.TryConsumeRetry()) return false;
   this->metrics.Count("dragonflyglade_retries_total");
   return true;
 }
 
 // Assembles a complete response from the stream.
-CallerAnswer CompletionRunner::CollectResponse(Job& job) {
+CallerResponse CompletionRunner::CollectResponse(Job& job) {
   const bool is_chat = job.path == kChatPath;
   std::string text;
   json last = json::object();
--- a/dragonflyglade/caller/completion_runner.h
+++ b/dragonflyglade/caller/completion_runner.h
@@ -10,7 +10,7 @@
 #include "dragonflyglade/caller/completion_request.h"
 #include "dragonflyglade/caller/stream_registry.h"
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
 #include "dragonflyglade/decision/retry_budget.h"
 #include "dragonflyglade/net/task_group.h"
 #include "dragonflyglade/operator/metrics.h"
@@ -28,14 +28,14 @@
 class CompletionRunner {
  public:
   CompletionRunner(AdmissionGate& gate, Dispatcher& dispatcher,
-                   TargetBook& targets, StreamRegistry& registry,
-                   const CatalogHolder& catalog, DemandBook& demand,
+                   TargetRegistry& targets, StreamRegistry& registry,
+                   const CatalogHolder& catalog, DemandTracker& demand,
                    RetryBudget& retries, Metrics& metrics, CallerLimits limits,
                    TargetCallOptions call_options, std::string_view zone,
                    Clock clock);
 
   /// Handles a completion request whose key is valid.
-  CallerAnswer Run(const CallContext& context, const CallerRequest& request);
+  CallerResponse Run(const CallContext& context, const CallerRequest& request);
 
   /// The number of unfinished completions.
   int Running() const { return this->tasks.Running(); }
@@ -46,20 +46,20 @@
 
   void RunJob(Job& job);
   void TryTargets(Job& job);
-  bool RunAttempt(Job& job, const TargetPlace& reservation);
+  bool RunAttempt(Job& job, const TargetReservation& reservation);
   void ReadStream(Job& job, Attempt& attempt, const HttpRequest& request);
   bool Resume(Job& job, Attempt& attempt);
-  PlaceOutcome OutcomeOf(Job& job, const Attempt& attempt);
+  RequestOutcome OutcomeOf(Job& job, const Attempt& attempt);
   bool MayRetry(const Job& job, const Attempt& attempt);
-  std::variant<TargetPlace, Refusal> Reserve(Job& job);
-  CallerAnswer CollectResponse(Job& job);
+  std::variant<TargetReservation, Refusal> Reserve(Job& job);
+  CallerResponse CollectResponse(Job& job);
 
   AdmissionGate& gate;
   Dispatcher& dispatcher;
-  TargetBook& targets;
+  TargetRegistry& targets;
   StreamRegistry& registry;
   const CatalogHolder& catalog;
-  DemandBook& demand;
+  DemandTracker& demand;
   RetryBudget& retries;
   Metrics& metrics;
   const CallerLimits limits;
--- a/dragonflyglade/caller/event_stream.cc
+++ b/dragonflyglade/caller/event_stream.cc
@@ -71,7 +71,7 @@
   }
   if (this->failure.has_value()) return *this->failure;
   if (this->Ended()) return StreamDone{};
-  return StreamQuiet{};
+  return StreamTimeout{};
 }
 
 std::optional<Refusal> EventStream::WaitForStart() {
--- a/dragonflyglade/caller/event_stream.h
+++ b/dragonflyglade/caller/event_stream.h
@@ -21,8 +21,8 @@
 /// The stream ended, without a failure.
 struct StreamDone {};
 /// No event arrived within the time limit.
-struct StreamQuiet {};
-using StreamPart = std::variant<StreamData, StreamDone, StreamQuiet, Refusal>;
+struct StreamTimeout {};
+using StreamPart = std::variant<StreamData, StreamDone, StreamTimeout, Refusal>;
 
 /// A bounded queue of events from the thread that reads a target's response to
 /// the thread that writes to the caller. The reading thread blocks while the
--- a/dragonflyglade/caller/instance_answer.cc
+++ b/dragonflyglade/caller/instance_selection.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/caller/instance_answer.h"
+#include "dragonflyglade/caller/instance_selection.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -25,11 +25,11 @@
 }  // namespace
 
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& query,
+    absl::Span<const MemberStatus> members, const InstanceQuery& query,
     absl::Span<const std::string> share_owners) {
-  std::vector<const MemberStatement*> usable_members;
+  std::vector<const MemberStatus*> usable_members;
   std::vector<std::string> names;
-  for (const MemberStatement& member : members) {
+  for (const MemberStatus& member : members) {
     const bool heard = member.incarnation != 0;
     if (!heard || member.leaving || member.state != MemberState::kAlive) {
       continue;
@@ -42,7 +42,7 @@
     model_owners = RendezvousOwners(query.model, names, kOwnersPerModel);
   }
   std::vector<InstanceChoice> choices;
-  for (const MemberStatement* member : usable_members) {
+  for (const MemberStatus* member : usable_members) {
     double weight =
         std::max(kMinWeight, 1.0 - member->load_permille / kFullLoadPermille);
     if (member->info.zone == query.zone) weight *= kSameZoneFactor;
--- a/dragonflyglade/caller/instance_answer.h
+++ b/dragonflyglade/caller/instance_selection.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
-#define DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
+#ifndef DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
+#define DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
 
 #include <cstdint>
 #include <string>
@@ -22,7 +22,7 @@
 };
 
 /// The parameters of a caller's query for instances; each may be empty.
-struct InstanceQuestion {
+struct InstanceQuery {
   std::string zone;
   std::string model;
   std::string workspace;
@@ -35,7 +35,7 @@
 /// a share of the workspace's rate, since it then need not borrow tokens for
 /// each request.
 std::vector<InstanceChoice> ChooseInstances(
-    absl::Span<const MemberStatement> members, const InstanceQuestion& query,
+    absl::Span<const MemberStatus> members, const InstanceQuery& query,
     absl::Span<const std::string> share_owners);
 
 /// Encodes the choices as the JSON body of the response.
@@ -45,4 +45,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_CALLER_INSTANCE_ANSWER_H_
+#endif  // DRAGONFLYGLADE_CALLER_INSTANCE_SELECTION_H_
--- a/dragonflyglade/caller/request_handler.cc
+++ b/dragonflyglade/caller/request_handler.cc
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "dragonflyglade/caller/instance_answer.h"
+#include "dragonflyglade/caller/instance_selection.h"
 #include "dragonflyglade/caller/paths.h"
 #include "dragonflyglade/net/log.h"
 #include "dragonflyglade/operator/caller_key.h"
@@ -53,7 +53,7 @@
 }  // namespace
 
 RequestHandler::RequestHandler(const CatalogHolder& catalog,
-                               const Freshness& freshness,
+                               const ConfigFreshness& freshness,
                                const Membership& membership,
                                CompletionRunner& completions,
                                ServiceRunner& services, Metrics& metrics,
@@ -68,15 +68,15 @@
       keep(keep) {}
 
 std::variant<ServingState, Refusal> RequestHandler::Readiness() const {
-  const auto [listed, alive] = this->membership.ListedAndAlive();
-  switch (this->freshness.Right(Reach{listed, alive})) {
-    case AdmissionRight::kFresh:
-    case AdmissionRight::kOutage:
+  const auto [listed, alive] = this->membership.CountListedAndAlive();
+  switch (this->freshness.Right(PeerReachability{listed, alive})) {
+    case ConfigFreshnessState::kFresh:
+    case ConfigFreshnessState::kStoreOutage:
       break;
-    case AdmissionRight::kNeverReady:
+    case ConfigFreshnessState::kNeverComplete:
       return Refusal{RefusalCode::kNotReady,
                      "the configuration is not complete yet"};
-    case AdmissionRight::kCutOff:
+    case ConfigFreshnessState::kCutOff:
       return Refusal{RefusalCode::kConfigurationStale,
                      "the configuration may be out of date here"};
   }
@@ -84,13 +84,13 @@
                                          : ServingState::kServing;
 }
 
-CallerReply RequestHandler::Handle(const CallerRequest& request) {
-  CallerReply reply;
+IdentifiedResponse RequestHandler::Handle(const CallerRequest& request) {
+  IdentifiedResponse reply;
   reply.request_id = RandomHex(kRequestIdBytes);
   reply.response = this->Process(request, reply.request_id);
   this->metrics.Count("dragonflyglade_requests_total");
   if (const auto* refusal = std::get_if<Refusal>(&reply.response)) {
-    const std::string_view code = RuleOf(refusal->code).name;
+    const std::string_view code = RefusalRuleFor(refusal->code).name;
     this->metrics.Count("dragonflyglade_refusals_total",
                         fmt::format("code=\"{}\"", code));
     LogFor(LogPart::kCaller).debug("Refused {}: {}.", reply.request_id, code);
@@ -98,8 +98,8 @@
   return reply;
 }
 
-CallerAnswer RequestHandler::Process(const CallerRequest& request,
-                                     const std::string& request_id) {
+CallerResponse RequestHandler::Process(const CallerRequest& request,
+                                       const std::string& request_id) {
   if (request.path.size() + request.query.size() > this->limits.max_path) {
     return Refusal{RefusalCode::kBadRequest, "the path is too long"};
   }
@@ -125,11 +125,11 @@
   }
   CallContext context;
   context.catalog = this->catalog.Get();
-  const auto checked = CheckCallerKey(*context.catalog, bearer_token);
-  if (const auto* key_problem = std::get_if<KeyProblem>(&checked)) {
+  const auto checked = FindKeyRecord(*context.catalog, bearer_token);
+  if (const auto* key_problem = std::get_if<KeyError>(&checked)) {
     // Malformed and unknown keys get the same response, which reveals nothing
     // about the existing keys.
-    if (*key_problem != KeyProblem::kWithdrawn) {
+    if (*key_problem != KeyError::kWithdrawn) {
       return Refusal{RefusalCode::kUnknownKey, "the key is not known"};
     }
     return Refusal{RefusalCode::kKeyWithdrawn, "the key was withdrawn"};
@@ -156,8 +156,8 @@
   return context;
 }
 
-CallerAnswer RequestHandler::RunAuthenticated(const CallContext& context,
-                                              const CallerRequest& request) {
+CallerResponse RequestHandler::RunAuthenticated(const CallContext& context,
+                                                const CallerRequest& request) {
   CallContext class_context = context;
   if (!request.request_class.empty()) {
     const std::optional<RequestClass> requested_class =
@@ -190,11 +190,12 @@
   return NotFound(request);
 }
 
-CallerAnswer RequestHandler::ListInstances(const CallerRequest& request) const {
+CallerResponse RequestHandler::ListInstances(
+    const CallerRequest& request) const {
   if (request.method != "GET") {
     return Refusal{RefusalCode::kMethodNotAllowed, "expected GET"};
   }
-  InstanceQuestion query;
+  InstanceQuery query;
   query.zone = QueryValue(request.query, "zone");
   query.model = QueryValue(request.query, "model");
   query.workspace = QueryValue(request.query, "workspace");
@@ -202,7 +203,7 @@
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   const Allotment* allotment = FindRecord(catalog->allotments, query.workspace);
   if (allotment != nullptr) {
-    for (const HolderShare& holder : allotment->holders) {
+    for (const OwnerShare& holder : allotment->holders) {
       if (holder.share > 0) share_owners.push_back(holder.instance);
     }
   }
@@ -212,7 +213,7 @@
   return response;
 }
 
-CallerAnswer RequestHandler::ListModels(const CallContext& context) const {
+CallerResponse RequestHandler::ListModels(const CallContext& context) const {
   json list = json::array();
   const auto add = [&list](const std::string& name) {
     list.push_back(
--- a/dragonflyglade/caller/request_handler.h
+++ b/dragonflyglade/caller/request_handler.h
@@ -10,7 +10,7 @@
 #include "dragonflyglade/caller/caller_request.h"
 #include "dragonflyglade/caller/completion_runner.h"
 #include "dragonflyglade/caller/service_runner.h"
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/operator/metrics.h"
@@ -25,13 +25,13 @@
 class RequestHandler {
  public:
   /// @param keep how long callers may cache the list of instances
-  RequestHandler(const CatalogHolder& catalog, const Freshness& freshness,
+  RequestHandler(const CatalogHolder& catalog, const ConfigFreshness& freshness,
                  const Membership& membership, CompletionRunner& completions,
                  ServiceRunner& services, Metrics& metrics, CallerLimits limits,
                  absl::Duration keep);
 
   /// Handles a request.
-  CallerReply Handle(const CallerRequest& request);
+  IdentifiedResponse Handle(const CallerRequest& request);
 
   /// Whether new work is accepted; a refusal says why not.
   std::variant<ServingState, Refusal> Readiness() const;
@@ -42,17 +42,17 @@
   const CallerLimits& Limits() const { return this->limits; }
 
  private:
-  CallerAnswer Process(const CallerRequest& request,
-                       const std::string& request_id);
-  CallerAnswer ListInstances(const CallerRequest& request) const;
-  CallerAnswer ListModels(const CallContext& context) const;
+  CallerResponse Process(const CallerRequest& request,
+                         const std::string& request_id);
+  CallerResponse ListInstances(const CallerRequest& request) const;
+  CallerResponse ListModels(const CallContext& context) const;
   std::variant<CallContext, Refusal> Authenticate(
       const CallerRequest& request, const std::string& request_id) const;
-  CallerAnswer RunAuthenticated(const CallContext& context,
-                                const CallerRequest& request);
+  CallerResponse RunAuthenticated(const CallContext& context,
+                                  const CallerRequest& request);
 
   const CatalogHolder& catalog;
-  const Freshness& freshness;
+  const ConfigFreshness& freshness;
   const Membership& membership;
   CompletionRunner& completions;
   ServiceRunner& services;
--- a/dragonflyglade/caller/place.cc
+++ b/dragonflyglade/caller/reservation.cc
@@ -1,32 +1,33 @@
-#include "dragonflyglade/caller/place.h"
+#include "dragonflyglade/caller/reservation.h"
 
 #include <fmt/format.h>
 
 namespace dragonflyglade {
 
-Refusal RefusalFor(NoPlace reason, std::string_view what) {
+Refusal RefusalFor(ReservationError reason, std::string_view what) {
   switch (reason) {
-    case NoPlace::kBusy:
+    case ReservationError::kBusy:
       return Refusal{RefusalCode::kTargetsBusy,
                      fmt::format("all targets of {} are busy", what)};
-    case NoPlace::kNotResident:
+    case ReservationError::kNotResident:
       return Refusal{RefusalCode::kModelNotResident,
                      fmt::format("{} is not loaded at any target", what)};
-    case NoPlace::kUnreachable:
-    case NoPlace::kUnknownPool:
+    case ReservationError::kUnreachable:
+    case ReservationError::kUnknownPool:
       break;
   }
   return Refusal{RefusalCode::kTargetsUnreachable,
                  fmt::format("no target of {} can be reached", what)};
 }
 
-std::variant<TargetPlace, Refusal> WaitForPlace(Dispatcher& dispatcher,
-                                                const TargetNeed& need,
-                                                const PlaceRequest& request) {
+std::variant<TargetReservation, Refusal> WaitForReservation(
+    Dispatcher& dispatcher, const TargetRequirements& need,
+    const ReservationRequest& request) {
   const auto result = dispatcher.Acquire(
       need, request.workspace, request.request_class, request.deadline);
-  if (const auto* found = std::get_if<TargetPlace>(&result)) return *found;
-  if (const auto* reason = std::get_if<NoPlace>(&result)) {
+  if (const auto* found = std::get_if<TargetReservation>(&result))
+    return *found;
+  if (const auto* reason = std::get_if<ReservationError>(&result)) {
     return RefusalFor(*reason, request.what);
   }
   return Refusal{RefusalCode::kQueueFull,
--- a/dragonflyglade/caller/place.h
+++ b/dragonflyglade/caller/reservation.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_CALLER_PLACE_H_
-#define DRAGONFLYGLADE_CALLER_PLACE_H_
+#ifndef DRAGONFLYGLADE_CALLER_RESERVATION_H_
+#define DRAGONFLYGLADE_CALLER_RESERVATION_H_
 
 #include <string_view>
 #include <variant>
@@ -10,7 +10,7 @@
 namespace dragonflyglade {
 
 /// A request's wait for a reservation at a target.
-struct PlaceRequest {
+struct ReservationRequest {
   std::string_view workspace;
   RequestClass request_class = RequestClass::kChat;
   Instant deadline;
@@ -18,14 +18,14 @@
 };
 
 /// The refusal for a reservation that could not be made.
-Refusal RefusalFor(NoPlace reason, std::string_view what);
+Refusal RefusalFor(ReservationError reason, std::string_view what);
 
 /// Waits for a reservation at a target.
 /// @return the reservation, or a refusal that says why there is none
-std::variant<TargetPlace, Refusal> WaitForPlace(Dispatcher& dispatcher,
-                                                const TargetNeed& need,
-                                                const PlaceRequest& request);
+std::variant<TargetReservation, Refusal> WaitForReservation(
+    Dispatcher& dispatcher, const TargetRequirements& need,
+    const ReservationRequest& request);
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_CALLER_PLACE_H_
+#endif  // DRAGONFLYGLADE_CALLER_RESERVATION_H_
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -7,7 +7,7 @@
 
 #include "absl/time/clock.h"
 #include "dragonflyglade/caller/paths.h"
-#include "dragonflyglade/caller/place.h"
+#include "dragonflyglade/caller/reservation.h"
 #include "dragonflyglade/net/log.h"
 #include "dragonflyglade/operator/caller_key.h"
 
@@ -75,8 +75,8 @@
       zone(zone),
       clock(clock) {}
 
-CallerAnswer ServiceRunner::Run(const CallContext& context,
-                                const CallerRequest& request) {
+CallerResponse ServiceRunner::Run(const CallContext& context,
+                                  const CallerRequest& request) {
   std::string_view service_path = request.path;
   service_path.remove_prefix(kServicePrefix.size());
   const std::size_t slash = service_path.find('/');
@@ -113,13 +113,13 @@
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
   job.reservation_deadline = this->clock.Now() + class_limits.place_wait;
   const Instant started = this->clock.Now();
-  CallerAnswer response = !job.repeatable && !request.idempotency_key.empty()
-                              ? this->RunClaimed(job)
-                              : this->Send(job).response;
+  CallerResponse response = !job.repeatable && !request.idempotency_key.empty()
+                                ? this->RunWithClaim(job)
+                                : this->Send(job).response;
   // A refused call that certainly did not run is refunded.
   const auto* refusal = std::get_if<Refusal>(&response);
   const bool not_run =
-      refusal != nullptr && RuleOf(refusal->code).ran == Ran::kNo;
+      refusal != nullptr && RefusalRuleFor(refusal->code).ran == Ran::kNo;
   this->gate.Settle(std::get<Admission>(admitted),
                     not_run ? 0 : service->cost_tokens);
   this->metrics.Observe(
@@ -129,21 +129,21 @@
   return response;
 }
 
-std::variant<TargetPlace, Refusal> ServiceRunner::Reserve(
+std::variant<TargetReservation, Refusal> ServiceRunner::Reserve(
     const Job& job, const std::set<std::string>& avoid) {
-  TargetNeed need;
+  TargetRequirements need;
   need.pool = job.service->pool;
   need.zone = this->zone;
   need.tokens = job.service->cost_tokens;
   need.avoid = avoid;
-  return WaitForPlace(
+  return WaitForReservation(
       this->dispatcher, need,
-      PlaceRequest{job.context->workspace, job.service->request_class,
-                   job.reservation_deadline, job.service->name});
+      ReservationRequest{job.context->workspace, job.service->request_class,
+                         job.reservation_deadline, job.service->name});
 }
 
-Result<HttpReply> ServiceRunner::CallTarget(
-    const Job& job, const TargetPlace& reservation) const {
+Result<HttpResponse> ServiceRunner::CallTarget(
+    const Job& job, const TargetReservation& reservation) const {
   HttpOptions options;
   options.connect_timeout = this->call_options.connect_timeout;
   options.read_timeout = this->call_options.read_timeout;
@@ -166,10 +166,10 @@
 }
 
 ServiceRunner::CallEnd ServiceRunner::CallEndFor(
-    const Job& job, const Result<HttpReply>& reply) const {
+    const Job& job, const Result<HttpResponse>& reply) const {
   CallEnd end;
   if (reply.Ok()) {
-    const HttpReply& target_response = reply.Value();
+    const HttpResponse& target_response = reply.Value();
     if (!target_response.head.request_id.empty() &&
         target_response.head.request_id != job.context->request_id) {
       end.response = Refusal{RefusalCode::kAnswerMismatch,
@@ -206,7 +206,7 @@
 // twice. Only a failure to connect proves that no byte arrived. After any other
 // failure, a call that may not be repeated ends with an unknown outcome.
 ServiceRunner::CallEnd ServiceRunner::Send(const Job& job) {
-  this->retries.RequestMade();
+  this->retries.RecordRequest();
   std::set<std::string> avoid;
   CallEnd end;
   for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
@@ -219,11 +219,12 @@
       end.certainly_not_run = true;
       return end;
     }
-    const TargetPlace& reserved_target = std::get<TargetPlace>(reservation);
-    const Result<HttpReply> reply = this->CallTarget(job, reserved_target);
-    this->dispatcher.Release(reserved_target, reply.Ok()
-                                                  ? PlaceOutcome::kGood
-                                                  : PlaceOutcome::kTargetFault);
+    const TargetReservation& reserved_target =
+        std::get<TargetReservation>(reservation);
+    const Result<HttpResponse> reply = this->CallTarget(job, reserved_target);
+    this->dispatcher.Release(
+        reserved_target,
+        reply.Ok() ? RequestOutcome::kSucceeded : RequestOutcome::kTargetFault);
     if (!reply.Ok()) {
       LogFor(LogPart::kTarget).warn("{}.", reply.Error().ToString());
     }
@@ -234,45 +235,46 @@
     if (reply.Ok()) return end;
     avoid.insert(reserved_target.target);
     if (end.certainly_not_run) continue;
-    if (!job.repeatable || !this->retries.TakeRetry()) return end;
+    if (!job.repeatable || !this->retries.TryConsumeRetry()) return end;
     this->metrics.Count("dragonflyglade_retries_total");
   }
   return end;
 }
 
-ClaimStep ServiceRunner::TakeClaim(const std::string& key, const Claim& claim) {
+ClaimStep ServiceRunner::AcquireClaim(const std::string& key,
+                                      const Claim& claim) {
   const Instant deadline = this->clock.Now() + kClaimTimeout;
   while (true) {
-    const ClaimWrite write = this->claims.Create(key, claim);
+    const ClaimWriteResult write = this->claims.Create(key, claim);
     const bool may_retry = this->clock.Now() + kClaimRetryInterval < deadline;
-    ClaimStep step = AfterClaimWrite(claim, write, may_retry);
-    if (!std::holds_alternative<TryAgain>(step)) return step;
+    ClaimStep step = DecideClaimStep(claim, write, may_retry);
+    if (!std::holds_alternative<RetryClaimWrite>(step)) return step;
     absl::SleepFor(kClaimRetryInterval);
   }
 }
 
-CallerAnswer ServiceRunner::RunClaimed(const Job& job) {
-  const std::string key =
-      ClaimStore::KeyFor(job.context->workspace, job.request->idempotency_key);
+CallerResponse ServiceRunner::RunWithClaim(const Job& job) {
+  const std::string key = ClaimStore::ClaimKeyFor(job.context->workspace,
+                                                  job.request->idempotency_key);
   Claim claim;
   claim.nonce = RandomHex(kNonceBytes);
   claim.digest =
       Sha256Hex(fmt::format("{}\n{}\n{}\n{}", job.service->name,
                             job.request->method, job.path, job.request->body));
-  const ClaimStep step = this->TakeClaim(key, claim);
-  if (const auto* dispatch = std::get_if<Dispatch>(&step)) {
-    return this->SendClaimed(job, key, dispatch->revision, claim);
+  const ClaimStep step = this->AcquireClaim(key, claim);
+  if (const auto* dispatch = std::get_if<DispatchCall>(&step)) {
+    return this->SendWithClaim(job, key, dispatch->revision, claim);
   }
-  if (const auto* replay = std::get_if<Replay>(&step)) {
+  if (const auto* replay = std::get_if<ReplayResponse>(&step)) {
     this->metrics.Count("dragonflyglade_claims_replayed_total");
     return CompleteResponse{replay->answer.status, replay->answer.content_type,
                             replay->answer.body};
   }
-  if (std::holds_alternative<KeyReused>(step)) {
+  if (std::holds_alternative<IdempotencyKeyReused>(step)) {
     return Refusal{RefusalCode::kIdempotencyKeyReused,
                    "this Idempotency-Key came with another request before"};
   }
-  if (std::holds_alternative<InDoubt>(step)) {
+  if (std::holds_alternative<InProgressOrUnknown>(step)) {
     return Refusal{RefusalCode::kClaimInDoubt,
                    "a call with this Idempotency-Key is under way or its "
                    "outcome is not known"};
@@ -281,8 +283,10 @@
                  "the call could not be claimed; it was not sent"};
 }
 
-CallerAnswer ServiceRunner::SendClaimed(const Job& job, const std::string& key,
-                                        std::int64_t revision, Claim claim) {
+CallerResponse ServiceRunner::SendWithClaim(const Job& job,
+                                            const std::string& key,
+                                            std::int64_t revision,
+                                            Claim claim) {
   CallEnd end = this->Send(job);
   if (end.certainly_not_run) {
     this->claims.Release(key, revision);
@@ -295,8 +299,8 @@
     if (response->body.size() > kMaxStoredResponseBytes) {
       claim.state = ClaimState::kUnknown;
     } else {
-      claim.answer = StoredAnswer{response->status, response->content_type,
-                                  response->body};
+      claim.answer = StoredResponse{response->status, response->content_type,
+                                    response->body};
     }
   }
   this->claims.Finish(key, revision, claim);
--- a/dragonflyglade/caller/service_runner.h
+++ b/dragonflyglade/caller/service_runner.h
@@ -30,7 +30,7 @@
                 Clock clock);
 
   /// Handles a request for "/v1/services/<name>/<path>" whose key is valid.
-  CallerAnswer Run(const CallContext& context, const CallerRequest& request);
+  CallerResponse Run(const CallContext& context, const CallerRequest& request);
 
  private:
   /// A call to a service.
@@ -44,21 +44,21 @@
   };
   /// The result of a call, and the state that its claim gets.
   struct CallEnd {
-    CallerAnswer response;
+    CallerResponse response;
     ClaimState state = ClaimState::kUnknown;
     bool certainly_not_run = false;
   };
 
   CallEnd Send(const Job& job);
-  CallEnd CallEndFor(const Job& job, const Result<HttpReply>& reply) const;
-  std::variant<TargetPlace, Refusal> Reserve(
+  CallEnd CallEndFor(const Job& job, const Result<HttpResponse>& reply) const;
+  std::variant<TargetReservation, Refusal> Reserve(
       const Job& job, const std::set<std::string>& avoid);
-  Result<HttpReply> CallTarget(const Job& job,
-                               const TargetPlace& reservation) const;
-  CallerAnswer RunClaimed(const Job& job);
-  ClaimStep TakeClaim(const std::string& key, const Claim& claim);
-  CallerAnswer SendClaimed(const Job& job, const std::string& key,
-                           std::int64_t revision, Claim claim);
+  Result<HttpResponse> CallTarget(const Job& job,
+                                  const TargetReservation& reservation) const;
+  CallerResponse RunWithClaim(const Job& job);
+  ClaimStep AcquireClaim(const std::string& key, const Claim& claim);
+  CallerResponse SendWithClaim(const Job& job, const std::string& key,
+                               std::int64_t revision, Claim claim);
 
   AdmissionGate& gate;
   Dispatcher& dispatcher;
--- a/dragonflyglade/decision/allotment.cc
+++ b/dragonflyglade/decision/allotment.cc
@@ -6,12 +6,12 @@
 namespace dragonflyglade {
 namespace {
 
-std::int64_t Assumed(const HolderShare& holder) {
+std::int64_t Assumed(const OwnerShare& holder) {
   return std::max(holder.share, holder.held);
 }
 
-bool HasConfirmed(const HolderShare& holder, std::int64_t epoch,
-                  const AllotmentView& view) {
+bool HasConfirmed(const OwnerShare& holder, std::int64_t epoch,
+                  const AllotmentInputs& view) {
   const auto confirmed = view.confirmed.find(holder.instance);
   if (confirmed == view.confirmed.end() || confirmed->second < epoch) {
     return false;
@@ -21,22 +21,22 @@
          answering->second == holder.incarnation;
 }
 
-std::vector<HolderShare> SurvivingHolders(const Allotment& current,
-                                          const AllotmentView& view) {
-  std::vector<HolderShare> holders;
-  for (HolderShare holder : current.holders) {
+std::vector<OwnerShare> SurvivingHolders(const Allotment& current,
+                                         const AllotmentInputs& view) {
+  std::vector<OwnerShare> holders;
+  for (OwnerShare holder : current.holders) {
     const bool settled =
         view.settled.count({holder.instance, holder.incarnation}) > 0;
-    if (settled && IsGone(holder, view)) continue;
+    if (settled && HasTerminated(holder, view)) continue;
     if (HasConfirmed(holder, current.epoch, view)) holder.held = holder.share;
     holders.push_back(holder);
   }
   return holders;
 }
 
-HolderShare* Find(std::vector<HolderShare>& holders,
-                  const HolderCandidate& candidate) {
-  for (HolderShare& holder : holders) {
+OwnerShare* Find(std::vector<OwnerShare>& holders,
+                 const OwnerCandidate& candidate) {
+  for (OwnerShare& holder : holders) {
     if (holder.instance == candidate.instance &&
         holder.incarnation == candidate.incarnation) {
       return &holder;
@@ -48,25 +48,25 @@
 // What each wanted candidate should have in the end: equal parts, the
 // remainder on the first by name, so that every planner computes the same.
 std::map<std::string, std::int64_t> DesiredShares(
-    std::vector<HolderCandidate> wanted) {
+    std::vector<OwnerCandidate> wanted) {
   std::map<std::string, std::int64_t> desired;
   if (wanted.empty()) return desired;
   std::sort(wanted.begin(), wanted.end(),
-            [](const HolderCandidate& a, const HolderCandidate& b) {
+            [](const OwnerCandidate& a, const OwnerCandidate& b) {
               return a.instance < b.instance;
             });
   const auto count = static_cast<std::int64_t>(wanted.size());
-  std::int64_t remainder = kWholeShare % count;
-  for (const HolderCandidate& candidate : wanted) {
-    desired[candidate.instance] = kWholeShare / count + remainder;
+  std::int64_t remainder = kFullShareMillionths % count;
+  for (const OwnerCandidate& candidate : wanted) {
+    desired[candidate.instance] = kFullShareMillionths / count + remainder;
     remainder = 0;
   }
   return desired;
 }
 
-void Shrink(std::vector<HolderShare>& holders,
+void Shrink(std::vector<OwnerShare>& holders,
             const std::map<std::string, std::int64_t>& desired) {
-  for (HolderShare& holder : holders) {
+  for (OwnerShare& holder : holders) {
     const auto want = desired.find(holder.instance);
     const std::int64_t target = want == desired.end() ? 0 : want->second;
     if (target >= holder.share) continue;
@@ -75,15 +75,15 @@
   }
 }
 
-void Grow(std::vector<HolderShare>& holders, const AllotmentView& view,
+void Grow(std::vector<OwnerShare>& holders, const AllotmentInputs& view,
           const std::map<std::string, std::int64_t>& desired) {
-  std::int64_t free = kWholeShare;
-  for (const HolderShare& holder : holders) free -= Assumed(holder);
-  for (const HolderCandidate& candidate : view.wanted) {
-    HolderShare* holder = Find(holders, candidate);
+  std::int64_t free = kFullShareMillionths;
+  for (const OwnerShare& holder : holders) free -= Assumed(holder);
+  for (const OwnerCandidate& candidate : view.wanted) {
+    OwnerShare* holder = Find(holders, candidate);
     if (holder == nullptr) {
-      holders.push_back(HolderShare{candidate.instance, candidate.incarnation,
-                                    0, 0, view.list_version});
+      holders.push_back(OwnerShare{candidate.instance, candidate.incarnation, 0,
+                                   0, view.list_version});
       holder = &holders.back();
     }
     const std::int64_t missing =
@@ -96,10 +96,10 @@
   }
 }
 
-void DropEmpty(std::vector<HolderShare>& holders) {
+void DropEmpty(std::vector<OwnerShare>& holders) {
   holders.erase(
       std::remove_if(holders.begin(), holders.end(),
-                     [](const HolderShare& h) { return Assumed(h) == 0; }),
+                     [](const OwnerShare& h) { return Assumed(h) == 0; }),
       holders.end());
 }
 
@@ -111,7 +111,7 @@
 // is gone, and a new incarnation at the same address can only start when the
 // old process has ended, so these two are the only proofs accepted here. A
 // list older than the grant proves nothing: it may not have the instance yet.
-bool IsGone(const HolderShare& holder, const AllotmentView& view) {
+bool HasTerminated(const OwnerShare& holder, const AllotmentInputs& view) {
   const auto answering = view.answering.find(holder.instance);
   if (answering != view.answering.end() &&
       answering->second > holder.incarnation) {
@@ -121,20 +121,21 @@
          view.listed.count(holder.instance) == 0;
 }
 
-GoneHolders::GoneHolders(absl::Duration settle, Clock clock)
+TerminatedOwners::TerminatedOwners(absl::Duration settle, Clock clock)
     : settle(settle), clock(clock) {}
 
 // Failure: a holder dies with promises that its borrowers still spend, its
 // share passes on at once, and the same seconds' tokens are spent twice. What
 // a holder lent is void soon after; its share waits for that.
-std::set<std::pair<std::string, std::int64_t>> GoneHolders::Settled(
-    const Allotment& allotment, const AllotmentView& view) {
+std::set<std::pair<std::string, std::int64_t>>
+TerminatedOwners::UpdateReclaimable(const Allotment& allotment,
+                                    const AllotmentInputs& view) {
   const Instant now = this->clock.Now();
   std::set<std::pair<std::string, std::int64_t>> settled;
-  for (const HolderShare& holder : allotment.holders) {
+  for (const OwnerShare& holder : allotment.holders) {
     const std::pair<std::string, std::int64_t> name = {holder.instance,
                                                        holder.incarnation};
-    if (!IsGone(holder, view)) {
+    if (!HasTerminated(holder, view)) {
       this->since.erase(name);
       continue;
     }
@@ -144,7 +145,7 @@
   return settled;
 }
 
-bool HolderShare::operator==(const HolderShare& other) const {
+bool OwnerShare::operator==(const OwnerShare& other) const {
   return std::tie(this->instance, this->incarnation, this->share, this->held) ==
          std::tie(other.instance, other.incarnation, other.share, other.held);
 }
@@ -154,8 +155,8 @@
          this->holders == other.holders;
 }
 
-std::optional<Allotment> NextAllotment(const Allotment& current,
-                                       const AllotmentView& view) {
+std::optional<Allotment> PlanNextAllotment(const Allotment& current,
+                                           const AllotmentInputs& view) {
   Allotment next = current;
   next.holders = SurvivingHolders(current, view);
   const std::map<std::string, std::int64_t> desired =
@@ -170,7 +171,7 @@
 
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation) {
-  for (const HolderShare& holder : allotment.holders) {
+  for (const OwnerShare& holder : allotment.holders) {
     if (holder.instance == instance && holder.incarnation == incarnation) {
       return holder.share;
     }
@@ -178,9 +179,9 @@
   return 0;
 }
 
-std::int64_t AssumedTotal(const Allotment& allotment) {
+std::int64_t MaxTotalInUse(const Allotment& allotment) {
   std::int64_t total = 0;
-  for (const HolderShare& holder : allotment.holders) total += Assumed(holder);
+  for (const OwnerShare& holder : allotment.holders) total += Assumed(holder);
   return total;
 }
 
--- a/dragonflyglade/decision/allotment.h
+++ b/dragonflyglade/decision/allotment.h
@@ -17,17 +17,17 @@
 namespace dragonflyglade {
 
 /// Shares are counted in millionths of a workspace's rate and burst.
-inline constexpr std::int64_t kWholeShare = 1'000'000;
+inline constexpr std::int64_t kFullShareMillionths = 1'000'000;
 
 /// One holder's part of a workspace's rate.
-struct HolderShare {
+struct OwnerShare {
   std::string instance;
   std::int64_t incarnation = 0;  ///< the process start that holds the share
   std::int64_t share = 0;        ///< millionths that it may use from now on
   std::int64_t held = 0;         ///< millionths that it may still be using
   std::int64_t listed_at = 0;    ///< list version that named the instance
 
-  bool operator==(const HolderShare& other) const;
+  bool operator==(const OwnerShare& other) const;
 };
 
 /// Who may use which part of a workspace's rate. Kept in the key-value
@@ -35,21 +35,21 @@
 struct Allotment {
   std::string workspace;
   std::int64_t epoch = 0;
-  std::vector<HolderShare> holders;
+  std::vector<OwnerShare> holders;
 
   bool operator==(const Allotment& other) const;
 };
 
 /// An instance as the platform's list and its heartbeats show it.
-struct HolderCandidate {
+struct OwnerCandidate {
   std::string instance;
   std::int64_t incarnation = 0;
 };
 
 /// What a step of the allotment is decided from.
-struct AllotmentView {
+struct AllotmentInputs {
   /// Instances that should hold shares: live, listed and not leaving.
-  std::vector<HolderCandidate> wanted;
+  std::vector<OwnerCandidate> wanted;
   /// Names on the platform's list, leaving ones included.
   std::set<std::string> listed;
   std::int64_t list_version = 0;
@@ -57,23 +57,23 @@
   std::map<std::string, std::int64_t> answering;
   /// For each holder, the epoch that it said it follows.
   std::map<std::string, std::int64_t> confirmed;
-  /// Holders that have been gone for long enough; see GoneHolders.
+  /// Holders that have been gone for long enough; see TerminatedOwners.
   std::set<std::pair<std::string, std::int64_t>> settled;
 };
 
 /// Whether a holder's process has certainly ended.
-bool IsGone(const HolderShare& holder, const AllotmentView& view);
+bool HasTerminated(const OwnerShare& holder, const AllotmentInputs& view);
 
 /// Knows for how long holders have been gone. Not synchronised.
-class GoneHolders {
+class TerminatedOwners {
  public:
   /// @param settle how long after its end a holder's loans may be spent
-  GoneHolders(absl::Duration settle, Clock clock);
+  TerminatedOwners(absl::Duration settle, Clock clock);
 
   /// Takes note of who is gone by a view.
   /// @return the holders, with their incarnations, gone for the settle time
-  std::set<std::pair<std::string, std::int64_t>> Settled(
-      const Allotment& allotment, const AllotmentView& view);
+  std::set<std::pair<std::string, std::int64_t>> UpdateReclaimable(
+      const Allotment& allotment, const AllotmentInputs& view);
 
  private:
   const absl::Duration settle;
@@ -83,18 +83,18 @@
 
 /// The next allotment, or nothing when the current one stands.
 ///
-/// The sum over holders of max(share, held) never exceeds kWholeShare: shares
-/// shrink first, and grow only by what confirmed or gone holders gave up.
-/// Complexity: O(n log n) in the holders and candidates.
-std::optional<Allotment> NextAllotment(const Allotment& current,
-                                       const AllotmentView& view);
+/// The sum over holders of max(share, held) never exceeds kFullShareMillionths:
+/// shares shrink first, and grow only by what confirmed or gone holders gave
+/// up. Complexity: O(n log n) in the holders and candidates.
+std::optional<Allotment> PlanNextAllotment(const Allotment& current,
+                                           const AllotmentInputs& view);
 
 /// The part that one process may use under an allotment, in millionths.
 std::int64_t ShareOf(const Allotment& allotment, std::string_view instance,
                      std::int64_t incarnation);
 
 /// The part that holders may be using at the most, in millionths.
-std::int64_t AssumedTotal(const Allotment& allotment);
+std::int64_t MaxTotalInUse(const Allotment& allotment);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/claim.cc
+++ b/dragonflyglade/decision/claim.cc
@@ -32,22 +32,22 @@
 }
 
 ClaimStep AfterExisting(const Claim& own, const ClaimExists& existing) {
-  const Result<Claim> decoded = DecodeClaim(existing.value);
-  if (!decoded.Ok()) return InDoubt{};
+  const Result<Claim> decoded = ParseClaim(existing.value);
+  if (!decoded.Ok()) return InProgressOrUnknown{};
   const Claim& other = decoded.Value();
   // Failure: the answer to the first write is lost after it took effect; the
   // second attempt finds a claim and would report the caller's own call as
   // somebody else's. The nonce tells them apart, and since the call is only
   // dispatched after this answer, it has not been sent before.
-  if (other.nonce == own.nonce) return Dispatch{existing.revision};
-  if (other.digest != own.digest) return KeyReused{};
-  if (other.state == ClaimState::kDone) return Replay{other.answer};
-  return InDoubt{};
+  if (other.nonce == own.nonce) return DispatchCall{existing.revision};
+  if (other.digest != own.digest) return IdempotencyKeyReused{};
+  if (other.state == ClaimState::kDone) return ReplayResponse{other.answer};
+  return InProgressOrUnknown{};
 }
 
 }  // namespace
 
-std::string EncodeClaim(const Claim& claim) {
+std::string SerializeClaim(const Claim& claim) {
   json document = {{"nonce", claim.nonce},
                    {"digest", claim.digest},
                    {"state", NameOf(claim.state)}};
@@ -60,10 +60,10 @@
   return document.dump();
 }
 
-Result<Claim> DecodeClaim(std::string_view text) {
+Result<Claim> ParseClaim(std::string_view text) {
   const json document = json::parse(text, nullptr, false);
   const auto broken = [](std::string_view why) {
-    return MakeFailure(Errc::kBadAnswer, "decode claim", "kv", why);
+    return MakeFailure(Errc::kMalformedResponse, "decode claim", "kv", why);
   };
   if (!document.is_object()) return broken("not a JSON object");
   try {
@@ -86,14 +86,14 @@
   }
 }
 
-ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
+ClaimStep DecideClaimStep(const Claim& own, const ClaimWriteResult& write,
                           bool may_retry) {
   struct Decide {
     const Claim& own;
     bool may_retry;
 
     ClaimStep operator()(const ClaimCreated& created) const {
-      return Dispatch{created.revision};
+      return DispatchCall{created.revision};
     }
     ClaimStep operator()(const ClaimExists& existing) const {
       return AfterExisting(this->own, existing);
@@ -104,8 +104,8 @@
     ClaimStep operator()(const ClaimNotWritten&) const { return this->Again(); }
 
     ClaimStep Again() const {
-      if (this->may_retry) return TryAgain{};
-      return NotDispatched{};
+      if (this->may_retry) return RetryClaimWrite{};
+      return AbandonCall{};
     }
   };
   return std::visit(Decide{own, may_retry}, write);
--- a/dragonflyglade/decision/claim.h
+++ b/dragonflyglade/decision/claim.h
@@ -19,7 +19,7 @@
 };
 
 /// An answer kept with its claim.
-struct StoredAnswer {
+struct StoredResponse {
   int status = 0;
   std::string content_type;
   std::string body;
@@ -30,14 +30,14 @@
   std::string nonce;   ///< drawn by the claimant; tells its own write
   std::string digest;  ///< of method, path and body
   ClaimState state = ClaimState::kRunning;
-  StoredAnswer answer;  ///< meaningful when done
+  StoredResponse answer;  ///< meaningful when done
 };
 
 /// Writes a claim as JSON.
-std::string EncodeClaim(const Claim& claim);
+std::string SerializeClaim(const Claim& claim);
 /// Reads a claim from JSON.
-/// Errors: kBadAnswer for anything else.
-Result<Claim> DecodeClaim(std::string_view text);
+/// Errors: kMalformedResponse for anything else.
+Result<Claim> ParseClaim(std::string_view text);
 
 /// What the key-value service said to the attempt to create a claim.
 struct ClaimCreated {
@@ -52,33 +52,34 @@
 struct ClaimOutcomeUnknown {};
 /// It was certainly not written.
 struct ClaimNotWritten {};
-using ClaimWrite = std::variant<ClaimCreated, ClaimExists, ClaimOutcomeUnknown,
-                                ClaimNotWritten>;
+using ClaimWriteResult = std::variant<ClaimCreated, ClaimExists,
+                                      ClaimOutcomeUnknown, ClaimNotWritten>;
 
 /// The claim is this caller's; dispatch the call.
-struct Dispatch {
+struct DispatchCall {
   std::int64_t revision = 0;
 };
 /// Give the caller the stored answer.
-struct Replay {
-  StoredAnswer answer;
+struct ReplayResponse {
+  StoredResponse answer;
 };
 /// Another call with this key is under way or its fate is unknown.
-struct InDoubt {};
+struct InProgressOrUnknown {};
 /// The same key came with another request.
-struct KeyReused {};
+struct IdempotencyKeyReused {};
 /// Try the same write again, with the same nonce.
-struct TryAgain {};
+struct RetryClaimWrite {};
 /// Give up; nothing was dispatched.
-struct NotDispatched {};
+struct AbandonCall {};
 using ClaimStep =
-    std::variant<Dispatch, Replay, InDoubt, KeyReused, TryAgain, NotDispatched>;
+    std::variant<DispatchCall, ReplayResponse, InProgressOrUnknown,
+                 IdempotencyKeyReused, RetryClaimWrite, AbandonCall>;
 
 /// Decides what follows an attempt to create a claim.
 /// @param own the claim that was written
 /// @param write what came of it
 /// @param may_retry whether there is time for another attempt
-ClaimStep AfterClaimWrite(const Claim& own, const ClaimWrite& write,
+ClaimStep DecideClaimStep(const Claim& own, const ClaimWriteResult& write,
                           bool may_retry);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/freshness.cc
+++ b/dragonflyglade/decision/config_freshness.cc
@@ -1,18 +1,18 @@
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
 
 #include <algorithm>
 
 namespace dragonflyglade {
 
-Freshness::Freshness(absl::Duration bound, Clock clock)
+ConfigFreshness::ConfigFreshness(absl::Duration bound, Clock clock)
     : bound(bound), clock(clock) {}
 
-void Freshness::ConfirmedAt(Instant at) {
+void ConfigFreshness::ConfirmedAt(Instant at) {
   absl::MutexLock lock(&this->mutex);
   this->confirmed = std::max(this->confirmed, at);
 }
 
-absl::Duration Freshness::Age() const {
+absl::Duration ConfigFreshness::Age() const {
   absl::MutexLock lock(&this->mutex);
   return this->clock.Now() - this->confirmed;
 }
@@ -24,14 +24,16 @@
 // contact and it is still stale, none of them reaches the service. Then no
 // withdrawal can be in force anywhere, and serving on is safe. If one of them
 // is out of contact, that one may know more, so new work is refused.
-AdmissionRight Freshness::Right(const Reach& reach) const {
+ConfigFreshnessState ConfigFreshness::Right(
+    const PeerReachability& reach) const {
   const absl::Duration age = this->Age();
-  if (age == absl::InfiniteDuration()) return AdmissionRight::kNeverReady;
-  if (age <= this->bound) return AdmissionRight::kFresh;
-  const bool alone = reach.listed_others == 0;
-  const bool whole = reach.reachable_others >= reach.listed_others;
-  if (!alone && whole) return AdmissionRight::kOutage;
-  return AdmissionRight::kCutOff;
+  if (age == absl::InfiniteDuration())
+    return ConfigFreshnessState::kNeverComplete;
+  if (age <= this->bound) return ConfigFreshnessState::kFresh;
+  const bool alone = reach.listed_peers == 0;
+  const bool whole = reach.reachable_peers >= reach.listed_peers;
+  if (!alone && whole) return ConfigFreshnessState::kStoreOutage;
+  return ConfigFreshnessState::kCutOff;
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/decision/freshness.h
+++ b/dragonflyglade/decision/config_freshness.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_FRESHNESS_H_
-#define DRAGONFLYGLADE_DECISION_FRESHNESS_H_
+#ifndef DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
+#define DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
 
 #include "absl/synchronization/mutex.h"
 #include "dragonflyglade/decision/clock.h"
@@ -7,25 +7,25 @@
 namespace dragonflyglade {
 
 /// Whether new work may be admitted under the configuration at hand.
-enum class AdmissionRight {
-  kFresh,       ///< confirmed against the key-value service within the bound
-  kOutage,      ///< nobody reaches the key-value service; serve the last one
-  kCutOff,      ///< others may follow a newer configuration; refuse new work
-  kNeverReady,  ///< no configuration was ever complete here
+enum class ConfigFreshnessState {
+  kFresh,          ///< confirmed against the key-value service within the bound
+  kStoreOutage,    ///< nobody reaches the key-value service; serve the last one
+  kCutOff,         ///< others may follow a newer configuration; refuse new work
+  kNeverComplete,  ///< no configuration was ever complete here
 };
 
 /// How the instance stands among those that the platform lists.
-struct Reach {
-  int listed_others = 0;     ///< listed, not leaving, other than self
-  int reachable_others = 0;  ///< of those, how many answer heartbeats
+struct PeerReachability {
+  int listed_peers = 0;     ///< listed, not leaving, other than self
+  int reachable_peers = 0;  ///< of those, how many answer heartbeats
 };
 
 /// Tracks when the configuration was last known to be the newest.
 /// Thread-safe.
-class Freshness {
+class ConfigFreshness {
  public:
   /// @param bound age up to which the configuration counts as fresh
-  Freshness(absl::Duration bound, Clock clock);
+  ConfigFreshness(absl::Duration bound, Clock clock);
 
   /// The configuration was the newest at this instant.
   void ConfirmedAt(Instant at);
@@ -35,7 +35,7 @@
   absl::Duration Age() const;
 
   /// Decides whether to admit new work.
-  AdmissionRight Right(const Reach& reach) const;
+  ConfigFreshnessState Right(const PeerReachability& reach) const;
 
  private:
   const absl::Duration bound;
@@ -46,4 +46,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_FRESHNESS_H_
+#endif  // DRAGONFLYGLADE_DECISION_CONFIG_FRESHNESS_H_
--- a/dragonflyglade/decision/demand_book.cc
+++ b/dragonflyglade/decision/demand_tracker.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
 
 #include <cmath>
 
@@ -9,15 +9,15 @@
 
 }  // namespace
 
-DemandBook::DemandBook(absl::Duration memory, Clock clock)
+DemandTracker::DemandTracker(absl::Duration memory, Clock clock)
     : memory(memory), clock(clock) {}
 
-double DemandBook::Faded(const Average& average, Instant now) const {
+double DemandTracker::Faded(const Average& average, Instant now) const {
   return average.rate *
          std::exp(-absl::FDivDuration(now - average.at, this->memory));
 }
 
-void DemandBook::Add(std::string_view model, double tokens) {
+void DemandTracker::Add(std::string_view model, double tokens) {
   absl::MutexLock lock(&this->mutex);
   const Instant now = this->clock.Now();
   const auto found = this->averages.find(model);
@@ -29,7 +29,7 @@
   average.at = now;
 }
 
-std::map<std::string, double> DemandBook::Rates() {
+std::map<std::string, double> DemandTracker::Rates() {
   absl::MutexLock lock(&this->mutex);
   const Instant now = this->clock.Now();
   std::map<std::string, double> rates;
--- a/dragonflyglade/decision/demand_book.h
+++ b/dragonflyglade/decision/demand_tracker.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
+#define DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
 
 #include <map>
 #include <string>
@@ -12,10 +12,10 @@
 
 /// How many tokens a second this instance's callers ask of each model, as an
 /// average that fades. Thread-safe.
-class DemandBook {
+class DemandTracker {
  public:
   /// @param memory time after which old demand counts for a third
-  DemandBook(absl::Duration memory, Clock clock);
+  DemandTracker(absl::Duration memory, Clock clock);
 
   /// Callers asked for tokens of a model.
   void Add(std::string_view model, double tokens);
@@ -39,4 +39,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_DEMAND_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_DEMAND_TRACKER_H_
--- a/dragonflyglade/decision/share_book.cc
+++ b/dragonflyglade/decision/distributed_rate_limiter.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/share_book.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,7 +15,7 @@
 constexpr absl::Duration kShortestRetryAfter = absl::Milliseconds(100);
 
 double PartOf(std::int64_t share) {
-  return static_cast<double>(share) / static_cast<double>(kWholeShare);
+  return static_cast<double>(share) / static_cast<double>(kFullShareMillionths);
 }
 
 absl::Duration TimeFor(double tokens, double rate) {
@@ -25,30 +25,34 @@
 
 }  // namespace
 
-ShareBook::ShareBook(std::string_view instance, std::int64_t incarnation,
-                     ShareOptions options, Clock clock)
+DistributedRateLimiter::DistributedRateLimiter(std::string_view instance,
+                                               std::int64_t incarnation,
+                                               RateLimiterOptions options,
+                                               Clock clock)
     : instance(instance),
       incarnation(incarnation),
       options(options),
       clock(clock) {}
 
-ShareBook::Shard& ShareBook::ShardOf(std::string_view workspace) {
+DistributedRateLimiter::Shard& DistributedRateLimiter::ShardOf(
+    std::string_view workspace) {
   return this->shards[StableHash(workspace) % kShards];
 }
 
-const ShareBook::Shard& ShareBook::ShardOf(std::string_view workspace) const {
+const DistributedRateLimiter::Shard& DistributedRateLimiter::ShardOf(
+    std::string_view workspace) const {
   return this->shards[StableHash(workspace) % kShards];
 }
 
-ShareBook::Book& ShareBook::BookOf(Shard& shard,
-                                   std::string_view workspace) const {
+DistributedRateLimiter::Book& DistributedRateLimiter::BookOf(
+    Shard& shard, std::string_view workspace) const {
   const auto found = shard.books.find(workspace);
   if (found != shard.books.end()) return found->second;
   return shard.books.emplace(std::string(workspace), Book(this->clock.Now()))
       .first->second;
 }
 
-void ShareBook::Reconfigure(Book& book, Instant now) const {
+void DistributedRateLimiter::Reconfigure(Book& book, Instant now) const {
   if (!book.rate.has_value() || !book.allotment.has_value()) {
     book.bucket.Configure(0, 0, now);
     book.share = 0;
@@ -62,8 +66,8 @@
   book.share = share;
 }
 
-void ShareBook::SetRate(std::string_view workspace,
-                        std::optional<RateLimit> rate) {
+void DistributedRateLimiter::SetRate(std::string_view workspace,
+                                     std::optional<RateLimit> rate) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   Book& book = this->BookOf(shard, workspace);
@@ -71,7 +75,7 @@
   this->Reconfigure(book, this->clock.Now());
 }
 
-void ShareBook::Adopt(const Allotment& allotment) {
+void DistributedRateLimiter::ApplyAllotment(const Allotment& allotment) {
   Shard& shard = this->ShardOf(allotment.workspace);
   absl::MutexLock lock(&shard.mutex);
   Book& book = this->BookOf(shard, allotment.workspace);
@@ -86,7 +90,7 @@
   this->Reconfigure(book, now);
   if (shrinks && owes) {
     book.confirm_from =
-        now + this->options.longest_promise + this->options.hold_limit;
+        now + this->options.max_reservation_wait + this->options.min_hold;
   }
 }
 
@@ -95,7 +99,8 @@
 // spend it as well. The holder goes by the smaller share at once, but confirms
 // it only when everything lent before is spent or void; until then the keeper
 // counts the larger share as held.
-std::int64_t ShareBook::ConfirmedEpoch(std::string_view workspace) {
+std::int64_t DistributedRateLimiter::ConfirmedEpoch(
+    std::string_view workspace) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.books.find(workspace);
@@ -107,7 +112,8 @@
   return book.confirmed_epoch;
 }
 
-std::optional<Allotment> ShareBook::Followed(std::string_view workspace) const {
+std::optional<Allotment> DistributedRateLimiter::CurrentAllotment(
+    std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.books.find(workspace);
@@ -115,8 +121,8 @@
   return found->second.allotment;
 }
 
-Admission ShareBook::Begin(std::string_view workspace, double cost,
-                           absl::Duration max_wait) const {
+Admission DistributedRateLimiter::Begin(std::string_view workspace, double cost,
+                                        absl::Duration max_wait) const {
   Admission admission;
   admission.workspace = std::string(workspace);
   admission.cost = cost;
@@ -125,7 +131,7 @@
   return admission;
 }
 
-AdmissionStep ShareBook::Next(Admission& admission) {
+AdmissionStep DistributedRateLimiter::Next(Admission& admission) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.books.find(admission.workspace);
@@ -135,15 +141,17 @@
   return this->NextInBook(found->second, admission, now);
 }
 
-AdmissionStep ShareBook::NextInBook(Book& book, Admission& admission,
-                                    Instant now) const {
+AdmissionStep DistributedRateLimiter::NextInBook(Book& book,
+                                                 Admission& admission,
+                                                 Instant now) const {
   if (!book.rate.has_value()) return NoRate{};
   const double burst = book.rate->burst_tokens;
   if (admission.cost > burst) return CostAboveBurst{burst};
-  if (!book.allotment.has_value()) return NoShare{};
+  if (!book.allotment.has_value()) return NoShareOwnerReachable{};
   DropStale(admission, now);
   double missing = admission.cost;
-  for (const TokensInHand& part : admission.in_hand) missing -= part.tokens;
+  for (const CollectedTokens& part : admission.collected)
+    missing -= part.tokens;
   if (missing <= 0) return Spend(admission, now);
   return this->GatherMore(book, admission, missing, now);
 }
@@ -152,36 +160,35 @@
 // waking, when the lender has stopped counting them. Past their use-by time
 // they are lost, on the borrower's own clock from its own asking, which is no
 // later than the lender's debit.
-void ShareBook::DropStale(Admission& admission, Instant now) {
-  auto& parts = admission.in_hand;
-  parts.erase(
-      std::remove_if(parts.begin(), parts.end(),
-                     [now](const TokensInHand& p) { return p.use_by <= now; }),
-      parts.end());
+void DistributedRateLimiter::DropStale(Admission& admission, Instant now) {
+  auto& parts = admission.collected;
+  parts.erase(std::remove_if(
+                  parts.begin(), parts.end(),
+                  [now](const CollectedTokens& p) { return p.use_by <= now; }),
+              parts.end());
 }
 
-AdmissionStep ShareBook::Spend(Admission& admission, Instant now) {
+AdmissionStep DistributedRateLimiter::Spend(Admission& admission, Instant now) {
   Instant ready = now;
-  for (const TokensInHand& part : admission.in_hand) {
+  for (const CollectedTokens& part : admission.collected) {
     ready = std::max(ready, part.spend_from);
   }
   if (ready > now) return WaitFor{ready - now};
   admission.charged = now;
-  admission.in_hand.clear();
+  admission.collected.clear();
   return Admitted{};
 }
 
-std::vector<ShareBook::Source> ShareBook::Sources(const Book& book,
-                                                  const Admission& admission,
-                                                  bool with_silent,
-                                                  Instant now) const {
+std::vector<DistributedRateLimiter::Source> DistributedRateLimiter::Sources(
+    const Book& book, const Admission& admission, bool with_silent,
+    Instant now) const {
   std::vector<Source> sources;
   if (book.share > 0) {
     sources.push_back(Source{"", book.bucket.Level(now), book.bucket.Rate(),
                              book.bucket.Cap()});
   }
   const double burst = book.rate->burst_tokens;
-  for (const HolderShare& holder : book.allotment->holders) {
+  for (const OwnerShare& holder : book.allotment->holders) {
     if (holder.instance == this->instance || holder.share == 0) continue;
     if (admission.silent.count(holder.instance) > 0) continue;
     const double part = PartOf(holder.share);
@@ -204,12 +211,12 @@
 //   wait = (tokens - sum of levels) / sum of rates.
 // More buckets mean a shorter wait and more messages; the ask price weighs
 // one against the other.
-std::optional<ShareBook::Draw> ShareBook::ChooseDraw(
+std::optional<DistributedRateLimiter::Draw> DistributedRateLimiter::ChooseDraw(
     std::vector<Source> sources, double tokens, absl::Duration longest) const {
   const auto time_to_empty = [this, tokens](const Source& source) {
     const bool is_own = source.peer.empty();
     const double left = source.level - tokens;
-    const bool has_plenty = left >= this->options.own_until * source.cap;
+    const bool has_plenty = left >= this->options.local_only_level * source.cap;
     if (is_own && has_plenty) return absl::InfiniteDuration();
     return absl::Seconds(source.level / source.rate);
   };
@@ -228,7 +235,8 @@
     if (!sources[k].peer.empty()) ++asked;
     const double wait = (tokens - level) / rate;
     const absl::Duration delay = absl::Seconds(std::max(0.0, wait));
-    const absl::Duration price = delay + asked * this->options.ask_price;
+    const absl::Duration price =
+        delay + asked * this->options.peer_request_cost;
     if (delay > longest || price >= best_price) continue;
     Draw draw;
     draw.wait = delay;
@@ -250,8 +258,10 @@
 // over the rate. Peers that were silent are asked again before a request is
 // given up, for as long as it may wait; and if nobody answers at all, that is
 // what the caller is told.
-AdmissionStep ShareBook::WithoutDraw(Book& book, Admission& admission,
-                                     double missing, Instant now) const {
+AdmissionStep DistributedRateLimiter::WithoutDraw(Book& book,
+                                                  Admission& admission,
+                                                  double missing,
+                                                  Instant now) const {
   const bool may_wait =
       now + kSilentPause < admission.started + admission.max_wait;
   if (!admission.silent.empty() && may_wait) {
@@ -266,11 +276,13 @@
                       now);
 }
 
-AdmissionStep ShareBook::GatherMore(Book& book, Admission& admission,
-                                    double missing, Instant now) const {
+AdmissionStep DistributedRateLimiter::GatherMore(Book& book,
+                                                 Admission& admission,
+                                                 double missing,
+                                                 Instant now) const {
   const absl::Duration patience = admission.started + admission.max_wait - now;
   const absl::Duration longest =
-      std::min(patience, this->options.longest_promise);
+      std::min(patience, this->options.max_reservation_wait);
   std::optional<Draw> draw = this->ChooseDraw(
       this->Sources(book, admission, false, now), missing, longest);
   if (!draw.has_value()) {
@@ -289,32 +301,34 @@
     if (++admission.asks > kMostAsks) break;
     admission.asked_at = now;
     const double whole = std::min(std::ceil(tokens), std::floor(source.cap));
-    return BorrowFrom{source.peer, static_cast<std::int64_t>(whole), longest};
+    return BorrowFromPeer{source.peer, static_cast<std::int64_t>(whole),
+                          longest};
   }
   // What is spent at once needs no reservation.
-  if (admission.in_hand.empty() && book.bucket.Withdraw(missing, now)) {
+  if (admission.collected.empty() && book.bucket.Withdraw(missing, now)) {
     admission.charged = now;
     return Admitted{};
   }
   std::optional<Reservation> reserved;
   if (admission.asks <= kMostAsks) {
     reserved =
-        book.bucket.Reserve(missing, longest, this->options.hold_limit, now);
+        book.bucket.Reserve(missing, longest, this->options.min_hold, now);
   }
   if (!reserved.has_value()) {
     return this->GiveUp(book, admission, draw->wait, now);
   }
-  admission.in_hand.push_back(TokensInHand{"", missing, 0, now + reserved->wait,
-                                           now + reserved->use_by});
+  admission.collected.push_back(CollectedTokens{
+      "", missing, 0, now + reserved->wait, now + reserved->use_by});
   return Spend(admission, now);
 }
 
-AdmissionStep ShareBook::GiveUp(Book& book, Admission& admission,
-                                absl::Duration missing, Instant now) const {
-  if (book.share == 0 && !admission.answered) return NoShare{};
+AdmissionStep DistributedRateLimiter::GiveUp(Book& book, Admission& admission,
+                                             absl::Duration missing,
+                                             Instant now) const {
+  if (book.share == 0 && !admission.answered) return NoShareOwnerReachable{};
   OverRate over;
   over.retry_after = std::max(missing, kShortestRetryAfter);
-  for (const TokensInHand& part : admission.in_hand) {
+  for (const CollectedTokens& part : admission.collected) {
     if (part.peer.empty()) {
       book.bucket.Refund(part.tokens, admission.started, now);
     } else {
@@ -322,12 +336,13 @@
           part.peer, static_cast<std::int64_t>(part.tokens), part.stamp});
     }
   }
-  admission.in_hand.clear();
+  admission.collected.clear();
   return over;
 }
 
-void ShareBook::FinishLoan(Admission& admission, std::string_view peer,
-                           const std::optional<Loan>& loan) {
+void DistributedRateLimiter::CompleteLoan(Admission& admission,
+                                          std::string_view peer,
+                                          const std::optional<Loan>& loan) {
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
   Book& book = this->BookOf(shard, admission.workspace);
@@ -344,12 +359,12 @@
   admission.answered = true;
   hint.level = static_cast<double>(loan->level);
   if (loan->granted == 0) return;
-  admission.in_hand.push_back(TokensInHand{
+  admission.collected.push_back(CollectedTokens{
       std::string(peer), static_cast<double>(loan->granted), loan->stamp,
       now + loan->wait, admission.asked_at + loan->use_by});
 }
 
-void ShareBook::Settle(const Admission& admission, double used) {
+void DistributedRateLimiter::Settle(const Admission& admission, double used) {
   if (!admission.charged.has_value()) return;
   Shard& shard = this->ShardOf(admission.workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -358,8 +373,9 @@
   book.bucket.Refund(unused, *admission.charged, this->clock.Now());
 }
 
-Loan ShareBook::Lend(std::string_view workspace, std::int64_t tokens,
-                     absl::Duration longest) {
+Loan DistributedRateLimiter::LendTokens(std::string_view workspace,
+                                        std::int64_t tokens,
+                                        absl::Duration longest) {
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.books.find(workspace);
@@ -370,8 +386,8 @@
   Loan loan;
   const std::optional<Reservation> reserved =
       book.bucket.Reserve(static_cast<double>(tokens),
-                          std::min(longest, this->options.longest_promise),
-                          this->options.hold_limit, now);
+                          std::min(longest, this->options.max_reservation_wait),
+                          this->options.min_hold, now);
   if (reserved.has_value()) {
     loan.granted = tokens;
     loan.wait = reserved->wait;
@@ -385,8 +401,9 @@
 
 // A return may come late, or from a process that thinks it is somebody else's
 // borrower; the bucket never takes more than it would hold by itself today.
-void ShareBook::TakeBack(std::string_view workspace, std::int64_t tokens,
-                         std::int64_t stamp) {
+void DistributedRateLimiter::ReceiveReturn(std::string_view workspace,
+                                           std::int64_t tokens,
+                                           std::int64_t stamp) {
   if (tokens <= 0) return;
   Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -398,14 +415,15 @@
   found->second.bucket.Refund(static_cast<double>(tokens), lent_at, now);
 }
 
-std::vector<WorkspaceBalance> ShareBook::Balances(std::size_t limit) const {
+std::vector<WorkspaceBalance> DistributedRateLimiter::Balances(
+    std::size_t limit) const {
   std::vector<WorkspaceBalance> balances;
   const Instant now = this->clock.Now();
   for (const Shard& shard : this->shards) {
     absl::MutexLock lock(&shard.mutex);
     for (const auto& [workspace, book] : shard.books) {
       if (balances.size() == limit) return balances;
-      if (now - book.last_demand > this->options.demand_memory) continue;
+      if (now - book.last_demand > this->options.demand_retention) continue;
       if (book.bucket.Cap() == 0) continue;
       balances.push_back(WorkspaceBalance{
           workspace, static_cast<std::int64_t>(book.bucket.Level(now)),
@@ -415,7 +433,7 @@
   return balances;
 }
 
-std::optional<WorkspaceBalance> ShareBook::BalanceOf(
+std::optional<WorkspaceBalance> DistributedRateLimiter::BalanceOf(
     std::string_view workspace) const {
   const Shard& shard = this->ShardOf(workspace);
   absl::MutexLock lock(&shard.mutex);
@@ -428,7 +446,8 @@
       static_cast<std::int64_t>(bucket.Cap())};
 }
 
-void ShareBook::Learn(std::string_view peer, const WorkspaceBalance& balance) {
+void DistributedRateLimiter::Learn(std::string_view peer,
+                                   const WorkspaceBalance& balance) {
   Shard& shard = this->ShardOf(balance.workspace);
   absl::MutexLock lock(&shard.mutex);
   const auto found = shard.books.find(balance.workspace);
--- a/dragonflyglade/decision/share_book.h
+++ b/dragonflyglade/decision/distributed_rate_limiter.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
+#define DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
 
 #include <array>
 #include <cstdint>
@@ -25,24 +25,24 @@
 };
 
 /// Limits on how tokens move between instances.
-struct ShareOptions {
+struct RateLimiterOptions {
   /// How long tokens that could be spent may be held at least before they
   /// count as lost.
-  absl::Duration hold_limit = absl::Milliseconds(100);
+  absl::Duration min_hold = absl::Milliseconds(100);
   /// Longest time ahead for which tokens are promised.
-  absl::Duration longest_promise = absl::Milliseconds(500);
+  absl::Duration max_reservation_wait = absl::Milliseconds(500);
   /// What asking one more peer is worth in waiting time.
-  absl::Duration ask_price = absl::Milliseconds(10);
+  absl::Duration peer_request_cost = absl::Milliseconds(10);
   /// Part of its cap down to which the own bucket is drawn on alone. Below
   /// it, those furthest from empty give first, own and others alike: a bucket
   /// that sits at its cap accrues nothing.
-  double own_until = 0.85;
+  double local_only_level = 0.85;
   /// Workspaces without demand for this long leave the balances.
-  absl::Duration demand_memory = absl::Seconds(10);
+  absl::Duration demand_retention = absl::Seconds(10);
 };
 
 /// Tokens taken for an admission, from a peer or from the own bucket.
-struct TokensInHand {
+struct CollectedTokens {
   std::string peer;  ///< empty for the own bucket
   double tokens = 0;
   std::int64_t stamp = 0;  ///< the giver's; goes back with returned tokens
@@ -50,13 +50,13 @@
   Instant use_by;          ///< and not after this
 };
 
-/// One request's way to its tokens. Made by ShareBook::Begin.
+/// One request's way to its tokens. Made by DistributedRateLimiter::Begin.
 struct Admission {
   std::string workspace;
   double cost = 0;
   Instant started;
   absl::Duration max_wait;
-  std::vector<TokensInHand> in_hand;
+  std::vector<CollectedTokens> collected;
   std::set<std::string> silent;    ///< peers that did not answer
   int asks = 0;                    ///< loans asked for so far
   bool answered = false;           ///< whether any peer answered
@@ -66,8 +66,9 @@
 
 /// The tokens are taken; the request may go on.
 struct Admitted {};
-/// Ask this peer for tokens, then report by ShareBook::FinishLoan.
-struct BorrowFrom {
+/// Ask this peer for tokens, then report by
+/// DistributedRateLimiter::CompleteLoan.
+struct BorrowFromPeer {
   std::string peer;
   std::int64_t tokens = 0;
   absl::Duration longest;  ///< the longest promise that is of use
@@ -94,10 +95,11 @@
 /// The workspace has no rate record.
 struct NoRate {};
 /// Nobody that holds a share of this workspace could be asked.
-struct NoShare {};
+struct NoShareOwnerReachable {};
 
-using AdmissionStep = std::variant<Admitted, BorrowFrom, WaitFor, OverRate,
-                                   CostAboveBurst, NoRate, NoShare>;
+using AdmissionStep =
+    std::variant<Admitted, BorrowFromPeer, WaitFor, OverRate, CostAboveBurst,
+                 NoRate, NoShareOwnerReachable>;
 
 /// A lender's answer, with what is left in its bucket.
 struct Loan {
@@ -123,23 +125,23 @@
 /// answers, what it promises ahead is what its own share will accrue, and
 /// tokens on their way count towards the lender's cap until they are void.
 /// Thread-safe; workspaces are spread over shards with a lock each.
-class ShareBook {
+class DistributedRateLimiter {
  public:
-  ShareBook(std::string_view instance, std::int64_t incarnation,
-            ShareOptions options, Clock clock);
+  DistributedRateLimiter(std::string_view instance, std::int64_t incarnation,
+                         RateLimiterOptions options, Clock clock);
 
   /// Sets or removes a workspace's rate.
   void SetRate(std::string_view workspace, std::optional<RateLimit> rate);
 
   /// Follows an allotment unless a newer epoch is followed already.
-  void Adopt(const Allotment& allotment);
+  void ApplyAllotment(const Allotment& allotment);
 
   /// The epoch of which this instance surely uses no more than its share; 0
   /// for none.
   std::int64_t ConfirmedEpoch(std::string_view workspace);
 
   /// The allotment followed for a workspace, if any.
-  std::optional<Allotment> Followed(std::string_view workspace) const;
+  std::optional<Allotment> CurrentAllotment(std::string_view workspace) const;
 
   /// Starts an admission.
   /// @param cost tokens, prompt plus the most that may be generated
@@ -151,8 +153,8 @@
   AdmissionStep Next(Admission& admission);
 
   /// Takes a lender's answer; nothing if it did not answer.
-  void FinishLoan(Admission& admission, std::string_view peer,
-                  const std::optional<Loan>& loan);
+  void CompleteLoan(Admission& admission, std::string_view peer,
+                    const std::optional<Loan>& loan);
 
   /// Gives back what an admitted request did not use.
   /// @param used tokens, at most the cost
@@ -160,13 +162,13 @@
 
   /// Lends tokens to another instance, all or none.
   /// @param longest the longest wait that is of use to the borrower
-  Loan Lend(std::string_view workspace, std::int64_t tokens,
-            absl::Duration longest);
+  Loan LendTokens(std::string_view workspace, std::int64_t tokens,
+                  absl::Duration longest);
 
   /// Takes back lent tokens that were not spent.
   /// @param stamp of the loan
-  void TakeBack(std::string_view workspace, std::int64_t tokens,
-                std::int64_t stamp);
+  void ReceiveReturn(std::string_view workspace, std::int64_t tokens,
+                     std::int64_t stamp);
 
   /// Buckets of workspaces with recent demand, at most limit of them.
   std::vector<WorkspaceBalance> Balances(std::size_t limit) const;
@@ -234,11 +236,11 @@
 
   const std::string instance;
   const std::int64_t incarnation;
-  const ShareOptions options;
+  const RateLimiterOptions options;
   const Clock clock;
   std::array<Shard, kShards> shards;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_SHARE_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_DISTRIBUTED_RATE_LIMITER_H_
--- a/dragonflyglade/decision/failure.cc
+++ b/dragonflyglade/decision/failure.cc
@@ -27,7 +27,7 @@
         return "no answer in time";
       case Errc::kConnectionLost:
         return "connection lost";
-      case Errc::kBadAnswer:
+      case Errc::kMalformedResponse:
         return "malformed answer";
       case Errc::kTruncated:
         return "answer cut short";
--- a/dragonflyglade/decision/failure.h
+++ b/dragonflyglade/decision/failure.h
@@ -19,7 +19,7 @@
   kConnectFailed,
   kTimeout,
   kConnectionLost,
-  kBadAnswer,
+  kMalformedResponse,
   kTruncated,
   kRefused,
   kOutcomeUnknown,
--- a/dragonflyglade/decision/fair_queue.cc
+++ b/dragonflyglade/decision/fair_queue.cc
@@ -6,8 +6,9 @@
 
 namespace dragonflyglade {
 
-FairQueue::FairQueue(absl::Duration age_limit, int aged_turn_every)
-    : age_limit(age_limit), aged_turn_every(std::max(2, aged_turn_every)) {}
+FairQueue::FairQueue(absl::Duration age_limit, int aged_turn_interval)
+    : age_limit(age_limit),
+      aged_turn_interval(std::max(2, aged_turn_interval)) {}
 
 void FairQueue::Push(QueueEntry entry) {
   ClassQueue& queue =
@@ -38,7 +39,7 @@
 // higher classes keep most of the turns.
 std::optional<FairQueue::Choice> FairQueue::ChooseAged(Instant now,
                                                        Search& search) const {
-  if (this->turns % static_cast<std::uint64_t>(this->aged_turn_every) != 0) {
+  if (this->turns % static_cast<std::uint64_t>(this->aged_turn_interval) != 0) {
     return std::nullopt;
   }
   std::optional<Choice> oldest;
@@ -104,8 +105,8 @@
   return entry;
 }
 
-std::optional<QueueEntry> FairQueue::PopFirst(Instant now,
-                                              const CanPlace& can_place) {
+std::optional<QueueEntry> FairQueue::PopFirstDispatchable(
+    Instant now, const CanDispatch& can_place) {
   Search search{can_place, {}};
   const std::optional<Choice> choice = this->Choose(now, search);
   if (!choice.has_value()) return std::nullopt;
@@ -113,7 +114,8 @@
 }
 
 std::optional<QueueEntry> FairQueue::Pop(Instant now) {
-  return this->PopFirst(now, [](const QueueEntry&) { return true; });
+  return this->PopFirstDispatchable(now,
+                                    [](const QueueEntry&) { return true; });
 }
 
 bool FairQueue::Remove(std::uint64_t id) {
--- a/dragonflyglade/decision/fair_queue.h
+++ b/dragonflyglade/decision/fair_queue.h
@@ -37,18 +37,19 @@
 class FairQueue {
  public:
   /// @param age_limit wait after which a lower class gets turns
-  /// @param aged_turn_every one of so many turns goes to the aged
-  FairQueue(absl::Duration age_limit, int aged_turn_every);
+  /// @param aged_turn_interval one of so many turns goes to the aged
+  FairQueue(absl::Duration age_limit, int aged_turn_interval);
 
   void Push(QueueEntry entry);
 
   /// Says whether a request can be placed now.
-  using CanPlace = std::function<bool(const QueueEntry&)>;
+  using CanDispatch = std::function<bool(const QueueEntry&)>;
 
   /// Takes the first request in the fair order that can be placed, so that a
   /// model whose targets are busy does not hold up the others.
   /// Complexity: linear in the waiting requests at the worst.
-  std::optional<QueueEntry> PopFirst(Instant now, const CanPlace& can_place);
+  std::optional<QueueEntry> PopFirstDispatchable(Instant now,
+                                                 const CanDispatch& can_place);
 
   /// Takes the next request, if any waits.
   std::optional<QueueEntry> Pop(Instant now);
@@ -74,7 +75,7 @@
     std::size_t index = 0;
   };
   struct Search {
-    const CanPlace& can_place;
+    const CanDispatch& can_place;
     std::set<std::string, std::less<>> stuck_groups;
   };
 
@@ -86,7 +87,7 @@
   QueueEntry Take(const Choice& choice);
 
   const absl::Duration age_limit;
-  const int aged_turn_every;
+  const int aged_turn_interval;
   std::array<ClassQueue, kRequestClasses> classes;
   std::uint64_t turns = 0;
 };
--- a/dragonflyglade/decision/instance_choice.cc
+++ b/dragonflyglade/decision/instance_choice.cc
@@ -38,11 +38,11 @@
   return std::min(by_cores, by_link);
 }
 
-std::vector<std::size_t> ByStrength(absl::Span<const InstanceOffer> offers,
-                                    std::string_view key) {
+std::vector<std::size_t> OrderByCapacity(
+    absl::Span<const InstanceCandidate> offers, std::string_view key) {
   const std::uint64_t seed = StableHash(key);
   const auto rank = [&](std::size_t index) {
-    const InstanceOffer& offer = offers[index];
+    const InstanceCandidate& offer = offers[index];
     return std::make_pair(-offer.capacity, StableHash(offer.name, seed));
   };
   std::vector<std::size_t> order(offers.size());
@@ -54,19 +54,21 @@
 }
 
 std::vector<std::size_t> ChooseInstances(
-    absl::Span<const InstanceOffer> offers) {
-  const std::vector<std::size_t> order = ByStrength(offers, kOrderKey);
+    absl::Span<const InstanceCandidate> offers) {
+  const std::vector<std::size_t> order = OrderByCapacity(offers, kOrderKey);
   if (order.empty()) return {};
   const double strong = kStrongShare * offers[order.front()].capacity;
-  const double whole = std::accumulate(
-      offers.begin(), offers.end(), 0.0,
-      [](double sum, const InstanceOffer& one) { return sum + one.capacity; });
+  const double whole =
+      std::accumulate(offers.begin(), offers.end(), 0.0,
+                      [](double sum, const InstanceCandidate& one) {
+                        return sum + one.capacity;
+                      });
   std::map<std::string_view, int> in_zone;
   std::vector<std::size_t> chosen;
   std::vector<std::size_t> others;
   double capacity = 0;
   for (const std::size_t index : order) {
-    const InstanceOffer& offer = offers[index];
+    const InstanceCandidate& offer = offers[index];
     if (offer.capacity < strong && in_zone[offer.zone] >= kFewestInZone) {
       others.push_back(index);
       continue;
--- a/dragonflyglade/decision/instance_choice.h
+++ b/dragonflyglade/decision/instance_choice.h
@@ -10,7 +10,7 @@
 namespace dragonflyglade {
 
 /// An instance that callers could be sent to.
-struct InstanceOffer {
+struct InstanceCandidate {
   std::string_view name;
   std::string_view zone;
   double capacity = 0;  ///< see InstanceCapacity
@@ -29,12 +29,12 @@
 /// @return indexes into the offers, the strongest first
 /// Complexity: O(n log n).
 std::vector<std::size_t> ChooseInstances(
-    absl::Span<const InstanceOffer> offers);
+    absl::Span<const InstanceCandidate> offers);
 
 /// The offers' order of strength: by capacity, then by a stable hash, so that
 /// equal instances do not all prefer the same one for different keys.
-std::vector<std::size_t> ByStrength(absl::Span<const InstanceOffer> offers,
-                                    std::string_view key);
+std::vector<std::size_t> OrderByCapacity(
+    absl::Span<const InstanceCandidate> offers, std::string_view key);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/duty_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
-#define DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
+#ifndef DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
+#define DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
 
 #include <cstdint>
 #include <functional>
@@ -11,15 +11,15 @@
 
 /// Two readings at one moment. The steady clock stands still while the
 /// machine is suspended, the boot clock does not.
-struct LocalTime {
+struct ClockReadings {
   Instant steady;
   Instant boot;
 };
 
 /// Times of a duty's lease.
-struct DutyLeaseOptions {
+struct LeaderLeaseOptions {
   /// Orders of two holders to one target must lie further apart than this.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
   /// Taken off the lease: what the store's clock and an order on its way may
   /// add between the last check here and the order's arrival there.
   absl::Duration margin = absl::Milliseconds(400);
@@ -32,18 +32,19 @@
 /// store can have taken it. So this instance stops before the store lets
 /// another one in, also when answers are lost or it was suspended in between:
 /// either clock running out is enough.
-class DutyLease {
+class LeaderLease {
  public:
-  using ReadTime = std::function<LocalTime()>;
+  using ReadTime = std::function<ClockReadings()>;
 
-  DutyLease(DutyLeaseOptions options, ReadTime read);
+  LeaderLease(LeaderLeaseOptions options, ReadTime read);
 
   /// The duty was acquired under a lease that was renewed at sent.
   /// @param fence grows with each holder
-  void Acquired(std::uint64_t fence, LocalTime sent, absl::Duration ttl);
+  void OnLeaseAcquired(std::uint64_t fence, ClockReadings sent,
+                       absl::Duration ttl);
 
   /// The lease was renewed by a call sent at that time.
-  void Renewed(LocalTime sent, absl::Duration ttl);
+  void OnLeaseRenewed(ClockReadings sent, absl::Duration ttl);
 
   void Lost();
 
@@ -52,22 +53,22 @@
 
   /// Whether an order may be sent now. False for a while after the duty was
   /// acquired: an order of the holder before may still be on its way.
-  bool MayAct() const;
+  bool MayIssueOrders() const;
 
-  /// When MayAct can become true after Acquired, on the steady clock.
-  Instant QuietUntil() const;
+  /// When MayIssueOrders can become true after Acquired, on the steady clock.
+  Instant EarliestOrderTime() const;
 
   std::uint64_t Fence() const { return this->fence; }
 
  private:
-  const DutyLeaseOptions options;
+  const LeaderLeaseOptions options;
   const ReadTime read;
   bool held = false;
   std::uint64_t fence = 0;
-  LocalTime acquired;
-  LocalTime valid_until;
+  ClockReadings acquired;
+  ClockReadings valid_until;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_DUTY_LEASE_H_
+#endif  // DRAGONFLYGLADE_DECISION_LEADER_LEASE_H_
--- a/dragonflyglade/decision/membership.cc
+++ b/dragonflyglade/decision/membership.cc
@@ -15,14 +15,14 @@
 // How often a statement that changes nothing for callers is passed on.
 constexpr int kCalmSends = 3;
 
-bool IsNewer(const MemberStatement& a, const MemberStatement& b) {
+bool IsNewer(const MemberStatus& a, const MemberStatus& b) {
   return std::tie(a.incarnation, a.sequence, a.state) >
          std::tie(b.incarnation, b.sequence, b.state);
 }
 
 }  // namespace
 
-Membership::Membership(MemberStatement self, MembershipOptions options,
+Membership::Membership(MemberStatus self, MembershipOptions options,
                        Clock clock, std::uint64_t seed)
     : options(options), clock(clock), self(std::move(self)), random(seed) {}
 
@@ -35,7 +35,7 @@
     const auto found = this->members.find(listed.info.name);
     if (found == this->members.end()) {
       // Nothing was heard of it yet: incarnation 0 yields to any heartbeat.
-      MemberStatement statement;
+      MemberStatus statement;
       statement.info = listed.info;
       statement.leaving = listed.leaving;
       this->members.emplace(listed.info.name,
@@ -46,7 +46,7 @@
   }
 }
 
-std::optional<MemberStatement> Membership::NextToProbe() {
+std::optional<MemberStatus> Membership::NextToProbe() {
   absl::MutexLock lock(&this->mutex);
   // A shuffled round visits everybody before anybody twice, which bounds the
   // time until a failure is noticed.
@@ -56,7 +56,7 @@
       this->round.pop_back();
       const auto found = this->members.find(name);
       if (found == this->members.end()) continue;
-      const MemberStatement& statement = found->second.statement;
+      const MemberStatus& statement = found->second.statement;
       // The dead are still asked while the list names them: a false death
       // ends when they answer.
       if (statement.state != MemberState::kDead || this->IsListed(name)) {
@@ -71,10 +71,10 @@
   return std::nullopt;
 }
 
-std::vector<MemberStatement> Membership::RandomLive(std::size_t count,
-                                                    std::string_view except) {
+std::vector<MemberStatus> Membership::SampleAlive(std::size_t count,
+                                                  std::string_view except) {
   absl::MutexLock lock(&this->mutex);
-  std::vector<MemberStatement> live;
+  std::vector<MemberStatus> live;
   for (const auto& [name, member] : this->members) {
     if (name == except) continue;
     if (member.statement.state == MemberState::kAlive) {
@@ -89,7 +89,7 @@
 // Failure: a fleet that starts has hundreds of statements to pass on; news of
 // a death waits behind them, and meanwhile callers are sent to the dead. What
 // was sent least often goes first, so news overtakes what is nearly known.
-std::vector<MemberStatement> Membership::Updates(std::string_view to) {
+std::vector<MemberStatus> Membership::Updates(std::string_view to) {
   absl::MutexLock lock(&this->mutex);
   const std::size_t count =
       std::min(this->options.updates_per_message, this->pending.size());
@@ -100,7 +100,7 @@
                       return std::make_pair(!a.urgent, a.times_sent) <
                              std::make_pair(!b.urgent, b.times_sent);
                     });
-  std::vector<MemberStatement> updates;
+  std::vector<MemberStatus> updates;
   for (std::size_t i = 0; i < count; ++i) {
     Pending& next = this->pending[i];
     ++next.times_sent;
@@ -128,8 +128,8 @@
   return updates;
 }
 
-void Membership::Receive(const MemberStatement& sender,
-                         absl::Span<const MemberStatement> updates) {
+void Membership::Receive(const MemberStatus& sender,
+                         absl::Span<const MemberStatus> updates) {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(sender.info.name);
   const bool was_current = found != this->members.end() &&
@@ -144,10 +144,10 @@
       this->Judge(member, MemberState::kAlive);
     }
   }
-  for (const MemberStatement& update : updates) this->TakeStatement(update);
+  for (const MemberStatus& update : updates) this->TakeStatement(update);
 }
 
-bool Membership::TakeStatement(const MemberStatement& statement) {
+bool Membership::TakeStatement(const MemberStatus& statement) {
   if (statement.info.name.empty()) return false;
   if (statement.info.name == this->self.info.name) {
     this->Refute(statement);
@@ -174,7 +174,7 @@
 // Failure: a few lost datagrams make others suspect a healthy instance, and
 // callers are steered away from it. A statement with a higher sequence can
 // only come from the instance itself, so it overrules every suspicion.
-void Membership::Refute(const MemberStatement& statement) {
+void Membership::Refute(const MemberStatus& statement) {
   if (statement.incarnation > this->self.incarnation) return;
   if (statement.state == MemberState::kAlive) return;
   // Whoever knew this instance only from the list suspects incarnation 0; a
@@ -185,7 +185,7 @@
   this->self.sequence = std::max(this->self.sequence, refuted + 1);
 }
 
-void Membership::Missed(std::string_view name) {
+void Membership::ReportProbeFailure(std::string_view name) {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->members.find(name);
   if (found == this->members.end()) return;
@@ -246,14 +246,14 @@
   this->self.load_permille = load_permille;
 }
 
-MemberStatement Membership::Self() const {
+MemberStatus Membership::Self() const {
   absl::MutexLock lock(&this->mutex);
   return this->self;
 }
 
-std::vector<MemberStatement> Membership::All() const {
+std::vector<MemberStatus> Membership::All() const {
   absl::MutexLock lock(&this->mutex);
-  std::vector<MemberStatement> all = {this->self};
+  std::vector<MemberStatus> all = {this->self};
   for (const auto& [name, member] : this->members) {
     all.push_back(member.statement);
   }
@@ -265,7 +265,7 @@
   std::vector<std::string> names;
   if (!this->self.leaving) names.push_back(this->self.info.name);
   for (const auto& [name, member] : this->members) {
-    const MemberStatement& statement = member.statement;
+    const MemberStatus& statement = member.statement;
     if (statement.state == MemberState::kDead || statement.leaving) continue;
     if (statement.incarnation == 0 && !this->IsListed(name)) continue;
     names.push_back(name);
@@ -273,7 +273,7 @@
   return names;
 }
 
-std::optional<MemberStatement> Membership::Find(std::string_view name) const {
+std::optional<MemberStatus> Membership::Find(std::string_view name) const {
   absl::MutexLock lock(&this->mutex);
   if (name == this->self.info.name) return this->self;
   const auto found = this->members.find(name);
@@ -286,7 +286,7 @@
   return this->list;
 }
 
-std::pair<int, int> Membership::ListedAndAlive() const {
+std::pair<int, int> Membership::CountListedAndAlive() const {
   absl::MutexLock lock(&this->mutex);
   int listed = 0;
   int alive = 0;
@@ -304,7 +304,7 @@
   return {listed, alive};
 }
 
-void Membership::Queue(const MemberStatement& statement) {
+void Membership::Queue(const MemberStatus& statement) {
   Pending entry;
   entry.name = statement.info.name;
   entry.urgent = statement.state != MemberState::kAlive || statement.leaving ||
--- a/dragonflyglade/decision/membership.h
+++ b/dragonflyglade/decision/membership.h
@@ -33,7 +33,7 @@
 
 /// One statement about an instance. The one with the higher
 /// (incarnation, sequence, state) holds.
-struct MemberStatement {
+struct MemberStatus {
   MemberInfo info;
   std::int64_t incarnation = 0;  ///< the process start, in microseconds
   std::int64_t sequence = 0;     ///< raised by the instance itself only
@@ -78,28 +78,28 @@
 /// Thread-safe.
 class Membership {
  public:
-  Membership(MemberStatement self, MembershipOptions options, Clock clock,
+  Membership(MemberStatus self, MembershipOptions options, Clock clock,
              std::uint64_t seed);
 
   /// Takes the platform's list unless a newer one was taken.
   void TakeList(const InstanceList& list);
 
   /// The instance to send the next heartbeat to, if there is any other.
-  std::optional<MemberStatement> NextToProbe();
+  std::optional<MemberStatus> NextToProbe();
 
   /// Up to count random live instances other than self and except.
-  std::vector<MemberStatement> RandomLive(std::size_t count,
-                                          std::string_view except);
+  std::vector<MemberStatus> SampleAlive(std::size_t count,
+                                        std::string_view except);
 
   /// The statements to send with a heartbeat to an instance.
-  std::vector<MemberStatement> Updates(std::string_view to);
+  std::vector<MemberStatus> Updates(std::string_view to);
 
   /// Takes statements from a heartbeat. The sender itself was heard.
-  void Receive(const MemberStatement& sender,
-               absl::Span<const MemberStatement> updates);
+  void Receive(const MemberStatus& sender,
+               absl::Span<const MemberStatus> updates);
 
   /// An instance answered neither directly nor through others.
-  void Missed(std::string_view name);
+  void ReportProbeFailure(std::string_view name);
 
   /// The time until the next heartbeat is due.
   absl::Duration Period() const;
@@ -117,10 +117,10 @@
   void SetLoad(int load_permille);
 
   /// What this instance says of itself.
-  MemberStatement Self() const;
+  MemberStatus Self() const;
 
   /// All instances known, self included.
-  std::vector<MemberStatement> All() const;
+  std::vector<MemberStatus> All() const;
 
   /// Names of instances that are not dead and not leaving, self included.
   /// Those that the list names count before they are heard of, so that all
@@ -128,18 +128,18 @@
   std::vector<std::string> Active() const;
 
   /// An instance by name.
-  std::optional<MemberStatement> Find(std::string_view name) const;
+  std::optional<MemberStatus> Find(std::string_view name) const;
 
   /// The newest platform list taken.
   InstanceList List() const;
 
   /// How many instances the list names besides self (leaving ones aside),
   /// and how many of them are alive.
-  std::pair<int, int> ListedAndAlive() const;
+  std::pair<int, int> CountListedAndAlive() const;
 
  private:
   struct Member {
-    MemberStatement statement;
+    MemberStatus statement;
     Instant since;  ///< of its present state
   };
   struct Pending {
@@ -148,11 +148,11 @@
     bool urgent = false;  ///< a suspicion, a death, a refutation, a departure
   };
 
-  bool TakeStatement(const MemberStatement& statement)
+  bool TakeStatement(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void Refute(const MemberStatement& statement)
+  void Refute(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void Queue(const MemberStatement& statement)
+  void Queue(const MemberStatus& statement)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
   void Judge(Member& member, MemberState state)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
@@ -163,7 +163,7 @@
   const MembershipOptions options;
   const Clock clock;
   mutable absl::Mutex mutex;
-  MemberStatement self ABSL_GUARDED_BY(mutex);
+  MemberStatus self ABSL_GUARDED_BY(mutex);
   std::map<std::string, Member, std::less<>> members ABSL_GUARDED_BY(mutex);
   InstanceList list ABSL_GUARDED_BY(mutex);
   std::vector<Pending> pending ABSL_GUARDED_BY(mutex);
--- a/dragonflyglade/decision/load_ceiling.cc
+++ b/dragonflyglade/decision/model_load_limiter.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,32 +13,34 @@
 
 }  // namespace
 
-LoadCeiling::LoadCeiling(LoadCeilingOptions options, Clock clock)
+ModelLoadLimiter::ModelLoadLimiter(ModelLoadLimiterOptions options, Clock clock)
     : options(options), clock(std::move(clock)) {}
 
-int LoadCeiling::Allowed(double loads_per_second) const {
+int ModelLoadLimiter::Allowed(double loads_per_second) const {
   const double window = absl::ToDoubleSeconds(this->options.window);
   const double rate = loads_per_second * window * this->options.overage;
   return static_cast<int>(rate) + kBeside - kInReserve;
 }
 
-int LoadCeiling::Since(absl::Duration span) const {
+int ModelLoadLimiter::Since(absl::Duration span) const {
   const Instant from = this->clock.Now() - span;
   return static_cast<int>(
       std::count_if(this->begun.begin(), this->begun.end(),
                     [&](Instant at) { return at >= from; }));
 }
 
-void LoadCeiling::TakenOver(double loads_per_second) {
+void ModelLoadLimiter::OnLeadershipAcquired(double loads_per_second) {
   // The last moment at which the holder before can have begun them.
-  const Instant then = this->clock.Now() - this->options.quiet_between_holders;
+  const Instant then = this->clock.Now() - this->options.leader_handover_delay;
   const int half = (this->Allowed(loads_per_second) + 1) / 2;
   this->begun.assign(static_cast<std::size_t>(half), then);
 }
 
-void LoadCeiling::Began() { this->begun.push_back(this->clock.Now()); }
+void ModelLoadLimiter::RecordLoadStart() {
+  this->begun.push_back(this->clock.Now());
+}
 
-int LoadCeiling::Left(double loads_per_second) {
+int ModelLoadLimiter::Left(double loads_per_second) {
   const Instant oldest = this->clock.Now() - this->options.window;
   while (!this->begun.empty() && this->begun.front() < oldest) {
     this->begun.pop_front();
@@ -46,7 +48,7 @@
   const int allowed = this->Allowed(loads_per_second);
   const int in_window = allowed - static_cast<int>(this->begun.size());
   const absl::Duration unseen =
-      this->options.window - this->options.quiet_between_holders;
+      this->options.window - this->options.leader_handover_delay;
   const int at_once = (allowed + 1) / 2 - this->Since(unseen);
   return std::max(0, std::min(in_window, at_once));
 }
--- a/dragonflyglade/decision/load_ceiling.h
+++ b/dragonflyglade/decision/model_load_limiter.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
-#define DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
+#ifndef DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
+#define DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
 
 #include <deque>
 
@@ -9,11 +9,11 @@
 namespace dragonflyglade {
 
 /// How many loads the weight store takes.
-struct LoadCeilingOptions {
+struct ModelLoadLimiterOptions {
   absl::Duration window = absl::Seconds(5);
   double overage = 1;  ///< times the rate in a window
   /// A holder's orders come at least this long after those of the one before.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
 };
 
 /// Keeps the loads that begin in any window below what the weight store
@@ -23,15 +23,15 @@
 /// longer than the quiet time between them, the first part is the other's. So
 /// no holder begins more than half of a window's loads within a time of that
 /// length, and each new one takes that half as used.
-class LoadCeiling {
+class ModelLoadLimiter {
  public:
-  LoadCeiling(LoadCeilingOptions options, Clock clock);
+  ModelLoadLimiter(ModelLoadLimiterOptions options, Clock clock);
 
   /// The duty was just taken over; orders may go out from now on.
-  void TakenOver(double loads_per_second);
+  void OnLeadershipAcquired(double loads_per_second);
 
   /// A load begins, or may begin.
-  void Began();
+  void RecordLoadStart();
 
   /// How many may begin now.
   int Left(double loads_per_second);
@@ -40,11 +40,11 @@
   int Allowed(double loads_per_second) const;
   int Since(absl::Duration span) const;
 
-  const LoadCeilingOptions options;
+  const ModelLoadLimiterOptions options;
   const Clock clock;
   std::deque<Instant> begun;
 };
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_LOAD_CEILING_H_
+#endif  // DRAGONFLYGLADE_DECISION_MODEL_LOAD_LIMITER_H_
--- a/dragonflyglade/decision/pacing.cc
+++ b/dragonflyglade/decision/pacing.cc
@@ -14,17 +14,18 @@
 
 }  // namespace
 
-absl::Duration PacingHold(double waiting, double own,
-                          absl::Duration pause_objective) {
-  if (pause_objective == absl::InfiniteDuration()) return absl::ZeroDuration();
-  const double at_once =
-      kReadAtOnce * kReadPerMs * absl::ToDoubleMilliseconds(pause_objective);
+absl::Duration PacingDelay(double waiting, double own,
+                           absl::Duration event_gap_objective) {
+  if (event_gap_objective == absl::InfiniteDuration())
+    return absl::ZeroDuration();
+  const double at_once = kReadAtOnce * kPrefillTokensPerMs *
+                         absl::ToDoubleMilliseconds(event_gap_objective);
   // A prompt that is larger than that goes when nothing else is read.
   const double too_many = waiting - std::max(0.0, at_once - own);
-  return absl::Milliseconds(std::max(0.0, too_many) / kPacedPerMs);
+  return absl::Milliseconds(std::max(0.0, too_many) / kPacedPrefillTokensPerMs);
 }
 
-absl::Duration LongestPacing(absl::Duration latency_objective) {
+absl::Duration MaxPacingDelay(absl::Duration latency_objective) {
   return kHeldAtMost * latency_objective;
 }
 
--- a/dragonflyglade/decision/pacing.h
+++ b/dragonflyglade/decision/pacing.h
@@ -8,9 +8,10 @@
 
 /// The part of an engine's time in which prompts are read while they are
 /// paced. What is left is for the streams that run there.
-inline constexpr double kPacedReading = 0.5;
+inline constexpr double kPacedPrefillShare = 0.5;
 /// Prompt tokens that are sent to an engine in a millisecond while paced.
-inline constexpr double kPacedPerMs = kPacedReading * kReadPerMs;
+inline constexpr double kPacedPrefillTokensPerMs =
+    kPacedPrefillShare * kPrefillTokensPerMs;
 
 /// How long to hold a request back before it is sent to an engine.
 ///
@@ -20,14 +21,14 @@
 /// milliseconds, they are read in turn with the streams.
 /// @param waiting tokens sent there that the pace has not let through yet
 /// @param own tokens that the request adds
-/// @param pause_objective the shortest of the streams that run there
+/// @param event_gap_objective the shortest of the streams that run there
 /// @return zero: send now
-absl::Duration PacingHold(double waiting, double own,
-                          absl::Duration pause_objective);
+absl::Duration PacingDelay(double waiting, double own,
+                           absl::Duration event_gap_objective);
 
 /// How long a request may be held back in all, out of the time in which its
 /// caller wants the first output.
-absl::Duration LongestPacing(absl::Duration latency_objective);
+absl::Duration MaxPacingDelay(absl::Duration latency_objective);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/placement_planner.cc
+++ b/dragonflyglade/decision/placement_planner.cc
@@ -15,8 +15,8 @@
 
 // The picture that one round works on; steps change it as they are planned.
 struct PlacementPlanner::Round {
-  const PlanInput& input;
-  std::vector<PlannedTarget> targets;
+  const PlannerInput& input;
+  std::vector<PlannerTarget> targets;
   std::vector<PlanStep> steps;
   int model_loads_left = 0;
   int adapter_loads_left = 0;
@@ -24,7 +24,7 @@
   std::map<std::string, std::vector<std::size_t>, std::less<>> copies;
   std::set<std::string> unloading_now;  ///< models with an unload planned
 
-  explicit Round(const PlanInput& given) : input(given) {
+  explicit Round(const PlannerInput& given) : input(given) {
     this->targets = given.targets;
     for (std::size_t i = 0; i < this->targets.size(); ++i) {
       if (!this->targets[i].usable) continue;
@@ -46,7 +46,7 @@
     const auto found = this->copies.find(name);
     if (found == this->copies.end()) return sure;
     for (const std::size_t i : found->second) {
-      const PlannedTarget& target = this->targets[i];
+      const PlannerTarget& target = this->targets[i];
       const LedgerCopy* copy = FindCopy(target.ledger, name);
       const bool reported = target.resident.has_value() &&
                             target.resident->count(std::string(name)) > 0;
@@ -57,7 +57,7 @@
 
   std::int64_t Free(std::size_t i) const {
     const TargetLedger& ledger = this->targets[i].ledger;
-    return ledger.capacity - BookedBytes(ledger);
+    return ledger.capacity - ReservedBytes(ledger);
   }
 
   // The usable target with the most room that has no entry of the name.
@@ -65,7 +65,7 @@
                                       std::int64_t bytes) const {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < this->targets.size(); ++i) {
-      const PlannedTarget& target = this->targets[i];
+      const PlannerTarget& target = this->targets[i];
       if (!target.usable || FindCopy(target.ledger, name) != nullptr) continue;
       if (this->Free(i) < bytes) continue;
       if (!best.has_value() || this->Free(i) > this->Free(*best)) best = i;
@@ -85,7 +85,7 @@
   }
 
   void Unload(std::size_t i, const std::string& name,
-              const std::string& relies_on) {
+              const std::string& retained_copy_target) {
     std::vector<std::size_t>& holders = this->copies[name];
     holders.erase(std::remove(holders.begin(), holders.end(), i),
                   holders.end());
@@ -94,16 +94,16 @@
     }
     this->unloading_now.insert(name);
     this->steps.emplace_back(
-        PlanUnload{this->targets[i].ledger.target, name, relies_on});
+        PlanUnload{this->targets[i].ledger.target, name, retained_copy_target});
   }
 };
 
-PlacementPlanner::PlacementPlanner(PlanOptions options, Clock clock)
+PlacementPlanner::PlacementPlanner(PlannerOptions options, Clock clock)
     : options(options), clock(clock), credited(clock.Now()) {
   this->load_credit = options.loads_per_second;
 }
 
-std::vector<PlanStep> PlacementPlanner::Plan(const PlanInput& input) {
+std::vector<PlanStep> PlacementPlanner::Plan(const PlannerInput& input) {
   const Instant now = this->clock.Now();
   this->load_credit = std::min(
       static_cast<double>(this->options.loads_at_once),
@@ -112,10 +112,10 @@
   this->credited = now;
   Round round(input);
   round.model_loads_left =
-      std::min(this->options.loads_at_once - input.model_loads_open,
+      std::min(this->options.loads_at_once - input.open_model_loads,
                static_cast<int>(std::floor(this->load_credit)));
   round.adapter_loads_left =
-      this->options.adapter_loads_at_once - input.adapter_loads_open;
+      this->options.adapter_loads_at_once - input.open_adapter_loads;
   const int before = round.model_loads_left;
   this->Repair(round);
   this->PlanModels(round);
@@ -128,19 +128,19 @@
 // Hysteresis: a copy is wanted as soon as demand passes the upper threshold,
 // but is given up only after demand was low for a while, because a move costs
 // the weight store's time and the engine's cache.
-int PlacementPlanner::WantedCopies(const PlannedModel& model, double demand,
+int PlacementPlanner::WantedCopies(const PlannerModel& model, double demand,
                                    int present) {
   const double per_copy = this->options.copy_tokens_per_second;
   const int up = static_cast<int>(
       std::ceil(demand / (per_copy * this->options.add_above)));
-  const int wanted_up = std::max(model.least_copies, up);
+  const int wanted_up = std::max(model.min_copies, up);
   if (wanted_up >= present) {
     this->low_since.erase(model.name);
     return wanted_up;
   }
   const int fewer = present - 1;
   const bool is_low = demand < fewer * per_copy * this->options.drop_below;
-  if (!is_low || fewer < model.least_copies) {
+  if (!is_low || fewer < model.min_copies) {
     this->low_since.erase(model.name);
     return present;
   }
@@ -154,7 +154,7 @@
 // a copy that a late unload took away, an unload without an answer.
 void PlacementPlanner::Repair(Round& round) {
   for (std::size_t i = 0; i < round.targets.size(); ++i) {
-    const PlannedTarget& target = round.targets[i];
+    const PlannerTarget& target = round.targets[i];
     if (!target.usable || !target.resident.has_value()) continue;
     const std::vector<LedgerCopy> copies = target.ledger.copies;
     for (const LedgerCopy& copy : copies) {
@@ -165,7 +165,7 @@
 
 void PlacementPlanner::RepairCopy(Round& round, std::size_t target,
                                   const LedgerCopy& copy) {
-  const PlannedTarget& at = round.targets[target];
+  const PlannerTarget& at = round.targets[target];
   const bool is_there = at.resident->count(copy.name) > 0;
   bool reload = Counts(copy.state) && !is_there;
   if (copy.state == CopyState::kUncertain) {
@@ -175,10 +175,10 @@
     const std::vector<std::size_t> sure = round.Sure(copy.name);
     const bool may_go = !copy.base.empty() || !sure.empty();
     if (may_go) {
-      const std::string relies_on =
+      const std::string retained_copy_target =
           sure.empty() ? "" : round.targets[sure.front()].ledger.target;
       round.steps.emplace_back(
-          PlanUnload{at.ledger.target, copy.name, relies_on});
+          PlanUnload{at.ledger.target, copy.name, retained_copy_target});
       return;
     }
     reload = true;
@@ -193,16 +193,16 @@
 }
 
 void PlacementPlanner::PlanModels(Round& round) {
-  std::vector<const PlannedModel*> order;
+  std::vector<const PlannerModel*> order;
   order.reserve(round.input.models.size());
-  for (const PlannedModel& model : round.input.models) order.push_back(&model);
-  const auto demand_of = [&round](const PlannedModel* model) {
+  for (const PlannerModel& model : round.input.models) order.push_back(&model);
+  const auto demand_of = [&round](const PlannerModel* model) {
     const auto found = round.input.demand.find(model->name);
     return found == round.input.demand.end() ? 0.0 : found->second;
   };
   // Models without a copy go first, then by demand for each copy.
   std::sort(order.begin(), order.end(),
-            [&](const PlannedModel* a, const PlannedModel* b) {
+            [&](const PlannerModel* a, const PlannerModel* b) {
               const int copies_a = round.Copies(a->name);
               const int copies_b = round.Copies(b->name);
               const bool absent_a = copies_a == 0;
@@ -213,13 +213,13 @@
               if (load_a != load_b) return load_a > load_b;
               return a->name < b->name;
             });
-  for (const PlannedModel* model : order) {
+  for (const PlannerModel* model : order) {
     if (round.model_loads_left <= 0) return;
     this->PlanModel(round, *model);
   }
 }
 
-void PlacementPlanner::PlanModel(Round& round, const PlannedModel& model) {
+void PlacementPlanner::PlanModel(Round& round, const PlannerModel& model) {
   const auto found = round.input.demand.find(model.name);
   const double demand = found == round.input.demand.end() ? 0 : found->second;
   const int present = round.Copies(model.name);
@@ -247,7 +247,7 @@
   std::size_t best_stay = 0;
   double best_value = 0;
   for (std::size_t i = 0; i < round.targets.size(); ++i) {
-    const PlannedTarget& target = round.targets[i];
+    const PlannerTarget& target = round.targets[i];
     if (!target.usable) continue;
     std::int64_t coming = round.Free(i);
     for (const LedgerCopy& copy : target.ledger.copies) {
@@ -278,7 +278,7 @@
 }
 
 void PlacementPlanner::PlanAdapters(Round& round) {
-  for (const PlannedAdapter& adapter : round.input.adapters) {
+  for (const PlannerAdapter& adapter : round.input.adapters) {
     const auto hosts = round.copies.find(adapter.model);
     if (hosts == round.copies.end()) continue;
     for (const std::size_t i : hosts->second) {
@@ -298,7 +298,7 @@
 
 void PlacementPlanner::PlanDrops(Round& round) {
   std::set<std::string> known;
-  for (const PlannedModel& model : round.input.models) {
+  for (const PlannerModel& model : round.input.models) {
     known.insert(model.name);
     if (round.unloading_now.count(model.name) > 0) continue;
     const auto found = round.input.demand.find(model.name);
@@ -318,7 +318,7 @@
     round.Unload(*fullest, model.name, round.targets[stays].ledger.target);
     this->low_since.erase(model.name);
   }
-  for (const PlannedAdapter& adapter : round.input.adapters) {
+  for (const PlannerAdapter& adapter : round.input.adapters) {
     known.insert(adapter.name);
   }
   // What no record names any more, and adapters whose model has gone.
--- a/dragonflyglade/decision/placement_planner.h
+++ b/dragonflyglade/decision/placement_planner.h
@@ -17,22 +17,22 @@
 namespace dragonflyglade {
 
 /// A model as the planner sees it.
-struct PlannedModel {
+struct PlannerModel {
   std::string name;
   std::string version;
   std::int64_t bytes = 0;
-  int least_copies = 1;
+  int min_copies = 1;
 };
 
 /// An adapter as the planner sees it.
-struct PlannedAdapter {
+struct PlannerAdapter {
   std::string name;
   std::string model;
   std::int64_t bytes = 0;
 };
 
 /// A target as the planner sees it.
-struct PlannedTarget {
+struct PlannerTarget {
   TargetLedger ledger;
   bool usable = true;  ///< live, not leaving, reporting
   /// What it reported once the orders so far had time to take effect;
@@ -41,17 +41,17 @@
 };
 
 /// What one round of planning is decided from.
-struct PlanInput {
-  std::vector<PlannedModel> models;
-  std::vector<PlannedAdapter> adapters;
-  std::vector<PlannedTarget> targets;
+struct PlannerInput {
+  std::vector<PlannerModel> models;
+  std::vector<PlannerAdapter> adapters;
+  std::vector<PlannerTarget> targets;
   std::map<std::string, double> demand;  ///< model to tokens a second
-  int model_loads_open = 0;
-  int adapter_loads_open = 0;
+  int open_model_loads = 0;
+  int open_adapter_loads = 0;
 };
 
 /// Limits and thresholds.
-struct PlanOptions {
+struct PlannerOptions {
   double copy_tokens_per_second = 1000;  ///< what one copy serves well
   /// A copy is added above this part of what the copies serve.
   double add_above = 0.8;
@@ -74,11 +74,12 @@
   std::string target;
   CopySpec spec;
 };
-/// Unload a copy; the copy at `relies_on` must stand while this happens.
+/// Unload a copy; the copy at `retained_copy_target` must stand while this
+/// happens.
 struct PlanUnload {
   std::string target;
   std::string name;
-  std::string relies_on;  ///< empty for adapters
+  std::string retained_copy_target;  ///< empty for adapters
 };
 using PlanStep = std::variant<PlanLoad, PlanReload, PlanUnload>;
 
@@ -90,26 +91,26 @@
 /// that has no copy at all.
 class PlacementPlanner {
  public:
-  PlacementPlanner(PlanOptions options, Clock clock);
+  PlacementPlanner(PlannerOptions options, Clock clock);
 
   /// The next steps, within the store's limits.
   /// Complexity: O(models log models + models * targets) at the worst; targets
   /// are scanned only for models that lack copies.
-  std::vector<PlanStep> Plan(const PlanInput& input);
+  std::vector<PlanStep> Plan(const PlannerInput& input);
 
  private:
   struct Round;
 
-  int WantedCopies(const PlannedModel& model, double demand, int present);
+  int WantedCopies(const PlannerModel& model, double demand, int present);
   void PlanModels(Round& round);
-  void PlanModel(Round& round, const PlannedModel& model);
+  void PlanModel(Round& round, const PlannerModel& model);
   void PlanAdapters(Round& round);
   void PlanDrops(Round& round);
   void Repair(Round& round);
   void RepairCopy(Round& round, std::size_t target, const LedgerCopy& copy);
   bool MakeRoom(Round& round, std::int64_t bytes);
 
-  const PlanOptions options;
+  const PlannerOptions options;
   const Clock clock;
   double load_credit = 0;
   Instant credited;
--- a/dragonflyglade/decision/quota_owners.cc
+++ b/dragonflyglade/decision/quota_participants.cc
@@ -1,20 +1,20 @@
-#include "dragonflyglade/decision/quota_owners.h"
+#include "dragonflyglade/decision/quota_participants.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 namespace dragonflyglade {
 
-QuotaOwners::QuotaOwners(absl::Duration window, Clock clock)
+QuotaParticipants::QuotaParticipants(absl::Duration window, Clock clock)
     : window(window), clock(std::move(clock)), started(this->clock.Now()) {}
 
-Instant QuotaOwners::Oldest() const {
+Instant QuotaParticipants::Oldest() const {
   return this->clock.Now() - (kCutOff + this->window);
 }
 
-void QuotaOwners::Follow(absl::Span<const std::string_view> listed) {
+void QuotaParticipants::Follow(absl::Span<const std::string_view> listed) {
   const Instant now = this->clock.Now();
   this->DropOld();
   if (listed.empty()) return;
@@ -22,7 +22,7 @@
   for (const std::string_view name : listed) {
     auto owner = this->owners.find(name);
     if (owner == this->owners.end()) {
-      const bool from_start = now - this->started < kFleetStarts;
+      const bool from_start = now - this->started < kFleetStartupTime;
       owner =
           this->owners.emplace(std::string(name), Owner{from_start, now, now})
               .first;
@@ -33,7 +33,7 @@
 
 // Those that were there from the start are remembered: back in the list, they
 // take their own part up again.
-void QuotaOwners::DropOld() {
+void QuotaParticipants::DropOld() {
   const Instant oldest = this->Oldest();
   std::erase_if(this->owners, [&](const auto& item) {
     return !item.second.from_start && item.second.last < oldest;
@@ -43,14 +43,16 @@
 }
 
 // One that was listed in another's place may spend nothing by itself at first.
-double QuotaOwners::PartOf(const Owner& owner) const {
+double QuotaParticipants::PartOf(const Owner& owner) const {
   if (owner.from_start) return 1;
-  return JoinedPart(this->clock.Now() - owner.since, this->window);
+  return SpendableFractionAfterJoin(this->clock.Now() - owner.since,
+                                    this->window);
 }
 
 // Whoever is missed divides the quotas by the instances that it knew last, at
 // the least by the smallest number that was listed lately.
-double QuotaOwners::MissingPart(const std::set<std::string_view>& heard) const {
+double QuotaParticipants::MissingPart(
+    const std::set<std::string_view>& heard) const {
   if (this->counts.empty()) return 0;
   double missing = 0;
   const Instant oldest = this->Oldest();
--- a/dragonflyglade/decision/quota_owners.h
+++ b/dragonflyglade/decision/quota_participants.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
+#ifndef DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
+#define DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
 
 #include <cstddef>
 #include <map>
@@ -20,10 +20,10 @@
 /// spend its part there. It is told apart from one that the store alone turns
 /// away, which goes on reporting what it spends: nothing is kept for that, nor
 /// for those that are listed in its place. Not synchronised.
-class QuotaOwners {
+class QuotaParticipants {
  public:
   /// @param window over which quotas are counted
-  QuotaOwners(absl::Duration window, Clock clock);
+  QuotaParticipants(absl::Duration window, Clock clock);
 
   /// Follows which instances callers are sent to; to be told often.
   void Follow(absl::Span<const std::string_view> listed);
@@ -54,4 +54,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_OWNERS_H_
+#endif  // DRAGONFLYGLADE_DECISION_QUOTA_PARTICIPANTS_H_
--- a/dragonflyglade/decision/quota_window.cc
+++ b/dragonflyglade/decision/quota_windows.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,8 +14,8 @@
 // that reach a target later than they are counted here, and the moment in
 // which an instance falls back from the fleet's count to its own.
 constexpr double kUsedExcess = 0.5;
-// See EarnedPart. With 1, a flood of 3 s before a restart of the whole fleet
-// exceeded the window by 0.6 %.
+// See SpendableFractionAfterRestart. With 1, a flood of 3 s before a restart of
+// the whole fleet exceeded the window by 0.6 %.
 constexpr double kRestartGrowth = 1.5;
 // The part of its share that an instance spends without asking.
 constexpr double kPartWithoutAsking = 0.5;
@@ -27,25 +27,29 @@
 
 // It grows slower at first, since a workspace that floods spends most of its
 // window in a few seconds.
-double EarnedPart(absl::Duration age, absl::Duration window) {
+double SpendableFractionAfterRestart(absl::Duration age,
+                                     absl::Duration window) {
   return std::pow(std::min(1.0, absl::FDivDuration(age, window)),
                   kRestartGrowth);
 }
 
 // A fifth counts until the window is over: it covers a workspace that began to
 // flood after its spending was last written down.
-double CountedPart(absl::Duration age, absl::Duration window) {
+double CountedFractionOfPriorSpending(absl::Duration age,
+                                      absl::Duration window) {
   constexpr double kCountedToTheEnd = 0.2;
   if (age >= window) return 0;
-  return 1 - (1 - kCountedToTheEnd) * EarnedPart(age, window);
+  return 1 -
+         (1 - kCountedToTheEnd) * SpendableFractionAfterRestart(age, window);
 }
 
-double JoinedPart(absl::Duration listed_for, absl::Duration window) {
-  return EarnedPart(std::max(absl::ZeroDuration(), listed_for - kCutOff),
-                    window);
+double SpendableFractionAfterJoin(absl::Duration listed_for,
+                                  absl::Duration window) {
+  return SpendableFractionAfterRestart(
+      std::max(absl::ZeroDuration(), listed_for - kCutOff), window);
 }
 
-QuotaWindows::QuotaWindows(QuotaAllowance allowance, bool nothing_spent_before,
+QuotaWindows::QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
                            Clock clock)
     : allowance(allowance),
       clock(std::move(clock)),
@@ -53,7 +57,7 @@
       started(this->clock.Now()),
       listed_at(this->started) {}
 
-void QuotaWindows::SetInstances(int count) {
+void QuotaWindows::SetParticipantCount(int count) {
   const Instant now = this->clock.Now();
   const bool stood =
       now - this->instances_at > kCutOff + this->allowance.window;
@@ -71,10 +75,10 @@
   const absl::Duration age = this->clock.Now() - this->started;
   const auto spent = this->spent_before.find(workspace);
   if (spent == this->spent_before.end()) {
-    return whole * EarnedPart(age, this->allowance.window);
+    return whole * SpendableFractionAfterRestart(age, this->allowance.window);
   }
-  const double counted =
-      spent->second * CountedPart(age, this->allowance.window);
+  const double counted = spent->second * CountedFractionOfPriorSpending(
+                                             age, this->allowance.window);
   return std::max(0.0, whole - counted);
 }
 
@@ -83,14 +87,15 @@
   const Instant now = this->clock.Now();
   whole = this->EarnedAfterStart(workspace, whole);
   if (this->listed_since.has_value()) {
-    whole *= JoinedPart(now - *this->listed_since, this->allowance.window);
+    whole *= SpendableFractionAfterJoin(now - *this->listed_since,
+                                        this->allowance.window);
   }
   return whole;
 }
 
 // An instance that was listed before it was killed is back in its own place.
-void QuotaWindows::SetBefore(std::map<std::string, double, std::less<>> spent,
-                             bool owned_part) {
+void QuotaWindows::SetPriorSpending(
+    std::map<std::string, double, std::less<>> spent, bool owned_part) {
   if (!this->spent_before.empty()) return;
   this->spent_before = std::move(spent);
   this->owns_part = this->owns_part || owned_part;
@@ -99,7 +104,7 @@
 void QuotaWindows::SetListed(bool listed) {
   if (listed == this->listed) return;
   const Instant now = this->clock.Now();
-  const bool settled = now - this->listed_at >= kFleetStarts;
+  const bool settled = now - this->listed_at >= kFleetStartupTime;
   if (!listed && settled && !this->listed_since.has_value()) {
     this->owns_part = true;
   }
@@ -132,7 +137,8 @@
   return spending;
 }
 
-void QuotaWindows::SetFleetSpend(std::string_view workspace, FleetSpend spend) {
+void QuotaWindows::SetFleetSpending(std::string_view workspace,
+                                    FleetSpending spend) {
   Spending& spending = this->Current(workspace);
   spending.fleet = spend;
   spending.fleet_at = this->clock.Now();
@@ -150,12 +156,12 @@
          this->clock.Now() - *spending.fleet_at < kSummaryHolds;
 }
 
-int QuotaWindows::Sharing(const FleetSpend& spend) const {
+int QuotaWindows::Sharing(const FleetSpending& spend) const {
   return std::max(this->instances, spend.instances);
 }
 
 // Below zero, the fleet must wait until as much has left the window.
-double QuotaWindows::FleetLeft(double whole, const FleetSpend& spend) const {
+double QuotaWindows::FleetLeft(double whole, const FleetSpending& spend) const {
   // A process that was started anew may have spent its part before.
   const double unknown = spend.unknown_shares * whole / this->Sharing(spend);
   return whole * (1 - spend.missing_part) - spend.total - unknown;
@@ -195,8 +201,9 @@
 // Equal parts of a large fleet are smaller than a request, so most requests
 // there are decided where the sums are. Half of what is left is kept for that:
 // parts and grants together stay inside it between two summaries.
-QuotaVerdict QuotaWindows::TakePart(std::string_view workspace,
-                                    const QuotaLimit& limit, double tokens) {
+QuotaVerdict QuotaWindows::AdmitWithoutGrant(std::string_view workspace,
+                                             const QuotaLimit& limit,
+                                             double tokens) {
   if (limit.rate <= 0 && limit.burst <= 0) return {};
   Spending& spending = this->Current(workspace);
   if (!this->IsFresh(spending)) return this->Take(workspace, limit, tokens);
@@ -209,7 +216,7 @@
 }
 
 QuotaVerdict QuotaWindows::Grant(const QuotaLimit& limit, double tokens,
-                                 const FleetSpend& spend) const {
+                                 const FleetSpending& spend) const {
   QuotaVerdict verdict;
   if (limit.rate <= 0 && limit.burst <= 0) return verdict;
   verdict.left = this->FleetLeft(this->FleetAllowance(limit), spend);
@@ -222,7 +229,7 @@
   return verdict;
 }
 
-void QuotaWindows::Granted(std::string_view workspace, double tokens) {
+void QuotaWindows::RecordGrant(std::string_view workspace, double tokens) {
   this->Spend(this->Current(workspace), tokens);
 }
 
--- a/dragonflyglade/decision/quota_window.h
+++ b/dragonflyglade/decision/quota_windows.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
+#ifndef DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
+#define DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
 
 #include <cstdint>
 #include <deque>
@@ -21,7 +21,7 @@
 
 /// Over which span a limit is counted, and by how much the fleet may exceed
 /// it. The excess covers what instances cannot know of each other.
-struct QuotaAllowance {
+struct QuotaTolerance {
   absl::Duration window = absl::Seconds(8);
   double overage = 0;  ///< part of the limit
   double slack = 0;    ///< tokens in a window
@@ -40,7 +40,7 @@
 };
 
 /// What the whole fleet spent in the window, by the newest summary.
-struct FleetSpend {
+struct FleetSpending {
   double total = 0;   ///< of all instances, this one among them
   double own = 0;     ///< what the total counts of this instance
   int instances = 1;  ///< that the total counts
@@ -48,7 +48,7 @@
   /// total, each weighted by the part of the window that is not known.
   double unknown_shares = 0;
   /// The part of the quota that instances may be spending which the total does
-  /// not hear; see QuotaOwners.
+  /// not hear; see QuotaParticipants.
   double missing_part = 0;
 };
 
@@ -60,23 +60,25 @@
 /// While a fleet starts, instances are listed that later make way for stronger
 /// ones. Listed for longer than this, an instance is one of those that the
 /// quotas were divided by, and its part waits for it when it is back.
-inline constexpr absl::Duration kFleetStarts = absl::Seconds(5);
+inline constexpr absl::Duration kFleetStartupTime = absl::Seconds(5);
 
 /// The part of a window that a process may spend again after a restart, when
 /// what was spent before it is not known.
 /// @param age of the process
-double EarnedPart(absl::Duration age, absl::Duration window);
+double SpendableFractionAfterRestart(absl::Duration age, absl::Duration window);
 
 /// The part that still counts of what is known to have been spent before a
 /// process started, although not when within the window.
 /// @param age of the process
-double CountedPart(absl::Duration age, absl::Duration window);
+double CountedFractionOfPriorSpending(absl::Duration age,
+                                      absl::Duration window);
 
 /// The part of its share that an instance may spend which joined those that
 /// callers are sent to. It takes the place of one that left the store's list,
 /// and that one may be alive beyond a partition and spend the same share.
 /// @param listed_for since it joined
-double JoinedPart(absl::Duration listed_for, absl::Duration window);
+double SpendableFractionAfterJoin(absl::Duration listed_for,
+                                  absl::Duration window);
 
 /// Counts what this instance spends of each workspace's quota in a sliding
 /// window, and decides how much more it may spend. Not synchronised.
@@ -90,25 +92,25 @@
  public:
   /// @param nothing_spent_before false after a restart: what the process
   ///   before spent is not known, and counts until its window is over
-  QuotaWindows(QuotaAllowance allowance, bool nothing_spent_before,
+  QuotaWindows(QuotaTolerance allowance, bool nothing_spent_before,
                Clock clock);
 
   /// The instances that share the quotas: those that callers are sent to. A
   /// lower count holds only once it has stood for longer than partitions last:
   /// instances that vanish from the store may spend on beyond one, or be back.
-  void SetInstances(int count);
+  void SetParticipantCount(int count);
 
   /// The operator changed how far the fleet may exceed limits.
-  void SetAllowance(const QuotaAllowance& newer) { this->allowance = newer; }
+  void SetTolerance(const QuotaTolerance& newer) { this->allowance = newer; }
 
   /// What the fleet had spent when this process started, by workspace, and
   /// whether the process before it had a part of its own. Counts until a window
   /// is over. What is set first stays.
-  void SetBefore(std::map<std::string, double, std::less<>> spent,
-                 bool owned_part);
+  void SetPriorSpending(std::map<std::string, double, std::less<>> spent,
+                        bool owned_part);
 
   /// A summary of the fleet came.
-  void SetFleetSpend(std::string_view workspace, FleetSpend spend);
+  void SetFleetSpending(std::string_view workspace, FleetSpending spend);
 
   /// Whether callers are sent to this instance. Others have no part of their
   /// own. One that joins gets its part late, since the one that it replaces may
@@ -120,16 +122,16 @@
 
   /// Counts the tokens of a request if they fit into what this instance may
   /// spend while all others may ask for more, too: half of its part.
-  QuotaVerdict TakePart(std::string_view workspace, const QuotaLimit& limit,
-                        double tokens);
+  QuotaVerdict AdmitWithoutGrant(std::string_view workspace,
+                                 const QuotaLimit& limit, double tokens);
 
   /// Whether an instance may spend tokens beyond its part, by the sums of the
   /// fleet. Decided where the sums are; the instance counts them by Granted.
   QuotaVerdict Grant(const QuotaLimit& limit, double tokens,
-                     const FleetSpend& spend) const;
+                     const FleetSpending& spend) const;
 
   /// Counts tokens that were granted.
-  void Granted(std::string_view workspace, double tokens);
+  void RecordGrant(std::string_view workspace, double tokens);
 
   /// Counts the tokens of a request, or says when they will fit.
   QuotaVerdict Take(std::string_view workspace, const QuotaLimit& limit,
@@ -152,7 +154,7 @@
   struct Spending {
     std::deque<Slice> slices;
     double sum = 0;
-    FleetSpend fleet;
+    FleetSpending fleet;
     std::optional<Instant> fleet_at;
   };
 
@@ -166,8 +168,8 @@
 
   bool IsFresh(const Spending& spending) const;
   /// How many share what the fleet has left.
-  int Sharing(const FleetSpend& spend) const;
-  double FleetLeft(double whole, const FleetSpend& spend) const;
+  int Sharing(const FleetSpending& spend) const;
+  double FleetLeft(double whole, const FleetSpending& spend) const;
   void Spend(Spending& spending, double tokens);
   Part UnheardPart(std::string_view workspace, const Spending& spending,
                    double whole) const;
@@ -177,7 +179,7 @@
   double EarnedAfterStart(std::string_view workspace, double whole) const;
   double Earned(std::string_view workspace, double whole) const;
 
-  QuotaAllowance allowance;
+  QuotaTolerance allowance;
   const Clock clock;
   const bool nothing_spent_before;
   const Instant started;
@@ -193,4 +195,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_WINDOW_H_
+#endif  // DRAGONFLYGLADE_DECISION_QUOTA_WINDOWS_H_
--- a/dragonflyglade/decision/record_store.cc
+++ b/dragonflyglade/decision/record_store.cc
@@ -19,26 +19,26 @@
 // from an older copy, offers yesterday's record, and a withdrawn key works
 // again. Comparing the record's own revision refuses it on every path, since
 // the key-value service never gives a revision twice.
-RecordFate RecordStore::Offer(const RecordVersion& version) {
+ApplyResult RecordStore::ApplyVersion(const RecordVersion& version) {
   std::optional<std::string> reason;
   if (!version.deleted) reason = this->validator(version);
   absl::MutexLock lock(&this->mutex);
   Entry& entry = this->entries[version.key];
   const std::int64_t good = RevisionOf(entry.good);
   const std::int64_t bad = RevisionOf(entry.bad);
-  if (version.revision <= good) return RecordFate::kOld;
+  if (version.revision <= good) return ApplyResult::kStale;
   if (reason.has_value()) {
-    if (version.revision <= bad) return RecordFate::kOld;
+    if (version.revision <= bad) return ApplyResult::kStale;
     entry.bad = version;
     entry.reason = *reason;
-    return RecordFate::kRejected;
+    return ApplyResult::kRejected;
   }
   entry.good = version;
   if (bad < version.revision) entry.bad.reset();
-  return RecordFate::kInForce;
+  return ApplyResult::kApplied;
 }
 
-void RecordStore::CompleteUpTo(std::int64_t revision) {
+void RecordStore::MarkCompleteThrough(std::int64_t revision) {
   absl::MutexLock lock(&this->mutex);
   this->complete = std::max(this->complete, revision);
 }
@@ -48,7 +48,7 @@
   return this->complete;
 }
 
-std::vector<RecordVersion> RecordStore::Good() const {
+std::vector<RecordVersion> RecordStore::ValidRecords() const {
   absl::MutexLock lock(&this->mutex);
   std::vector<RecordVersion> records;
   for (const auto& [key, entry] : this->entries) {
@@ -78,17 +78,18 @@
   return records;
 }
 
-std::vector<Rejection> RecordStore::Rejected() const {
+std::vector<RejectedRecord> RecordStore::RejectedRecords() const {
   absl::MutexLock lock(&this->mutex);
-  std::vector<Rejection> rejections;
+  std::vector<RejectedRecord> rejections;
   for (const auto& [key, entry] : this->entries) {
     if (!entry.bad.has_value()) continue;
-    rejections.push_back(Rejection{key, entry.bad->revision, entry.reason});
+    rejections.push_back(
+        RejectedRecord{key, entry.bad->revision, entry.reason});
   }
   return rejections;
 }
 
-bool RecordStore::HasGood(std::string_view key) const {
+bool RecordStore::HasValidVersion(std::string_view key) const {
   absl::MutexLock lock(&this->mutex);
   const auto found = this->entries.find(key);
   return found != this->entries.end() && found->second.good.has_value();
--- a/dragonflyglade/decision/record_store.h
+++ b/dragonflyglade/decision/record_store.h
@@ -22,14 +22,14 @@
 };
 
 /// What became of a record version that was offered.
-enum class RecordFate {
-  kInForce,   ///< it is the record now
-  kOld,       ///< a version at least as new was there already
+enum class ApplyResult {
+  kApplied,   ///< it is the record now
+  kStale,     ///< a version at least as new was there already
   kRejected,  ///< it is invalid; the last good version stays in force
 };
 
 /// A record that was not taken, and why.
-struct Rejection {
+struct RejectedRecord {
   std::string key;
   std::int64_t revision = 0;
   std::string reason;
@@ -49,26 +49,26 @@
   explicit RecordStore(Validator validator);
 
   /// Offers a version of a record.
-  RecordFate Offer(const RecordVersion& version);
+  ApplyResult ApplyVersion(const RecordVersion& version);
 
   /// Says that every record up to a revision was offered.
-  void CompleteUpTo(std::int64_t revision);
+  void MarkCompleteThrough(std::int64_t revision);
 
   /// The revision up to which nothing is missing.
   std::int64_t CompleteRevision() const;
 
   /// The newest good version of every record, deletions included, by key.
-  std::vector<RecordVersion> Good() const;
+  std::vector<RecordVersion> ValidRecords() const;
 
   /// What a follower at a revision lacks, oldest first: good versions and,
   /// where newer, the rejected ones.
   std::vector<RecordVersion> Since(std::int64_t revision) const;
 
   /// Records whose newest version is rejected.
-  std::vector<Rejection> Rejected() const;
+  std::vector<RejectedRecord> RejectedRecords() const;
 
   /// Whether a good version of the key was ever seen.
-  bool HasGood(std::string_view key) const;
+  bool HasValidVersion(std::string_view key) const;
 
  private:
   struct Entry {
--- a/dragonflyglade/decision/refusal.cc
+++ b/dragonflyglade/decision/refusal.cc
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-const RefusalRule& RuleOf(RefusalCode code) {
+const RefusalRule& RefusalRuleFor(RefusalCode code) {
   return kRules.at(static_cast<std::size_t>(code));
 }
 
@@ -59,7 +59,7 @@
 
 std::string RefusalBody(const Refusal& refusal, std::string_view request_id) {
   using nlohmann::json;
-  const RefusalRule& rule = RuleOf(refusal.code);
+  const RefusalRule& rule = RefusalRuleFor(refusal.code);
   const json body = {{"error",
                       {{"code", rule.name},
                        {"message", refusal.message},
--- a/dragonflyglade/decision/refusal.h
+++ b/dragonflyglade/decision/refusal.h
@@ -57,7 +57,7 @@
 };
 
 /// The rule of a code.
-const RefusalRule& RuleOf(RefusalCode code);
+const RefusalRule& RefusalRuleFor(RefusalCode code);
 
 /// A refusal as it goes to the caller.
 struct Refusal {
--- a/dragonflyglade/decision/residency_planner.cc
+++ b/dragonflyglade/decision/residency_planner.cc
@@ -21,18 +21,18 @@
   return name.append(" ").append(model).append("/").append(adapter);
 }
 
-bool Keeps(const EngineHoldings& engine, std::string_view model) {
+bool Keeps(const EngineResidency& engine, std::string_view model) {
   return engine.in_memory.count(model) > 0 || engine.on_disk.count(model) > 0;
 }
 
-bool IsModelInUse(const EngineHoldings& engine, std::string_view model) {
+bool IsModelInUse(const EngineResidency& engine, std::string_view model) {
   return std::any_of(engine.in_use.begin(), engine.in_use.end(),
                      [&](std::string_view key) {
                        return key.substr(0, key.find('/')) == model;
                      });
 }
 
-int AdapterCount(const EngineHoldings& engine) {
+int AdapterCount(const EngineResidency& engine) {
   int count = 0;
   for (const auto& [model, adapters] : engine.models) {
     count += static_cast<int>(adapters.size());
@@ -44,19 +44,19 @@
 
 // What one round works on: a copy of the holdings that follows the changes.
 struct ResidencyPlanner::Round {
-  std::map<std::string, const WantedModel*, std::less<>> models;
-  std::map<std::string, const WantedAdapter*> adapters;
-  std::vector<EngineHoldings> engines;
+  std::map<std::string, const DemandedModel*, std::less<>> models;
+  std::map<std::string, const DemandedAdapter*> adapters;
+  std::vector<EngineResidency> engines;
   std::map<std::string, int, std::less<>> copies;       ///< also those loading
   std::map<std::string, int, std::less<>> ready;        ///< those that serve
   std::vector<double> engine_loads;                     ///< by index
   std::map<std::string, int, std::less<>> adapters_of;  ///< asked for
   int adapter_slots = 0;                                ///< of an engine
   /// Usable engines by model, once models are planned.
-  std::map<std::string, std::vector<EngineHoldings*>, std::less<>> holders;
+  std::map<std::string, std::vector<EngineResidency*>, std::less<>> holders;
   std::vector<ResidencyChange> changes;
 
-  double Used(const EngineHoldings& engine) const {
+  double Used(const EngineResidency& engine) const {
     double used = 0;
     for (const auto& [name, held] : engine.models) {
       const auto model = this->models.find(name);
@@ -83,7 +83,7 @@
   }
 
   // How busy each copy is with the model.
-  double PerCopy(const WantedModel& model) const {
+  double PerCopy(const DemandedModel& model) const {
     return model.load / std::max(1, this->CopiesOf(model.name));
   }
 
@@ -93,13 +93,13 @@
                       [](const auto& engine) { return engine.closing; }));
   }
 
-  double EngineLoad(const EngineHoldings& engine) const {
+  double EngineLoad(const EngineResidency& engine) const {
     return this->engine_loads[&engine - this->engines.data()];
   }
 
   void CountEngineLoads() {
     this->engine_loads.clear();
-    for (const EngineHoldings& engine : this->engines) {
+    for (const EngineResidency& engine : this->engines) {
       double load = 0;
       for (const auto& [name, adapters] : engine.models) {
         load += this->LoadOf(name) / std::max(1, this->CopiesOf(name));
@@ -109,7 +109,7 @@
   }
 
   // The copies share the model's load anew.
-  void CopyAdded(const EngineHoldings& added, const WantedModel& model) {
+  void CopyAdded(const EngineResidency& added, const DemandedModel& model) {
     const int before = this->copies[model.name]++;
     const double share = model.load / (before + 1);
     const double change = before == 0 ? 0 : share - model.load / before;
@@ -124,21 +124,21 @@
     : options(options), clock(std::move(clock)) {}
 
 std::vector<ResidencyChange> ResidencyPlanner::Plan(
-    absl::Span<const WantedModel> models,
-    absl::Span<const WantedAdapter> adapters,
-    absl::Span<const EngineHoldings> engines, int model_loads) {
+    absl::Span<const DemandedModel> models,
+    absl::Span<const DemandedAdapter> adapters,
+    absl::Span<const EngineResidency> engines, int model_loads) {
   Round round;
   round.engines.assign(engines.begin(), engines.end());
-  for (const WantedModel& model : models) round.models[model.name] = &model;
-  for (const WantedAdapter& adapter : adapters) {
+  for (const DemandedModel& model : models) round.models[model.name] = &model;
+  for (const DemandedAdapter& adapter : adapters) {
     round.adapters[absl::StrCat(adapter.model, "/", adapter.adapter)] =
         &adapter;
     round.adapters_of[adapter.model] += 1;
   }
-  for (const EngineHoldings& engine : engines) {
+  for (const EngineResidency& engine : engines) {
     round.adapter_slots = std::max(round.adapter_slots, engine.adapter_slots);
   }
-  for (const EngineHoldings& engine : round.engines) {
+  for (const EngineResidency& engine : round.engines) {
     if (!engine.usable) continue;
     for (const auto& [name, held] : engine.models) {
       round.copies[name] += 1;
@@ -154,7 +154,7 @@
 }
 
 bool ResidencyPlanner::WantsCopy(const Round& round,
-                                 const WantedModel& model) const {
+                                 const DemandedModel& model) const {
   const int copies = round.CopiesOf(model.name);
   const bool busy = round.PerCopy(model) > this->options.add_above;
   // Adapters in demand need places beside copies of their model.
@@ -169,9 +169,9 @@
 // then by how busy their copies are. Requests that wait for a copy that is
 // under way give no precedence: a rare model with a few of them would get its
 // third copy before one with most of the demand gets its second.
-bool ResidencyPlanner::IsNeedier(const Round& round, const WantedModel& one,
-                                 const WantedModel& other) const {
-  const auto key = [&](const WantedModel& model) {
+bool ResidencyPlanner::IsNeedier(const Round& round, const DemandedModel& one,
+                                 const DemandedModel& other) const {
+  const auto key = [&](const DemandedModel& model) {
     const bool nowhere = round.CopiesOf(model.name) == 0;
     return std::make_tuple(nowhere, nowhere ? model.waiting : 0,
                            round.PerCopy(model));
@@ -179,9 +179,9 @@
   return key(one) > key(other);
 }
 
-const WantedModel* ResidencyPlanner::Neediest(
+const DemandedModel* ResidencyPlanner::Neediest(
     const Round& round, const std::set<std::string_view>& stuck) const {
-  const WantedModel* best = nullptr;
+  const DemandedModel* best = nullptr;
   for (const auto& [name, model] : round.models) {
     if (stuck.count(name) > 0 || !this->WantsCopy(round, *model)) continue;
     if (best != nullptr && !this->IsNeedier(round, *model, *best)) continue;
@@ -197,7 +197,7 @@
   // bound, every round until the first unload ends would take one copy more.
   int rooms = std::max(1, model_loads) - round.ClosingEngines();
   std::set<std::string_view> stuck;
-  while (const WantedModel* model = this->Neediest(round, stuck)) {
+  while (const DemandedModel* model = this->Neediest(round, stuck)) {
     if (this->AddCopy(round, *model, false)) continue;
     const bool fits = this->PlaceFor(round, *model, true) != nullptr;
     if (fits && model_loads > 0 && this->AddCopy(round, *model, true)) {
@@ -210,22 +210,23 @@
 }
 
 // What it costs to wait for the load, as load of an engine.
-double ResidencyPlanner::LoadingCost(const EngineHoldings& engine,
-                                     const WantedModel& model) const {
+double ResidencyPlanner::LoadingCost(const EngineResidency& engine,
+                                     const DemandedModel& model) const {
   absl::Duration time = model.from_store;
-  if (engine.on_disk.count(model.name) > 0) time = model.from_disk;
-  if (engine.in_memory.count(model.name) > 0) time = model.from_memory;
-  return this->options.load_per_second * absl::ToDoubleSeconds(time);
+  if (engine.on_disk.count(model.name) > 0) time = model.load_time_from_disk;
+  if (engine.in_memory.count(model.name) > 0)
+    time = model.load_time_from_memory;
+  return this->options.loading_penalty_per_second * absl::ToDoubleSeconds(time);
 }
 
 // The engine that serves the model best, as far as it has room.
 // Without the store, only engines that kept the model's weights.
-EngineHoldings* ResidencyPlanner::PlaceFor(Round& round,
-                                           const WantedModel& model,
-                                           bool from_store) {
-  EngineHoldings* best = nullptr;
+EngineResidency* ResidencyPlanner::PlaceFor(Round& round,
+                                            const DemandedModel& model,
+                                            bool from_store) {
+  EngineResidency* best = nullptr;
   double best_cost = 0;
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable || engine.busy) continue;
     if (engine.models.count(model.name) > 0) continue;
     if (!from_store && !Keeps(engine, model.name)) continue;
@@ -239,9 +240,9 @@
   return best;
 }
 
-bool ResidencyPlanner::AddCopy(Round& round, const WantedModel& model,
+bool ResidencyPlanner::AddCopy(Round& round, const DemandedModel& model,
                                bool from_store) {
-  EngineHoldings* best = this->PlaceFor(round, model, from_store);
+  EngineResidency* best = this->PlaceFor(round, model, from_store);
   if (best == nullptr) return false;
   const bool kept = Keeps(*best, model.name);
   best->models[model.name];
@@ -266,26 +267,27 @@
 // serve nobody and do not count as the rest: a model in demand would lose its
 // only copy that serves while others load, and its callers would find it
 // nowhere for seconds.
-bool ResidencyPlanner::MayGo(const Round& round, const EngineHoldings& engine,
+bool ResidencyPlanner::MayGo(const Round& round, const EngineResidency& engine,
                              const std::string& name,
-                             const WantedModel& wanted) const {
+                             const DemandedModel& wanted) const {
   const auto victim = round.models.find(name);
   if (victim == round.models.end()) return false;
   const int rest = round.ReadyOf(name) - 1;
   if (name == engine.loading || rest < 1) return false;
-  if (this->Stays(engine.id, name, "", this->options.copy_stays)) return false;
+  if (this->Stays(engine.id, name, "", this->options.min_model_residency))
+    return false;
   const double load = victim->second->load / rest;
   // Taken from a model in demand, it must leave that one far better off than
   // the other will be: two models short of copies would take them from each
   // other, and copies that load serve neither.
   const double after = wanted.load / (round.CopiesOf(wanted.name) + 1);
-  return load <= this->options.spare_below || load < 0.5 * after;
+  return load <= this->options.spare_copy_load_limit || load < 0.5 * after;
 }
 
 // The time that a copy stays begins when it is there: a load from the store
 // takes as long.
 void ResidencyPlanner::NoteLoading(const Round& round) {
-  for (const EngineHoldings& engine : round.engines) {
+  for (const EngineResidency& engine : round.engines) {
     if (engine.loading.empty()) continue;
     this->placed_at[PlaceName(engine.id, engine.loading, "")] =
         this->clock.Now();
@@ -295,29 +297,29 @@
 // What it costs to take a copy away: the load that it leaves to the others,
 // and the wait for its requests to end.
 double ResidencyPlanner::LeavingCost(const Round& round,
-                                     const EngineHoldings& engine,
+                                     const EngineResidency& engine,
                                      const std::string& name) const {
   const double rest =
       round.models.at(name)->load / std::max(1, round.ReadyOf(name) - 1);
   const double wait =
-      IsModelInUse(engine, name) ? this->options.unload_in_use : 0;
+      IsModelInUse(engine, name) ? this->options.unload_in_use_penalty : 0;
   return rest + wait;
 }
 
 // Takes away the copy that is missed least, on an engine where that makes
 // enough room. The load follows in a later round, when the copy is gone.
-bool ResidencyPlanner::MakeRoom(Round& round, const WantedModel& model) {
-  EngineHoldings* best = nullptr;
+bool ResidencyPlanner::MakeRoom(Round& round, const DemandedModel& model) {
+  EngineResidency* best = nullptr;
   std::string best_victim;
   double best_cost = std::numeric_limits<double>::max();
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable || engine.busy) continue;
     if (engine.models.count(model.name) > 0) continue;
     const double missing =
         round.Used(engine) + model.memory_mb - engine.memory_mb;
     for (const auto& [name, held] : engine.models) {
       if (!this->MayGo(round, engine, name, model)) continue;
-      const WantedModel& victim = *round.models.at(name);
+      const DemandedModel& victim = *round.models.at(name);
       if (victim.memory_mb < missing) continue;
       const double cost = this->LeavingCost(round, engine, name) +
                           round.EngineLoad(engine) +
@@ -339,28 +341,29 @@
 }
 
 void ResidencyPlanner::PlanAdapters(Round& round) {
-  std::vector<const WantedAdapter*> wanted;
+  std::vector<const DemandedAdapter*> wanted;
   for (const auto& [name, adapter] : round.adapters) {
     wanted.push_back(adapter);
   }
   std::sort(wanted.begin(), wanted.end(),
-            [](const WantedAdapter* one, const WantedAdapter* other) {
+            [](const DemandedAdapter* one, const DemandedAdapter* other) {
               return std::make_pair(-one->waiting, -one->load) <
                      std::make_pair(-other->waiting, -other->load);
             });
-  for (EngineHoldings& engine : round.engines) {
+  for (EngineResidency& engine : round.engines) {
     if (!engine.usable) continue;
     for (const auto& [name, held] : engine.models) {
       round.holders[name].push_back(&engine);
     }
   }
-  for (const WantedAdapter* adapter : wanted) this->AddAdapter(round, *adapter);
+  for (const DemandedAdapter* adapter : wanted)
+    this->AddAdapter(round, *adapter);
 }
 
-void ResidencyPlanner::AddAdapter(Round& round, const WantedAdapter& wanted) {
+void ResidencyPlanner::AddAdapter(Round& round, const DemandedAdapter& wanted) {
   int copies = 0;
-  std::vector<EngineHoldings*> holders;
-  for (EngineHoldings* engine : round.holders[wanted.model]) {
+  std::vector<EngineResidency*> holders;
+  for (EngineResidency* engine : round.holders[wanted.model]) {
     if (engine->models.at(wanted.model).count(wanted.adapter) > 0) {
       copies += 1;
     } else if (!engine->busy) {
@@ -368,11 +371,12 @@
     }
   }
   const bool second =
-      copies == 1 && wanted.load / copies > this->options.second_adapter_above;
+      copies == 1 &&
+      wanted.load / copies > this->options.second_adapter_load_threshold;
   if (copies > 0 && !second) return;
   std::sort(holders.begin(), holders.end(),
-            [&](const EngineHoldings* one, const EngineHoldings* other) {
-              const auto key = [&](const EngineHoldings* engine) {
+            [&](const EngineResidency* one, const EngineResidency* other) {
+              const auto key = [&](const EngineResidency* engine) {
                 return std::make_pair(
                     AdapterCount(*engine) >= engine->adapter_slots,
                     round.EngineLoad(*engine) + 0.05 * AdapterCount(*engine));
@@ -381,7 +385,7 @@
             });
   const auto model = round.models.find(wanted.model);
   if (model == round.models.end()) return;
-  for (EngineHoldings* engine : holders) {
+  for (EngineResidency* engine : holders) {
     const bool has_slot = AdapterCount(*engine) < engine->adapter_slots;
     const bool has_memory =
         round.Used(*engine) + model->second->adapter_mb <= engine->memory_mb;
@@ -398,14 +402,15 @@
   }
 }
 
-bool ResidencyPlanner::EvictAdapter(Round& round, EngineHoldings& engine,
-                                    const WantedAdapter& wanted) {
+bool ResidencyPlanner::EvictAdapter(Round& round, EngineResidency& engine,
+                                    const DemandedAdapter& wanted) {
   std::optional<std::pair<std::string, std::string>> victim;
   double least =
       wanted.waiting > 0 ? std::numeric_limits<double>::max() : wanted.load;
   for (const auto& [model, adapters] : engine.models) {
     for (const std::string& adapter : adapters) {
-      if (this->Stays(engine.id, model, adapter, this->options.adapter_stays)) {
+      if (this->Stays(engine.id, model, adapter,
+                      this->options.min_adapter_residency)) {
         continue;
       }
       const auto asked = round.adapters.find(absl::StrCat(model, "/", adapter));
--- a/dragonflyglade/decision/residency_planner.h
+++ b/dragonflyglade/decision/residency_planner.h
@@ -14,7 +14,7 @@
 namespace dragonflyglade {
 
 /// A model of a service, with what callers ask of it now.
-struct WantedModel {
+struct DemandedModel {
   std::string name;
   double memory_mb = 0;
   double adapter_mb = 0;  ///< of each of its adapters
@@ -23,12 +23,12 @@
   int waiting = 0;  ///< requests that wait because it is nowhere
   /// How long a load takes, by where an engine has its weights.
   absl::Duration from_store = absl::Seconds(5);
-  absl::Duration from_disk = absl::Seconds(1);
-  absl::Duration from_memory = absl::Milliseconds(400);
+  absl::Duration load_time_from_disk = absl::Seconds(1);
+  absl::Duration load_time_from_memory = absl::Milliseconds(400);
 };
 
 /// An adapter that callers ask for now.
-struct WantedAdapter {
+struct DemandedAdapter {
   std::string model;
   std::string adapter;
   double load = 0;
@@ -36,7 +36,7 @@
 };
 
 /// An engine, with what it holds or is booked to hold.
-struct EngineHoldings {
+struct EngineResidency {
   std::string id;
   double memory_mb = 0;
   int adapter_slots = 0;
@@ -75,20 +75,20 @@
   /// takes seconds to load while demand moves.
   double add_above = 0.50;
   /// A copy may make room for others if the rest would be at most this busy.
-  double spare_below = 0.20;
+  double spare_copy_load_limit = 0.20;
   /// An adapter gets a second copy when one is this busy with it.
-  double second_adapter_above = 0.15;
+  double second_adapter_load_threshold = 0.15;
   /// How long a copy of a model stays once it is there, although others want
   /// its room: what it takes to load it again.
-  absl::Duration copy_stays = absl::Seconds(5);
+  absl::Duration min_model_residency = absl::Seconds(5);
   /// How much busier an engine may be for each second that a load there takes
   /// less. A copy that is there five seconds earlier is worth half an engine.
-  double load_per_second = 0.1;
+  double loading_penalty_per_second = 0.1;
   /// How much idler an engine must be to unload a model in use there: the
   /// order is open until the last request for it ends, which takes seconds.
-  double unload_in_use = 0.3;
+  double unload_in_use_penalty = 0.3;
   /// How long an adapter stays although others want its place.
-  absl::Duration adapter_stays = absl::Seconds(2);
+  absl::Duration min_adapter_residency = absl::Seconds(2);
 };
 
 /// Decides which models and adapters engines should hold. Not synchronised.
@@ -104,37 +104,37 @@
   /// are busy get none.
   /// @param model_loads how many loads of models may begin now
   /// Complexity: O(models * engines + adapters * copies of their models).
-  std::vector<ResidencyChange> Plan(absl::Span<const WantedModel> models,
-                                    absl::Span<const WantedAdapter> adapters,
-                                    absl::Span<const EngineHoldings> engines,
+  std::vector<ResidencyChange> Plan(absl::Span<const DemandedModel> models,
+                                    absl::Span<const DemandedAdapter> adapters,
+                                    absl::Span<const EngineResidency> engines,
                                     int model_loads);
 
  private:
   struct Round;
 
-  bool WantsCopy(const Round& round, const WantedModel& model) const;
-  bool IsNeedier(const Round& round, const WantedModel& one,
-                 const WantedModel& other) const;
-  const WantedModel* Neediest(const Round& round,
-                              const std::set<std::string_view>& stuck) const;
+  bool WantsCopy(const Round& round, const DemandedModel& model) const;
+  bool IsNeedier(const Round& round, const DemandedModel& one,
+                 const DemandedModel& other) const;
+  const DemandedModel* Neediest(const Round& round,
+                                const std::set<std::string_view>& stuck) const;
   void PlanModels(Round& round, int model_loads);
-  EngineHoldings* PlaceFor(Round& round, const WantedModel& model,
-                           bool from_store);
-  bool AddCopy(Round& round, const WantedModel& model, bool from_store);
-  double LoadingCost(const EngineHoldings& engine,
-                     const WantedModel& model) const;
-  double LeavingCost(const Round& round, const EngineHoldings& engine,
+  EngineResidency* PlaceFor(Round& round, const DemandedModel& model,
+                            bool from_store);
+  bool AddCopy(Round& round, const DemandedModel& model, bool from_store);
+  double LoadingCost(const EngineResidency& engine,
+                     const DemandedModel& model) const;
+  double LeavingCost(const Round& round, const EngineResidency& engine,
                      const std::string& name) const;
   void NoteLoading(const Round& round);
-  bool MayGo(const Round& round, const EngineHoldings& engine,
-             const std::string& name, const WantedModel& wanted) const;
+  bool MayGo(const Round& round, const EngineResidency& engine,
+             const std::string& name, const DemandedModel& wanted) const;
   bool Stays(std::string_view engine, std::string_view model,
              std::string_view adapter, absl::Duration time) const;
-  bool MakeRoom(Round& round, const WantedModel& model);
+  bool MakeRoom(Round& round, const DemandedModel& model);
   void PlanAdapters(Round& round);
-  void AddAdapter(Round& round, const WantedAdapter& wanted);
-  bool EvictAdapter(Round& round, EngineHoldings& engine,
-                    const WantedAdapter& wanted);
+  void AddAdapter(Round& round, const DemandedAdapter& wanted);
+  bool EvictAdapter(Round& round, EngineResidency& engine,
+                    const DemandedAdapter& wanted);
 
   const ResidencyOptions options;
   const Clock clock;
--- a/dragonflyglade/decision/retry_budget.h
+++ b/dragonflyglade/decision/retry_budget.h
@@ -14,10 +14,10 @@
   RetryBudget(double share, double reserve);
 
   /// A first attempt was made.
-  void RequestMade();
+  void RecordRequest();
 
   /// Takes one retry, if one is left.
-  bool TakeRetry();
+  bool TryConsumeRetry();
 
  private:
   const double share;
--- a/dragonflyglade/decision/route_table.cc
+++ b/dragonflyglade/decision/route_table.cc
@@ -31,10 +31,10 @@
     this->by_place.emplace(PlaceKey(PlainHost(route.host), route.prefix), i);
     for (const WeightedService& item : route.services) {
       absl::Duration& shortest =
-          this->pause_objectives
+          this->event_gap_objectives
               .try_emplace(item.service, absl::InfiniteDuration())
               .first->second;
-      shortest = std::min(shortest, route.pause_objective);
+      shortest = std::min(shortest, route.event_gap_objective);
     }
   }
 }
@@ -53,10 +53,10 @@
   return nullptr;
 }
 
-absl::Duration RouteTable::PauseObjective(std::string_view service) const {
-  const auto found = this->pause_objectives.find(service);
-  return found == this->pause_objectives.end() ? absl::InfiniteDuration()
-                                               : found->second;
+absl::Duration RouteTable::EventGapObjective(std::string_view service) const {
+  const auto found = this->event_gap_objectives.find(service);
+  return found == this->event_gap_objectives.end() ? absl::InfiniteDuration()
+                                                   : found->second;
 }
 
 std::string_view PickService(absl::Span<const WeightedService> services,
--- a/dragonflyglade/decision/route_table.h
+++ b/dragonflyglade/decision/route_table.h
@@ -35,7 +35,7 @@
   absl::Duration timeout = absl::Seconds(10);  ///< of a whole request
   absl::Duration latency_objective = absl::Seconds(1);
   /// The longest pause between events with which a stream is in time.
-  absl::Duration pause_objective = absl::InfiniteDuration();
+  absl::Duration event_gap_objective = absl::InfiniteDuration();
   int priority = 0;  ///< 0 is the most urgent
   std::vector<WeightedService> services;
   int max_targets = 1;  ///< that one request may be sent to
@@ -43,7 +43,7 @@
   bool resumable = false;
 
   /// Whether a request may run again after it may have run.
-  bool MayRunAgain() const {
+  bool MayReexecute() const {
     return this->repeatability == Repeatability::kIdempotent;
   }
 };
@@ -64,12 +64,12 @@
 
   /// The shortest pause objective of the routes that lead to a service:
   /// engines run streams of all of them beside one another.
-  absl::Duration PauseObjective(std::string_view service) const;
+  absl::Duration EventGapObjective(std::string_view service) const;
 
  private:
   std::vector<Route> routes;
   absl::flat_hash_map<std::string, std::size_t> by_place;
-  std::map<std::string, absl::Duration, std::less<>> pause_objectives;
+  std::map<std::string, absl::Duration, std::less<>> event_gap_objectives;
 };
 
 /// Picks one of the weighted services.
--- a/dragonflyglade/decision/target_choice.cc
+++ b/dragonflyglade/decision/target_choice.cc
@@ -32,37 +32,42 @@
   return static_cast<double>(hash >> 11) * 0x1.0p-53;
 }
 
-double EngineWaitMs(const ChoiceRequest& request,
-                    const ChoiceCandidate& candidate) {
-  const double own = request.prompt_tokens - request.shared_tokens;
+double EngineWaitMs(const TargetChoiceRequest& request,
+                    const TargetCandidate& candidate) {
+  const double own = request.prompt_tokens - request.shared_prefix_tokens;
   const double missing =
-      request.shared_id.empty()
+      request.shared_prefix_id.empty()
           ? 0
-          : request.shared_tokens * KeptRank(request.shared_id, candidate.id);
+          : request.shared_prefix_tokens *
+                KeptRank(request.shared_prefix_id, candidate.id);
   const double queued = std::max(0.0, candidate.requests + 1 - candidate.slots);
-  return (candidate.unread_tokens + own + missing) / kReadPerMs +
+  return (candidate.unread_tokens + own + missing) / kPrefillTokensPerMs +
          std::min<double>(candidate.requests, candidate.slots) * kMsPerRunning +
          queued * kMsPerQueued;
 }
 
-double PlainWaitMs(const ChoiceCandidate& candidate, double jitter) {
+double PlainWaitMs(const TargetCandidate& candidate, double jitter) {
   const double slots = std::max(1, candidate.slots);
   return (candidate.requests + jitter * 0.5) / slots * kMsPlainBusy;
 }
 
 }  // namespace
 
-double ExpectedRead(double prompt_tokens, double shared_tokens) {
-  return prompt_tokens - shared_tokens + kSharedMissed * shared_tokens;
+double ExpectedPrefillTokens(double prompt_tokens,
+                             double shared_prefix_tokens) {
+  return prompt_tokens - shared_prefix_tokens +
+         kSharedMissed * shared_prefix_tokens;
 }
 
-double EngineWorkMs(double prompt_tokens, double shared_tokens,
+double EngineWorkMs(double prompt_tokens, double shared_prefix_tokens,
                     double output_tokens) {
-  return ExpectedRead(prompt_tokens, shared_tokens) / kReadPerMs +
+  return ExpectedPrefillTokens(prompt_tokens, shared_prefix_tokens) /
+             kPrefillTokensPerMs +
          output_tokens * kMsPerOutput;
 }
 
-int UrgencyOf(int route_priority, std::optional<int> workspace_priority) {
+int EngineRequestPriority(int route_priority,
+                          std::optional<int> workspace_priority) {
   constexpr int kLevels = 3;  // of the route, within each of the workspace
   constexpr int kLast = 9;
   const int route = std::clamp(route_priority, 0, kLevels - 1);
@@ -71,18 +76,18 @@
 }
 
 std::optional<TargetChoice> ChooseTarget(
-    const ChoiceRequest& request, absl::Span<const ChoiceCandidate> candidates,
-    double jitter) {
+    const TargetChoiceRequest& request,
+    absl::Span<const TargetCandidate> candidates, double jitter) {
   std::optional<TargetChoice> best;
   double best_ms = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
-    const ChoiceCandidate& candidate = candidates[i];
+    const TargetCandidate& candidate = candidates[i];
     // A different phase for each candidate, so that ties spread.
     const double phase =
         std::fmod(jitter + 0.618 * static_cast<double>(i), 1.0);
     double wait = request.prompt_tokens > 0 ? EngineWaitMs(request, candidate)
                                             : PlainWaitMs(candidate, phase);
-    wait += candidate.fault_share * kMsFault;
+    wait += candidate.failure_rate * kMsFault;
     wait += candidate.same_zone ? 0 : kMsOtherZone;
     if (best.has_value() && wait >= best_ms) continue;
     best_ms = wait;
--- a/dragonflyglade/decision/target_choice.h
+++ b/dragonflyglade/decision/target_choice.h
@@ -13,17 +13,17 @@
 
 /// Prompt tokens that an engine is expected to read in a millisecond, beside
 /// the requests that it generates for.
-inline constexpr double kReadPerMs = 30;
+inline constexpr double kPrefillTokensPerMs = 30;
 
 /// What a request asks of a target.
-struct ChoiceRequest {
-  double prompt_tokens = 0;    ///< 0 for plain services
-  double shared_tokens = 0;    ///< the part of the prompt others share
-  std::string_view shared_id;  ///< names the shared part; empty if none
+struct TargetChoiceRequest {
+  double prompt_tokens = 0;           ///< 0 for plain services
+  double shared_prefix_tokens = 0;    ///< the part of the prompt others share
+  std::string_view shared_prefix_id;  ///< names the shared part; empty if none
 };
 
 /// A target that could run the request, as known here and now.
-struct ChoiceCandidate {
+struct TargetCandidate {
   std::string_view id;
   int slots = 1;
   /// Requests there, of this instance and as far as known of all others.
@@ -33,25 +33,26 @@
   /// Same zone: no bytes between zones.
   bool same_zone = true;
   /// The part of its last requests that failed, 0 to 1.
-  double fault_share = 0;
+  double failure_rate = 0;
 };
 
 /// The candidate and the delay until the first output that is expected there.
 struct TargetChoice {
   std::size_t index = 0;
-  absl::Duration expected_wait;
+  absl::Duration expected_first_output_delay;
 };
 
 /// The urgency that is asked of an engine, from 0 (first) to 9. A workspace's
 /// priority goes before the route's.
-int UrgencyOf(int route_priority, std::optional<int> workspace_priority);
+int EngineRequestPriority(int route_priority,
+                          std::optional<int> workspace_priority);
 
 /// Prompt tokens that an engine is expected to read, having kept a part.
-double ExpectedRead(double prompt_tokens, double shared_tokens);
+double ExpectedPrefillTokens(double prompt_tokens, double shared_prefix_tokens);
 
 /// How long a request keeps an engine busy, in milliseconds.
-/// @param shared_tokens the part of the prompt that engines mostly keep
-double EngineWorkMs(double prompt_tokens, double shared_tokens,
+/// @param shared_prefix_tokens the part of the prompt that engines mostly keep
+double EngineWorkMs(double prompt_tokens, double shared_prefix_tokens,
                     double output_tokens);
 
 /// Picks the candidate with the least expected wait for the first output.
@@ -65,8 +66,8 @@
 /// @return nothing if there is no candidate
 /// Complexity: linear in the candidates.
 std::optional<TargetChoice> ChooseTarget(
-    const ChoiceRequest& request, absl::Span<const ChoiceCandidate> candidates,
-    double jitter);
+    const TargetChoiceRequest& request,
+    absl::Span<const TargetCandidate> candidates, double jitter);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/decision/target_ledger.cc
+++ b/dragonflyglade/decision/target_ledger.cc
@@ -61,8 +61,8 @@
     if (copy.open_loads.empty()) continue;
     // What was open before an earlier restart cannot have reached this
     // process.
-    const bool is_from_before = copy.survived_restart;
-    copy.survived_restart = true;
+    const bool is_from_before = copy.loads_predate_restart;
+    copy.loads_predate_restart = true;
     if (is_from_before) continue;
     if (copy.state != CopyState::kLoading) copy.state = CopyState::kUncertain;
     left.push_back(copy);
@@ -84,7 +84,7 @@
 void VoidOldLoads(TargetLedger& ledger, std::int64_t fence, bool fenced) {
   if (!fenced) return;
   for (LedgerCopy& copy : ledger.copies) {
-    if (copy.load_fence >= fence) continue;
+    if (copy.load_fence_token >= fence) continue;
     copy.open_loads.clear();
   }
   ledger.copies.erase(std::remove_if(ledger.copies.begin(), ledger.copies.end(),
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-std::int64_t BookedBytes(const TargetLedger& ledger) {
+std::int64_t ReservedBytes(const TargetLedger& ledger) {
   std::int64_t booked = 0;
   for (const LedgerCopy& copy : ledger.copies) booked += copy.bytes;
   return booked;
@@ -138,7 +138,7 @@
   if (FindCopy(ledger, spec.name) != nullptr) {
     return Refused(ledger, spec.name + " stands there already");
   }
-  if (BookedBytes(ledger) + spec.bytes > ledger.capacity) {
+  if (ReservedBytes(ledger) + spec.bytes > ledger.capacity) {
     return Refused(ledger, spec.name + " does not fit");
   }
   const Status fresh = CheckFence(ledger, fence);
@@ -148,7 +148,7 @@
   copy.version = spec.version;
   copy.base = spec.base;
   copy.bytes = spec.bytes;
-  copy.load_fence = fence;
+  copy.load_fence_token = fence;
   copy.order_id = NextOrderId(ledger);
   copy.open_loads.push_back(copy.order_id);
   ledger.copies.push_back(std::move(copy));
@@ -163,8 +163,8 @@
   if (!fresh.Ok()) return fresh;
   copy->state = CopyState::kLoading;
   copy->repeated = true;
-  copy->survived_restart = false;
-  copy->load_fence = fence;
+  copy->loads_predate_restart = false;
+  copy->load_fence_token = fence;
   copy->order_id = NextOrderId(ledger);
   copy->open_loads.push_back(copy->order_id);
   return Done{};
@@ -249,7 +249,7 @@
   ledger.copies = std::move(kept);
 }
 
-void BookFound(TargetLedger& ledger, const CopySpec& spec) {
+void AddUnorderedCopy(TargetLedger& ledger, const CopySpec& spec) {
   if (FindCopy(ledger, spec.name) != nullptr) return;
   LedgerCopy copy;
   copy.name = spec.name;
@@ -270,8 +270,8 @@
                       {"state", NameOf(copy.state)},
                       {"open_loads", copy.open_loads},
                       {"repeated", copy.repeated},
-                      {"survived_restart", copy.survived_restart},
-                      {"load_fence", copy.load_fence},
+                      {"survived_restart", copy.loads_predate_restart},
+                      {"load_fence", copy.load_fence_token},
                       {"order_id", copy.order_id}});
   }
   const json document = {
@@ -299,14 +299,15 @@
       copy.state = StateOf(item.at("state"));
       copy.open_loads = item.at("open_loads").get<std::vector<std::string>>();
       copy.repeated = item.value("repeated", false);
-      copy.survived_restart = item.value("survived_restart", false);
-      copy.load_fence = item.at("load_fence");
+      copy.loads_predate_restart = item.value("survived_restart", false);
+      copy.load_fence_token = item.at("load_fence");
       copy.order_id = item.at("order_id");
       ledger.copies.push_back(std::move(copy));
     }
     return ledger;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "decode ledger", "kv", error.what());
+    return MakeFailure(Errc::kMalformedResponse, "decode ledger", "kv",
+                       error.what());
   }
 }
 
--- a/dragonflyglade/decision/target_ledger.h
+++ b/dragonflyglade/decision/target_ledger.h
@@ -32,9 +32,9 @@
   /// Whether it may be in memory by an earlier load than the open one.
   bool repeated = false;
   /// Whether its open loads were sent before the target's last restart.
-  bool survived_restart = false;
-  std::int64_t load_fence = 0;  ///< the highest fence of its load orders
-  std::string order_id;         ///< of the newest order
+  bool loads_predate_restart = false;
+  std::int64_t load_fence_token = 0;  ///< the highest fence of its load orders
+  std::string order_id;               ///< of the newest order
 };
 
 /// What is booked at one target. Kept in the key-value service and changed by
@@ -49,7 +49,7 @@
 };
 
 /// Bytes booked at a target.
-std::int64_t BookedBytes(const TargetLedger& ledger);
+std::int64_t ReservedBytes(const TargetLedger& ledger);
 
 /// The copy of a name, or null.
 const LedgerCopy* FindCopy(const TargetLedger& ledger, std::string_view name);
@@ -104,11 +104,11 @@
 
 /// Books what a target reported although nothing was ordered: it was loaded
 /// before the ledger began. Does nothing if the name stands there already.
-void BookFound(TargetLedger& ledger, const CopySpec& spec);
+void AddUnorderedCopy(TargetLedger& ledger, const CopySpec& spec);
 
 /// The ledger as JSON.
 std::string EncodeLedger(const TargetLedger& ledger);
-/// Errors: kBadAnswer.
+/// Errors: kMalformedResponse.
 Result<TargetLedger> DecodeLedger(std::string_view text);
 
 }  // namespace dragonflyglade
