--- a/dragonflyglade/decision/target_book.cc
+++ b/dragonflyglade/decision/target_registry.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,7 +19,7 @@
 // Reports overlap: what was taken after one is not in the next yet.
 constexpr double kSparePart = 0.5;
 
-bool IsResident(const LoadReport& report, const TargetNeed& need) {
+bool IsResident(const LoadReport& report, const TargetRequirements& need) {
   const auto has = [&report](const std::string& name) {
     return name.empty() || report.resident.count(name) > 0;
   };
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-TargetBook::TargetBook(TargetOptions options, Clock clock, std::uint64_t seed)
+TargetRegistry::TargetRegistry(TargetOptions options, Clock clock,
+                               std::uint64_t seed)
     : options(options), clock(clock) {
   for (Shard& shard : this->shards) {
     absl::MutexLock lock(&shard.mutex);
@@ -36,20 +37,21 @@
   }
 }
 
-TargetBook::Shard& TargetBook::ShardOf(std::string_view pool) {
+TargetRegistry::Shard& TargetRegistry::ShardOf(std::string_view pool) {
   return this->shards[StableHash(pool) % kShards];
 }
 
-TargetBook::Target* TargetBook::Find(Shard& shard, std::string_view pool,
-                                     std::string_view target) {
+TargetRegistry::Target* TargetRegistry::Find(Shard& shard,
+                                             std::string_view pool,
+                                             std::string_view target) {
   const auto targets = shard.pools.find(pool);
   if (targets == shard.pools.end()) return nullptr;
   const auto found = targets->second.find(target);
   return found == targets->second.end() ? nullptr : &found->second;
 }
 
-void TargetBook::TakeList(std::int64_t version,
-                          const std::vector<ListedTarget>& list) {
+void TargetRegistry::TakeList(std::int64_t version,
+                              const std::vector<ListedTarget>& list) {
   absl::MutexLock list_lock(&this->list_mutex);
   if (version < this->list_version) return;
   this->list_version = version;
@@ -77,8 +79,8 @@
   }
 }
 
-void TargetBook::TakeReport(std::string_view pool, std::string_view target,
-                            LoadReport report) {
+void TargetRegistry::TakeReport(std::string_view pool, std::string_view target,
+                                LoadReport report) {
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
@@ -97,51 +99,51 @@
 
 // A mark keeps the age of its first sighting wherever it is passed on, so
 // marks die out instead of circling among the instances for good.
-void TargetBook::MarkLeaving(std::string_view target, absl::Duration age) {
+void TargetRegistry::MarkLeaving(std::string_view target, absl::Duration age) {
   const Instant now = this->clock.Now();
-  if (age >= this->options.leaving_memory) return;
+  if (age >= this->options.leaving_mark_ttl) return;
   absl::MutexLock lock(&this->marks_mutex);
   const auto [found, added] =
       this->marks.emplace(std::string(target), now - age);
-  const bool expired = now - found->second >= this->options.leaving_memory;
+  const bool expired = now - found->second >= this->options.leaving_mark_ttl;
   if (!added && expired) found->second = now - age;
 }
 
-std::map<std::string, absl::Duration> TargetBook::LeavingMarks() const {
+std::map<std::string, absl::Duration> TargetRegistry::LeavingTargets() const {
   absl::MutexLock lock(&this->marks_mutex);
   std::map<std::string, absl::Duration> ages;
   const Instant now = this->clock.Now();
   for (const auto& [target, since] : this->marks) {
-    if (now - since < this->options.leaving_memory) {
+    if (now - since < this->options.leaving_mark_ttl) {
       ages[target] = now - since;
     }
   }
   return ages;
 }
 
-bool TargetBook::IsMarkedLeaving(std::string_view target) const {
+bool TargetRegistry::IsMarkedLeaving(std::string_view target) const {
   absl::MutexLock lock(&this->marks_mutex);
   const auto found = this->marks.find(target);
   return found != this->marks.end() &&
-         this->clock.Now() - found->second < this->options.leaving_memory;
+         this->clock.Now() - found->second < this->options.leaving_mark_ttl;
 }
 
-bool TargetBook::IsEjected(const Target& target, Instant now) const {
+bool TargetRegistry::IsEjected(const Target& target, Instant now) const {
   return now < target.ejected_until;
 }
 
 // Failure: a target that comes back gets the whole backlog at once and falls
 // over again. Its budget grows from one request to the full one over the
 // return time, so a target that is still ill takes few requests with it.
-int TargetBook::Budget(const Target& target, Instant now) const {
+int TargetRegistry::Budget(const Target& target, Instant now) const {
   const absl::Duration back = now - target.ejected_until;
-  if (back >= this->options.slow_return) return this->options.max_in_flight;
-  const double part = absl::FDivDuration(back, this->options.slow_return);
+  if (back >= this->options.recovery_ramp) return this->options.max_in_flight;
+  const double part = absl::FDivDuration(back, this->options.recovery_ramp);
   const double grown = part * this->options.max_in_flight;
   return std::max(1, static_cast<int>(std::floor(grown)));
 }
 
-void TargetBook::SetSharers(int instances) {
+void TargetRegistry::SetInstanceCount(int instances) {
   this->sharers = std::max(1, instances);
 }
 
@@ -150,7 +152,7 @@
 // all others although each instance's own queue is fair. So the backlog is
 // kept here: each instance may use its equal part of a target's slots, and of
 // the slots that a report shows to be free its equal part again.
-bool TargetBook::HasRoom(const Target& target, Instant now) const {
+bool TargetRegistry::HasRoom(const Target& target, Instant now) const {
   if (target.in_flight >= this->Budget(target, now)) return false;
   if (target.report.slots <= 0) return true;
   const int part = std::max(1, target.report.slots / this->sharers);
@@ -161,7 +163,7 @@
 // How many requests the target has from all instances. The report knows of
 // everybody's but is old; the own requests are known exactly, and others have
 // about as many each. The report fades with its age.
-double TargetBook::Occupancy(const Target& target, Instant now) const {
+double TargetRegistry::Occupancy(const Target& target, Instant now) const {
   const double blind = static_cast<double>(target.in_flight) * this->sharers;
   const absl::Duration age = now - target.report_at;
   if (age == absl::InfiniteDuration()) return blind;
@@ -174,18 +176,18 @@
 
 // A hint only: cache events come late and with gaps, and what was seen a while
 // ago is forgotten by a busy engine.
-bool TargetBook::LikelyCached(const Target& target, std::uint64_t prefix,
-                              Instant now) const {
+bool TargetRegistry::LikelyCached(const Target& target, std::uint64_t prefix,
+                                  Instant now) const {
   if (prefix == 0) return false;
   const auto seen = target.prefixes.find(prefix);
   return seen != target.prefixes.end() &&
-         now - seen->second < this->options.prefix_memory;
+         now - seen->second < this->options.prefix_hint_ttl;
 }
 
 // The expected wait in tokens. Requests in the batch hardly delay a new one;
 // those beyond the slots do.
-double TargetBook::Cost(const Target& target, const TargetNeed& need,
-                        Instant now) const {
+double TargetRegistry::Cost(const Target& target,
+                            const TargetRequirements& need, Instant now) const {
   const double occupancy = this->Occupancy(target, now);
   const double slots =
       target.report.slots > 0 ? target.report.slots : kUnknownSlots;
@@ -202,9 +204,9 @@
 
 // Requests with the same beginning have one target that all instances prefer
 // for them without telling each other, so its cache is worth having.
-std::string TargetBook::PrefixHome(
+std::string TargetRegistry::PrefixHome(
     const std::map<std::string, Target, std::less<>>& targets,
-    const TargetNeed& need) {
+    const TargetRequirements& need) {
   if (need.prefix == 0) return {};
   std::string home;
   std::uint64_t heaviest = 0;
@@ -218,12 +220,13 @@
   return home;
 }
 
-std::variant<TargetPlace, NoPlace> TargetBook::Take(const TargetNeed& need) {
+std::variant<TargetReservation, ReservationError> TargetRegistry::Take(
+    const TargetRequirements& need) {
   Shard& shard = this->ShardOf(need.pool);
   absl::MutexLock lock(&shard.mutex);
   const auto targets = shard.pools.find(need.pool);
   if (targets == shard.pools.end() || targets->second.empty()) {
-    return NoPlace::kUnknownPool;
+    return ReservationError::kUnknownPool;
   }
   const Instant now = this->clock.Now();
   const std::string home = this->PrefixHome(targets->second, need);
@@ -250,16 +253,18 @@
     best_cost = cost;
   }
   if (best == nullptr) {
-    if (busy) return NoPlace::kBusy;
-    return resident ? NoPlace::kUnreachable : NoPlace::kNotResident;
+    if (busy) return ReservationError::kBusy;
+    return resident ? ReservationError::kUnreachable
+                    : ReservationError::kNotResident;
   }
   ++best->in_flight;
   best->outstanding += need.tokens;
-  return TargetPlace{best->listed.name, need.pool, best->listed.address,
-                     best->listed.port, need.tokens};
+  return TargetReservation{best->listed.name, need.pool, best->listed.address,
+                           best->listed.port, need.tokens};
 }
 
-void TargetBook::Finish(const TargetPlace& place, PlaceOutcome outcome) {
+void TargetRegistry::Finish(const TargetReservation& place,
+                            RequestOutcome outcome) {
   Shard& shard = this->ShardOf(place.pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, place.pool, place.target);
@@ -267,29 +272,30 @@
   Target& target = *found;
   target.in_flight = std::max(0, target.in_flight - 1);
   target.outstanding = std::max(0.0, target.outstanding - place.tokens);
-  if (outcome == PlaceOutcome::kGood) {
+  if (outcome == RequestOutcome::kSucceeded) {
     target.failures = 0;
     const Instant now = this->clock.Now();
-    if (now - target.ejected_until >= this->options.slow_return) {
+    if (now - target.ejected_until >= this->options.recovery_ramp) {
       target.ejections = 0;
     }
   }
-  if (outcome != PlaceOutcome::kTargetFault) return;
+  if (outcome != RequestOutcome::kTargetFault) return;
   // A target that came back a moment ago is set aside again by one failure:
   // otherwise each return costs as many requests as the first ejection did.
   const bool on_trial =
-      this->clock.Now() - target.ejected_until < this->options.slow_return;
+      this->clock.Now() - target.ejected_until < this->options.recovery_ramp;
   if (++target.failures < this->options.failures_to_eject && !on_trial) return;
   const absl::Duration wait = std::min(
-      this->options.longest_ejection,
+      this->options.max_ejection,
       this->options.ejection * std::pow(2.0, std::min(target.ejections, 10)));
   target.ejected_until = this->clock.Now() + wait;
   target.failures = 0;
   ++target.ejections;
 }
 
-void TargetBook::NotePrefix(std::string_view pool, std::string_view target,
-                            std::uint64_t prefix) {
+void TargetRegistry::RecordCachedPrefix(std::string_view pool,
+                                        std::string_view target,
+                                        std::uint64_t prefix) {
   if (prefix == 0) return;
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
@@ -301,15 +307,16 @@
   found->prefixes[prefix] = this->clock.Now();
 }
 
-void TargetBook::DropPrefix(std::string_view pool, std::string_view target,
-                            std::uint64_t prefix) {
+void TargetRegistry::ForgetCachedPrefix(std::string_view pool,
+                                        std::string_view target,
+                                        std::uint64_t prefix) {
   Shard& shard = this->ShardOf(pool);
   absl::MutexLock lock(&shard.mutex);
   Target* found = Find(shard, pool, target);
   if (found != nullptr) found->prefixes.erase(prefix);
 }
 
-std::vector<TargetStatus> TargetBook::Status() const {
+std::vector<TargetStatus> TargetRegistry::Status() const {
   std::vector<TargetStatus> all;
   const Instant now = this->clock.Now();
   for (const Shard& shard : this->shards) {
--- a/dragonflyglade/decision/target_book.h
+++ b/dragonflyglade/decision/target_registry.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
-#define DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
+#ifndef DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
+#define DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
 
 #include <array>
 #include <atomic>
@@ -45,17 +45,17 @@
   int max_in_flight = 16;  ///< requests of this instance at one target
   int failures_to_eject = 3;
   absl::Duration ejection = absl::Seconds(5);
-  absl::Duration longest_ejection = absl::Seconds(60);
+  absl::Duration max_ejection = absl::Seconds(60);
   /// Time over which a returned target's budget grows back.
-  absl::Duration slow_return = absl::Seconds(10);
-  absl::Duration leaving_memory = absl::Seconds(60);
+  absl::Duration recovery_ramp = absl::Seconds(10);
+  absl::Duration leaving_mark_ttl = absl::Seconds(60);
   double zone_penalty_tokens = 200;
   double prefix_bonus_tokens = 300;
-  absl::Duration prefix_memory = absl::Seconds(5);
+  absl::Duration prefix_hint_ttl = absl::Seconds(5);
 };
 
 /// What a request asks of a target.
-struct TargetNeed {
+struct TargetRequirements {
   std::string pool;
   std::string model;         ///< empty for plain services
   std::string adapter;       ///< empty for none
@@ -65,8 +65,8 @@
   std::set<std::string> avoid;  ///< targets that failed this request already
 };
 
-/// A place taken at a target; give it back by TargetBook::Finish.
-struct TargetPlace {
+/// A place taken at a target; give it back by TargetRegistry::Finish.
+struct TargetReservation {
   std::string target;
   std::string pool;
   std::string address;
@@ -75,7 +75,7 @@
 };
 
 /// Why there is no place.
-enum class NoPlace {
+enum class ReservationError {
   kBusy,         ///< suitable targets are at their limit; wait
   kUnreachable,  ///< suitable targets are ejected or leaving
   kNotResident,  ///< no target has the model
@@ -83,7 +83,7 @@
 };
 
 /// How a request at a target ended.
-enum class PlaceOutcome { kGood, kTargetFault, kNeutral };
+enum class RequestOutcome { kSucceeded, kTargetFault, kNeutral };
 
 /// A target's state for status reports.
 struct TargetStatus {
@@ -100,9 +100,9 @@
 
 /// The targets, how busy they are, and which one a request should go to.
 /// Thread-safe; pools are spread over shards with a lock each.
-class TargetBook {
+class TargetRegistry {
  public:
-  TargetBook(TargetOptions options, Clock clock, std::uint64_t seed);
+  TargetRegistry(TargetOptions options, Clock clock, std::uint64_t seed);
 
   /// Takes the platform's list of targets.
   /// @param version older lists than the newest taken are ignored
@@ -118,24 +118,25 @@
                    absl::Duration age = absl::ZeroDuration());
 
   /// Targets marked as leaving and for how long, to pass on to peers.
-  std::map<std::string, absl::Duration> LeavingMarks() const;
+  std::map<std::string, absl::Duration> LeavingTargets() const;
 
   /// Says how many instances send requests to the same targets.
-  void SetSharers(int instances);
+  void SetInstanceCount(int instances);
 
   /// Takes a place at the best target, or says why there is none.
-  std::variant<TargetPlace, NoPlace> Take(const TargetNeed& need);
+  std::variant<TargetReservation, ReservationError> Take(
+      const TargetRequirements& need);
 
   /// Gives a place back.
-  void Finish(const TargetPlace& place, PlaceOutcome outcome);
+  void Finish(const TargetReservation& place, RequestOutcome outcome);
 
   /// Notes that a target holds the prefix in its cache. A hint only.
-  void NotePrefix(std::string_view pool, std::string_view target,
-                  std::uint64_t prefix);
+  void RecordCachedPrefix(std::string_view pool, std::string_view target,
+                          std::uint64_t prefix);
 
   /// Notes that a target holds the prefix no longer.
-  void DropPrefix(std::string_view pool, std::string_view target,
-                  std::uint64_t prefix);
+  void ForgetCachedPrefix(std::string_view pool, std::string_view target,
+                          std::uint64_t prefix);
 
   /// All targets of all pools.
   std::vector<TargetStatus> Status() const;
@@ -177,9 +178,10 @@
                     Instant now) const;
   static std::string PrefixHome(
       const std::map<std::string, Target, std::less<>>& targets,
-      const TargetNeed& need);
+      const TargetRequirements& need);
   double Occupancy(const Target& target, Instant now) const;
-  double Cost(const Target& target, const TargetNeed& need, Instant now) const;
+  double Cost(const Target& target, const TargetRequirements& need,
+              Instant now) const;
 
   const TargetOptions options;
   const Clock clock;
@@ -194,4 +196,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_TARGET_BOOK_H_
+#endif  // DRAGONFLYGLADE_DECISION_TARGET_REGISTRY_H_
--- a/dragonflyglade/decision/quota_ledger.cc
+++ b/dragonflyglade/decision/unreported_grants.cc
@@ -1,15 +1,15 @@
-#include "dragonflyglade/decision/quota_ledger.h"
+#include "dragonflyglade/decision/unreported_grants.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace dragonflyglade {
 
-QuotaLedger::QuotaLedger(absl::Duration window, Clock clock)
+UnreportedGrants::UnreportedGrants(absl::Duration window, Clock clock)
     : window(window), clock(std::move(clock)) {}
 
-bool QuotaLedger::Add(std::string_view process, std::int64_t number,
-                      std::string_view workspace, double tokens) {
+bool UnreportedGrants::Add(std::string_view process, std::int64_t number,
+                           std::string_view workspace, double tokens) {
   std::vector<Grant>& open = this->grants[std::string(process)];
   const bool known =
       std::any_of(open.begin(), open.end(),
@@ -19,7 +19,8 @@
   return true;
 }
 
-void QuotaLedger::Reported(std::string_view process, std::int64_t through) {
+void UnreportedGrants::Reported(std::string_view process,
+                                std::int64_t through) {
   const auto found = this->grants.find(process);
   if (found == this->grants.end()) return;
   std::erase_if(found->second,
@@ -29,7 +30,7 @@
 
 // A process that ended before it reported a grant may have spent it, so the
 // grant counts until its window is over.
-double QuotaLedger::Open(std::string_view workspace) {
+double UnreportedGrants::Open(std::string_view workspace) {
   const Instant now = this->clock.Now();
   double open = 0;
   for (auto item = this->grants.begin(); item != this->grants.end();) {
--- a/dragonflyglade/decision/quota_ledger.h
+++ b/dragonflyglade/decision/unreported_grants.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
-#define DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
+#ifndef DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
+#define DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
 
 #include <cstdint>
 #include <map>
@@ -14,10 +14,10 @@
 
 /// What was granted of quotas and is not yet among what instances report as
 /// spent. Kept where the fleet's spending is summed up. Not synchronised.
-class QuotaLedger {
+class UnreportedGrants {
  public:
   /// @param window after which a grant counts no longer in any case
-  QuotaLedger(absl::Duration window, Clock clock);
+  UnreportedGrants(absl::Duration window, Clock clock);
 
   /// Books a grant. The same number of a process again is the same grant.
   /// @param process that asked; numbers grow within it
@@ -49,4 +49,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_DECISION_QUOTA_LEDGER_H_
+#endif  // DRAGONFLYGLADE_DECISION_UNREPORTED_GRANTS_H_
--- a/dragonflyglade/gateway/caller_link.cc
+++ b/dragonflyglade/gateway/caller_connection.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 
 #include <array>
 #include <boost/asio/redirect_error.hpp>
@@ -60,8 +60,9 @@
 
 }  // namespace
 
-CallerLink::CallerLink(asio::io_context& context, tcp::socket socket,
-                       LimitsInForce limits, Clock clock)
+CallerConnection::CallerConnection(asio::io_context& context,
+                                   tcp::socket socket,
+                                   CallerLimitsProvider limits, Clock clock)
     : socket(std::move(socket)),
       limits(std::move(limits)),
       clock(std::move(clock)),
@@ -73,34 +74,34 @@
   this->socket.set_option(tcp::no_delay(true), ignored);
 }
 
-CallerLink::~CallerLink() {
+CallerConnection::~CallerConnection() {
   *this->alive = false;
   this->Abort("served");
 }
 
-void CallerLink::Abort(std::string_view why) {
+void CallerConnection::Abort(std::string_view why) {
   if (this->ended_by.empty()) this->ended_by = why;
   error_code ignored;
   this->socket.close(ignored);
 }
 
-absl::Duration CallerLink::Idle() const {
+absl::Duration CallerConnection::Idle() const {
   return this->wait_ended.value_or(this->clock.Now()) - this->wait_begun;
 }
 
-void CallerLink::StartStep(absl::Duration time, std::string_view why) {
+void CallerConnection::StartStep(absl::Duration time, std::string_view why) {
   this->timer.Start(
       time, [this, why](absl::Duration late) { this->TimeOut(why, late); });
 }
 
-void CallerLink::TimeOut(std::string_view why, absl::Duration late) {
+void CallerConnection::TimeOut(std::string_view why, absl::Duration late) {
   if (this->ended_by.empty()) this->ended_late = late;
   this->Abort(why);
 }
 
 // Callers go by the configuration of the moment at which they send, so one that
 // raises the limit holds for connections that are idle already.
-void CallerLink::StartIdleStep(absl::Duration longest_limit) {
+void CallerConnection::StartIdleStep(absl::Duration longest_limit) {
   const Instant end = this->wait_begun + longest_limit + kIdleGrace;
   const auto expired = [this, longest_limit](absl::Duration late) {
     const absl::Duration limit = this->limits().idle_timeout;
@@ -113,16 +114,16 @@
   this->timer.Start(end - this->clock.Now(), expired);
 }
 
-ReadResult CallerLink::NotRead(const error_code& error) {
+ReadResult CallerConnection::NotRead(const error_code& error) {
   if (IsHttpError(error)) return MalformedRequest{StatusOf(error)};
   const bool closed = error == http::error::end_of_stream ||
                       error == http::error::partial_message ||
                       error == asio::error::eof;
   this->Abort(closed ? "caller closed" : "caller cut off");
-  return CallerLeft{};
+  return CallerDisconnected{};
 }
 
-asio::awaitable<bool> CallerLink::WaitForBytes() {
+asio::awaitable<bool> CallerConnection::WaitForBytes() {
   this->wait_begun = this->clock.Now();
   this->wait_ended.reset();
   if (this->buffer.size() > 0) co_return true;
@@ -135,10 +136,10 @@
   co_return !error;
 }
 
-asio::awaitable<ReadResult> CallerLink::Read() {
+asio::awaitable<ReadResult> CallerConnection::Read() {
   this->stream_begun = false;
   const bool readable = co_await this->WaitForBytes();
-  if (!readable) co_return CallerLeft{};
+  if (!readable) co_return CallerDisconnected{};
   const CallerLimits limits = this->limits();
   this->StartStep(limits.header_timeout, "head not whole in time");
   Parser parser;
@@ -153,7 +154,7 @@
   if (absl::EqualsIgnoreCase({expects.data(), expects.size()},
                              "100-continue")) {
     const bool written = co_await this->Write("HTTP/1.1 100 Continue\r\n\r\n");
-    if (!written) co_return CallerLeft{};
+    if (!written) co_return CallerDisconnected{};
   }
   this->StartStep(kBodyTimeout, "body not whole in time");
   co_await http::async_read(this->socket, this->buffer, parser,
@@ -162,18 +163,18 @@
   if (error) co_return this->NotRead(error);
   // The last bytes may have been read in the turn that timed the step out; no
   // answer could be written any more.
-  if (!this->ended_by.empty()) co_return CallerLeft{};
+  if (!this->ended_by.empty()) co_return CallerDisconnected{};
   this->keep_alive = parser.get().keep_alive();
   this->answered = false;
   co_return Received(parser);
 }
 
-std::optional<absl::Duration> CallerLink::KeepAliveTimeout() const {
+std::optional<absl::Duration> CallerConnection::KeepAliveTimeout() const {
   if (!this->keep_alive) return std::nullopt;
   return this->limits().idle_timeout;
 }
 
-asio::awaitable<bool> CallerLink::Write(std::string text) {
+asio::awaitable<bool> CallerConnection::Write(std::string text) {
   if (this->left) co_return false;
   this->StartStep(kWriteTimeout, "caller takes nothing");
   error_code error;
@@ -187,42 +188,44 @@
   co_return !error;
 }
 
-asio::awaitable<bool> CallerLink::WriteAnswer(int status, HeaderFields fields,
-                                              std::string_view body) {
-  std::string text = AnswerText(status, fields, BodyFraming::kLength,
-                                body.size(), this->KeepAliveTimeout());
+asio::awaitable<bool> CallerConnection::WriteResponse(int status,
+                                                      HeaderFields fields,
+                                                      std::string_view body) {
+  std::string text = ResponseHeadText(status, fields, BodyFraming::kLength,
+                                      body.size(), this->KeepAliveTimeout());
   text.append(body);
   this->answered = co_await this->Write(std::move(text));
   co_return this->answered;
 }
 
-asio::awaitable<bool> CallerLink::BeginStream(int status, HeaderFields fields,
-                                              std::string_view first) {
+asio::awaitable<bool> CallerConnection::BeginStream(int status,
+                                                    HeaderFields fields,
+                                                    std::string_view first) {
   this->stream_begun = true;
-  std::string text = AnswerText(status, fields, BodyFraming::kChunked, 0,
-                                this->KeepAliveTimeout());
+  std::string text = ResponseHeadText(status, fields, BodyFraming::kChunked, 0,
+                                      this->KeepAliveTimeout());
   if (!first.empty()) text += ChunkText(first);
   this->answered = co_await this->Write(std::move(text));
   co_return this->answered;
 }
 
-asio::awaitable<bool> CallerLink::WritePart(std::string_view bytes) {
+asio::awaitable<bool> CallerConnection::WritePart(std::string_view bytes) {
   if (bytes.empty()) co_return true;
   co_return co_await this->Write(ChunkText(bytes));
 }
 
-asio::awaitable<bool> CallerLink::EndStream() {
+asio::awaitable<bool> CallerConnection::EndStream() {
   co_return co_await this->Write(std::string(kLastChunk));
 }
 
-void CallerLink::WatchForLeaving(std::function<void()> on_left) {
+void CallerConnection::WatchForDisconnect(std::function<void()> on_left) {
   // Bytes of a next request hide the end of the connection.
   if (this->buffer.size() > 0) return;
   this->watch = ++this->watches;
   this->Watch(std::move(on_left));
 }
 
-void CallerLink::Watch(std::function<void()> on_left) {
+void CallerConnection::Watch(std::function<void()> on_left) {
   this->socket.async_wait(
       tcp::socket::wait_read,
       [this, alive = this->alive, number = this->watch,
@@ -230,7 +233,7 @@
         if (!*alive || this->watch != number || error) return;
         const SocketState state = PeekSocket(this->socket);
         if (state == SocketState::kBytes) return;
-        if (state == SocketState::kQuiet) {
+        if (state == SocketState::kNoData) {
           this->Watch(std::move(on_left));
           return;
         }
@@ -243,14 +246,14 @@
       });
 }
 
-void CallerLink::StopWatching() {
+void CallerConnection::StopWatching() {
   if (this->watch == 0) return;
   this->watch = 0;
   error_code ignored;
   this->socket.cancel(ignored);
 }
 
-asio::awaitable<void> CallerLink::CloseSoftly() {
+asio::awaitable<void> CallerConnection::CloseGracefully() {
   error_code error;
   this->socket.shutdown(tcp::socket::shutdown_send, error);
   this->StartStep(kCloseTimeout, "served");
--- a/dragonflyglade/gateway/caller_link.h
+++ b/dragonflyglade/gateway/caller_connection.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
-#define DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
+#define DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -23,7 +23,7 @@
 
 /// A request's head and body as they were read.
 struct ReceivedRequest {
-  HttpHeadText head;
+  HttpMessageHead head;
   std::string method;          ///< what head.method views
   std::string path_and_query;  ///< what head.path_and_query views
   std::string body;
@@ -33,29 +33,30 @@
   int status = 400;
 };
 /// The caller closed, or was silent for too long.
-struct CallerLeft {};
-using ReadResult = std::variant<ReceivedRequest, MalformedRequest, CallerLeft>;
+struct CallerDisconnected {};
+using ReadResult =
+    std::variant<ReceivedRequest, MalformedRequest, CallerDisconnected>;
 
 /// Gives the limits of the configuration in force.
-using LimitsInForce = std::function<CallerLimits()>;
+using CallerLimitsProvider = std::function<CallerLimits()>;
 
 /// A caller's connection: reads requests, writes answers, and notices while
 /// an answer is being made that the caller has left. One event loop.
-class CallerLink {
+class CallerConnection {
  public:
-  CallerLink(boost::asio::io_context& context,
-             boost::asio::ip::tcp::socket socket, LimitsInForce limits,
-             Clock clock);
-  ~CallerLink();
-  CallerLink(const CallerLink&) = delete;
-  CallerLink& operator=(const CallerLink&) = delete;
+  CallerConnection(boost::asio::io_context& context,
+                   boost::asio::ip::tcp::socket socket,
+                   CallerLimitsProvider limits, Clock clock);
+  ~CallerConnection();
+  CallerConnection(const CallerConnection&) = delete;
+  CallerConnection& operator=(const CallerConnection&) = delete;
 
   /// Reads the next request, within the limits.
   boost::asio::awaitable<ReadResult> Read();
 
   /// Writes a whole answer. False if the caller cannot be written to.
-  boost::asio::awaitable<bool> WriteAnswer(int status, HeaderFields fields,
-                                           std::string_view body);
+  boost::asio::awaitable<bool> WriteResponse(int status, HeaderFields fields,
+                                             std::string_view body);
 
   /// Writes the head of a stream with its first bytes, further ones, and its
   /// end.
@@ -65,7 +66,7 @@
   boost::asio::awaitable<bool> EndStream();
 
   /// Calls back once if the caller closes while nothing is read from it.
-  void WatchForLeaving(std::function<void()> left);
+  void WatchForDisconnect(std::function<void()> left);
   void StopWatching();
 
   /// Whether the next answer keeps the connection open.
@@ -89,7 +90,7 @@
 
   /// Ends the connection after the last answer, reading what is still on its
   /// way: closing with unread bytes would reset it under the answer.
-  boost::asio::awaitable<void> CloseSoftly();
+  boost::asio::awaitable<void> CloseGracefully();
 
  private:
   boost::asio::awaitable<bool> WaitForBytes();
@@ -103,7 +104,7 @@
 
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
-  const LimitsInForce limits;
+  const CallerLimitsProvider limits;
   const Clock clock;
   StepTimer timer;
   std::string_view ended_by;  ///< text that is never freed
@@ -121,4 +122,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_CALLER_LINK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_CALLER_CONNECTION_H_
--- a/dragonflyglade/gateway/caught.cc
+++ b/dragonflyglade/gateway/catch_exception.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 // Not a guard object: when the event loop ends, coroutines are destroyed after
 // the parts that a guard would put back.
-boost::asio::awaitable<std::exception_ptr> Caught(
+boost::asio::awaitable<std::exception_ptr> CatchException(
     boost::asio::awaitable<void> step) {
   try {
     co_await std::move(step);
@@ -16,7 +16,7 @@
   co_return nullptr;
 }
 
-std::string WhatOf(const std::exception_ptr& exception) {
+std::string ExceptionText(const std::exception_ptr& exception) {
   try {
     std::rethrow_exception(exception);
   } catch (const std::exception& error) {
--- a/dragonflyglade/gateway/caught.h
+++ b/dragonflyglade/gateway/catch_exception.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_CAUGHT_H_
-#define DRAGONFLYGLADE_GATEWAY_CAUGHT_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_CATCH_EXCEPTION_H_
+#define DRAGONFLYGLADE_GATEWAY_CATCH_EXCEPTION_H_
 
 #include <exception>
 #include <string>
@@ -10,12 +10,12 @@
 
 /// Runs a step to its end and gives back the exception that left it, or null,
 /// so that the lines after it run on every way out.
-boost::asio::awaitable<std::exception_ptr> Caught(
+boost::asio::awaitable<std::exception_ptr> CatchException(
     boost::asio::awaitable<void> step);
 
 /// What an exception says of itself.
-std::string WhatOf(const std::exception_ptr& exception);
+std::string ExceptionText(const std::exception_ptr& exception);
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_CAUGHT_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_CATCH_EXCEPTION_H_
--- a/dragonflyglade/gateway/change_codec.cc
+++ b/dragonflyglade/gateway/change_codec.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "dragonflyglade/gateway/deflate.h"
-#include "dragonflyglade/gateway/thrift_text.h"
+#include "dragonflyglade/gateway/thrift_codec.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
 
 namespace dragonflyglade::gateway {
--- a/dragonflyglade/gateway/event_splitter.cc
+++ b/dragonflyglade/gateway/event_splitter.cc
@@ -46,8 +46,8 @@
     events.remove_prefix(end + 1);
     if (line.substr(0, kField.size()) != kField) continue;
     const absl::string_view value =
-        absl::StripAsciiWhitespace(AbslView(line).substr(kField.size()));
-    this->last_id = Copy(value);
+        absl::StripAsciiWhitespace(ToAbslView(line).substr(kField.size()));
+    this->last_id = ToStdString(value);
     std::int64_t number = 0;
     if (!absl::SimpleAtoi(value, &number)) continue;
     if (this->last_number.has_value() && number <= *this->last_number) {
--- a/dragonflyglade/gateway/fleet_channel.cc
+++ b/dragonflyglade/gateway/fleet_channel.cc
@@ -8,8 +8,8 @@
 #include <set>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
-#include "dragonflyglade/gateway/thrift_text.h"
+#include "dragonflyglade/gateway/catch_exception.h"
+#include "dragonflyglade/gateway/thrift_codec.h"
 #include "dragonflyglade/net/endpoint.h"
 
 namespace dragonflyglade::gateway {
@@ -61,11 +61,11 @@
 
 FleetChannel::FleetChannel(asio::io_context& context, udp::socket& socket,
                            FleetState& fleet, ModelDemand& demand,
-                           QuotaWindows& quotas, QuotaDesk& desk,
-                           ReportHub& hub, const DutyLease& duty,
+                           QuotaWindows& quotas, QuotaAdmission& desk,
+                           ReportAggregator& hub, const LeaderLease& duty,
                            InstanceRecord self, bool first_start,
-                           StoreNews& news, StoreRelay& relay, Metrics& metrics,
-                           Tasks& tasks, Clock clock)
+                           StoreSyncState& news, StoreRelay& relay,
+                           Metrics& metrics, Tasks& tasks, Clock clock)
     : context(context),
       socket(socket),
       fleet(fleet),
@@ -90,8 +90,8 @@
   };
   this->desk.OnSend(send);
   this->relay.OnSend(send);
-  this->relay.OnTaken([this] { this->FollowDuty(); });
-  this->news.OnUrgent([this] { this->TellUrgent(); });
+  this->relay.OnDigestApplied([this] { this->FollowDuty(); });
+  this->news.OnUrgentChange([this] { this->TellUrgent(); });
 }
 
 asio::awaitable<void> FleetChannel::Receive() {
@@ -118,12 +118,12 @@
   }
   if (message->__isset.report) this->TakeReport(message->report);
   if (message->__isset.summary) this->TakeSummary(message->summary);
-  if (message->__isset.ask) this->desk.TakeAsk(message->ask);
-  if (message->__isset.grant) this->desk.TakeGrant(message->grant);
+  if (message->__isset.ask) this->desk.ReceiveAsk(message->ask);
+  if (message->__isset.grant) this->desk.ReceiveGrant(message->grant);
   if (message->__isset.note) this->TakeNote(message->note);
-  if (message->__isset.store) this->relay.TakeDigest(message->store);
+  if (message->__isset.store) this->relay.ReceiveDigest(message->store);
   if (message->__isset.store_question) {
-    this->relay.TakeQuestion(message->store_question);
+    this->relay.ReceiveQuestion(message->store_question);
   }
 }
 
@@ -133,7 +133,7 @@
     message.__set_report(this->MakeReport());
     const absl::Duration interval =
         absl::Milliseconds(message.report.interval_ms);
-    const std::optional<DutyHolder> holder = this->fleet.Duty();
+    const std::optional<LeaderRecord> holder = this->fleet.Leader();
     if (holder.has_value()) {
       if (holder->instance.incarnation == this->self.incarnation) {
         this->TakeReport(message.report);
@@ -188,7 +188,7 @@
   report.store_revision = static_cast<std::int64_t>(this->news.KnownThrough());
   // An instance without requests must know since when it is listed, too: its
   // part counts by that at the holder.
-  this->desk.FollowInstances();
+  this->desk.UpdateParticipants();
   report.listed = this->fleet.IsListed(this->self.name);
   report.listed_ms =
       absl::ToInt64Milliseconds(std::min(kAgeless, this->quotas.ListedFor()));
@@ -236,13 +236,13 @@
   wire::FleetMessage message;
   wire::FleetSummary summary = this->hub.SummaryFor(report);
   for (wire::WorkspaceSpend& spend : summary.spends) {
-    spend.tokens +=
-        static_cast<std::int64_t>(this->desk.OpenGrants(spend.workspace));
+    spend.tokens += static_cast<std::int64_t>(
+        this->desk.UnreportedGrantTokens(spend.workspace));
   }
   summary.holder = this->self.incarnation;
   summary.fence = static_cast<std::int64_t>(this->duty.Fence());
-  summary.store =
-      this->relay.DigestFor(static_cast<std::uint64_t>(report.store_revision));
+  summary.store = this->relay.DigestSince(
+      static_cast<std::uint64_t>(report.store_revision));
   summary.holdings_version = this->holdings.Version();
   summary.holdings = this->holdings.Since(
       report.holdings_of == this->self.incarnation ? report.holdings_version
@@ -256,15 +256,15 @@
 }
 
 bool FleetChannel::IsHolder() const {
-  const std::optional<DutyHolder>& holder = this->fleet.Duty();
+  const std::optional<LeaderRecord>& holder = this->fleet.Leader();
   return this->duty.Held() && holder.has_value() &&
          holder->instance.incarnation == this->self.incarnation;
 }
 
 // A new holder knows nothing until it has everybody's report.
 void FleetChannel::FollowDuty() {
-  if (this->fleet.DutyRevision() == this->duty_revision) return;
-  this->duty_revision = this->fleet.DutyRevision();
+  if (this->fleet.LeaderRevision() == this->duty_revision) return;
+  this->duty_revision = this->fleet.LeaderRevision();
   this->wake.Notify();
   if (!this->IsHolder()) return;
   this->tasks.Spawn("announce duty", this->AnnounceDuty());
@@ -277,7 +277,7 @@
   for (const auto& [name, record] : this->fleet.Instances()) {
     if (name != this->self.name) addresses.push_back(record.peers);
   }
-  const std::string duty = this->relay.PackDuty();
+  const std::string duty = this->relay.PackLeaderRecord();
   const std::function<void(std::size_t)> tell = [&](std::size_t index) {
     if (!this->IsHolder()) return;
     wire::FleetMessage message;
@@ -301,7 +301,7 @@
 void FleetChannel::TellUrgent() {
   this->FollowDuty();
   if (!this->duty.Held()) {
-    this->relay.TellAskers();
+    this->relay.NotifySubscribers();
     return;
   }
   this->tell_again = true;
@@ -311,7 +311,8 @@
 }
 
 asio::awaitable<void> FleetChannel::TellEveryone() {
-  const std::exception_ptr fault = co_await Caught(this->TellReporters());
+  const std::exception_ptr fault =
+      co_await CatchException(this->TellReporters());
   this->telling_everyone = false;
   if (fault) std::rethrow_exception(fault);
 }
@@ -319,7 +320,7 @@
 asio::awaitable<void> FleetChannel::TellReporters() {
   while (this->tell_again && this->duty.Held()) {
     this->tell_again = false;
-    std::vector<wire::InstanceReport> reporters = this->hub.Reporters();
+    std::vector<wire::InstanceReport> reporters = this->hub.RecentReports();
     std::stable_partition(
         reporters.begin(), reporters.end(),
         [](const wire::InstanceReport& one) { return !StandsBy(one); });
@@ -330,7 +331,7 @@
   }
 }
 
-void FleetChannel::PushSoon() {
+void FleetChannel::SchedulePush() {
   if (this->push_pending) return;
   this->push_pending = true;
   this->tasks.Spawn("push summaries", this->PushGathered());
@@ -340,13 +341,13 @@
   co_await Sleep(this->context, kPushGather);
   this->push_pending = false;
   if (!this->duty.Held()) co_return;
-  for (const wire::InstanceReport& report : this->hub.Reporters()) {
+  for (const wire::InstanceReport& report : this->hub.RecentReports()) {
     if (!IsIdle(report)) this->SendSummary(report);
   }
 }
 
 void FleetChannel::TakeSummary(const wire::FleetSummary& summary) {
-  const std::optional<DutyHolder>& holder = this->fleet.Duty();
+  const std::optional<LeaderRecord>& holder = this->fleet.Leader();
   // A holder that was replaced may not know it yet.
   if (!holder.has_value() || holder->instance.incarnation != summary.holder) {
     return;
@@ -356,7 +357,7 @@
   this->TakeUses(summary);
   this->TakeHoldings(summary);
   this->TakeSpends(summary);
-  if (!own) this->relay.TakeDigest(summary.store);
+  if (!own) this->relay.ReceiveDigest(summary.store);
   this->fleet.Changed().Notify();
 }
 
@@ -367,11 +368,11 @@
   this->fleet.ForEachTarget([&](TargetState& target) {
     const auto use = uses.find(target.Record().id);
     if (use == uses.end()) {
-      target.SetOthers(0, 0, now);
+      target.SetOtherInstancesLoad(0, 0, now);
     } else {
       const auto unread = static_cast<double>(use->second->unread_tokens);
-      target.SetOthers(use->second->requests, this->TellsSends() ? 0 : unread,
-                       now);
+      target.SetOtherInstancesLoad(use->second->requests,
+                                   this->TellsSends() ? 0 : unread, now);
     }
   });
 }
@@ -391,8 +392,8 @@
     const std::shared_ptr<TargetState> target = this->fleet.Target(id);
     // What was told of a process before this one is of no use.
     if (target == nullptr || target->Record().born_ms != item.born_ms) continue;
-    if (changed.count(id) == 0 && target->ConfirmPlaced(now)) continue;
-    target->SetPlaced(
+    if (changed.count(id) == 0 && target->RefreshPlacement(now)) continue;
+    target->SetPlacement(
         std::set<std::string>(item.adapters.begin(), item.adapters.end()),
         std::set<std::string>(item.closing_models.begin(),
                               item.closing_models.end()),
@@ -403,7 +404,7 @@
 void FleetChannel::TakeSpends(const wire::FleetSummary& summary) {
   const auto own = this->spent_at.find(summary.answers);
   for (const wire::WorkspaceSpend& spend : summary.spends) {
-    FleetSpend fleet_spend;
+    FleetSpending fleet_spend;
     fleet_spend.total = static_cast<double>(spend.tokens);
     fleet_spend.instances = summary.instances;
     if (own != this->spent_at.end()) {
@@ -412,7 +413,7 @@
     }
     fleet_spend.unknown_shares = summary.unknown_shares;
     fleet_spend.missing_part = summary.missing_part;
-    this->quotas.SetFleetSpend(spend.workspace, fleet_spend);
+    this->quotas.SetFleetSpending(spend.workspace, fleet_spend);
   }
 }
 
@@ -423,7 +424,8 @@
 // The summaries of reports are some hundred milliseconds old. Instances that
 // choose by them send their prompts to the same engine until the next one
 // comes, and its running streams pause for as long as it reads.
-void FleetChannel::NoteSent(const std::string& target, double prompt_tokens) {
+void FleetChannel::BroadcastSentPrompt(const std::string& target,
+                                       double prompt_tokens) {
   if (!this->TellsSends()) return;
   const bool first = this->sends.empty();
   this->sends[target] += prompt_tokens;
@@ -454,18 +456,19 @@
     const std::shared_ptr<TargetState> target =
         this->fleet.Target(prompts.target);
     if (target == nullptr) continue;
-    target->OthersSent(static_cast<double>(prompts.tokens), now);
+    target->AddSentByOthers(static_cast<double>(prompts.tokens), now);
   }
 }
 
 // Told at once: until the target's entry lapses, seconds later, models that are
 // there only look served, and nobody loads them elsewhere.
-void FleetChannel::ReportRefusing(const std::string& target) {
+void FleetChannel::ReportConnectionRefused(const std::string& target) {
   const bool first = this->refusing.insert(target).second;
   if (first) this->wake.Notify();
 }
 
-void FleetChannel::ReportLack(std::string_view target, const ModelName& name) {
+void FleetChannel::ReportMissingModel(std::string_view target,
+                                      const ModelName& name) {
   if (this->lacks.size() >= kMostLacks) return;
   wire::TargetLack lack;
   lack.target = std::string(target);
--- a/dragonflyglade/gateway/fleet_channel.h
+++ b/dragonflyglade/gateway/fleet_channel.h
@@ -13,18 +13,18 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/fleet_state.h"
-#include "dragonflyglade/gateway/holdings_book.h"
 #include "dragonflyglade/gateway/instance_record.h"
 #include "dragonflyglade/gateway/model_demand.h"
-#include "dragonflyglade/gateway/quota_desk.h"
-#include "dragonflyglade/gateway/report_hub.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/quota_admission.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/store_relay.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 #include "dragonflyglade/gateway/tasks.h"
+#include "dragonflyglade/gateway/versioned_holdings.h"
 #include "dragonflyglade/net/endpoint.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
@@ -38,10 +38,10 @@
  public:
   FleetChannel(boost::asio::io_context& context,
                boost::asio::ip::udp::socket& socket, FleetState& fleet,
-               ModelDemand& demand, QuotaWindows& quotas, QuotaDesk& desk,
-               ReportHub& hub, const DutyLease& duty, InstanceRecord self,
-               bool first_start, StoreNews& news, StoreRelay& relay,
-               Metrics& metrics, Tasks& tasks, Clock clock);
+               ModelDemand& demand, QuotaWindows& quotas, QuotaAdmission& desk,
+               ReportAggregator& hub, const LeaderLease& duty,
+               InstanceRecord self, bool first_start, StoreSyncState& news,
+               StoreRelay& relay, Metrics& metrics, Tasks& tasks, Clock clock);
 
   /// Run until the process ends.
   boost::asio::awaitable<void> Receive();
@@ -49,35 +49,35 @@
 
   /// As holder: gives the summary to every reporter that has requests, a few
   /// milliseconds from now, once for all that happens until then.
-  void PushSoon();
+  void SchedulePush();
 
   /// As holder: what is at the targets, for the summaries.
-  HoldingsBook& Holdings() { return this->holdings; }
+  VersionedHoldings& Holdings() { return this->holdings; }
   /// As holder: called when a report came with waiting requests.
-  void OnWaiting(std::function<void()> wake) {
+  void OnWaitingRequests(std::function<void()> wake) {
     this->waiting = std::move(wake);
   }
   /// As holder: a target was seen to lack what it should hold.
-  void OnLack(std::function<void(const wire::TargetLack&)> act) {
+  void OnMissingModel(std::function<void(const wire::TargetLack&)> act) {
     this->on_lack = std::move(act);
   }
 
   /// The duty ended: what was granted as holder is not counted here any more.
-  void ForgetGrants() { this->desk.Clear(); }
+  void ClearGrants() { this->desk.Clear(); }
 
   /// Prompts were sent to a target: tells the other instances.
-  void NoteSent(const std::string& target, double prompt_tokens);
+  void BroadcastSentPrompt(const std::string& target, double prompt_tokens);
 
   /// As holder: called for a target that refused a connection somewhere.
-  void OnRefusing(std::function<void(const std::string& target)> act) {
+  void OnConnectionRefused(std::function<void(const std::string& target)> act) {
     this->on_refusing = std::move(act);
   }
 
   /// A target refused a connection: nobody listens there any more.
-  void ReportRefusing(const std::string& target);
+  void ReportConnectionRefused(const std::string& target);
 
   /// A target said that it lacks this.
-  void ReportLack(std::string_view target, const ModelName& name);
+  void ReportMissingModel(std::string_view target, const ModelName& name);
 
  private:
   boost::asio::awaitable<void> PushGathered();
@@ -108,12 +108,12 @@
   FleetState& fleet;
   ModelDemand& demand;
   QuotaWindows& quotas;
-  QuotaDesk& desk;
-  ReportHub& hub;
-  const DutyLease& duty;
+  QuotaAdmission& desk;
+  ReportAggregator& hub;
+  const LeaderLease& duty;
   const InstanceRecord self;
   const bool first_start;
-  StoreNews& news;
+  StoreSyncState& news;
   StoreRelay& relay;
   Metrics& metrics;
   Tasks& tasks;
@@ -123,7 +123,7 @@
   std::int64_t sequence = 0;
   /// What this instance had spent when it made a report, by its sequence.
   std::map<std::int64_t, std::map<std::string, double>> spent_at;
-  HoldingsBook holdings;
+  VersionedHoldings holdings;
   /// What the holder said is at the targets, and its version of it.
   std::map<std::string, wire::TargetHoldings> told_holdings;
   std::string told_by;
--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -62,7 +62,7 @@
   const bool urgent = !of_target || this->ApplyTarget(item);
   if (item.key == this->wire.config_key) this->ApplyConfig(item);
   if (this->HasPrefix(item.key, kInstancesPrefix)) this->ApplyInstance(item);
-  if (item.key == kDutyKey) this->ApplyDuty(item);
+  if (item.key == kLeaderKey) this->ApplyDuty(item);
   if (urgent) this->NoteUrgent({item, false});
   this->changed.Notify();
 }
@@ -146,7 +146,7 @@
   Result<InstanceRecord> decoded = DecodeInstanceRecord(item.value);
   if (!decoded.Ok()) return;
   this->duty =
-      DutyHolder{std::move(decoded.Value()), item.lease, item.revision};
+      LeaderRecord{std::move(decoded.Value()), item.lease, item.revision};
   this->duty_revision = item.revision;
   this->choice.reset();
   this->log.Write(
@@ -185,7 +185,7 @@
     if (found != this->instances.end()) this->instances.erase(found);
     this->choice.reset();
   }
-  if (key == kDutyKey) {
+  if (key == kLeaderKey) {
     this->duty.reset();
     this->duty_revision = revision;
     this->choice.reset();
@@ -211,7 +211,9 @@
   this->listed_before = true;
 }
 
-void FleetState::StoreReturned() { this->returned_at = this->clock.Now(); }
+void FleetState::HandleStoreRecovery() {
+  this->returned_at = this->clock.Now();
+}
 
 void FleetState::DropTarget(std::string_view id, std::string_view why) {
   const std::shared_ptr<TargetState> target = this->Target(id);
@@ -237,7 +239,7 @@
   this->targets.erase(found);
 }
 
-void FleetState::Sweep() {
+void FleetState::RemoveExpiredTargets() {
   if (!this->returned_at.has_value()) return;
   if (this->clock.Now() - *this->returned_at < kGraceAfterReturn) return;
   this->returned_at.reset();
@@ -270,8 +272,8 @@
   return found == this->targets.end() ? nullptr : found->second;
 }
 
-std::vector<InstanceOffer> FleetState::Offers() const {
-  std::vector<InstanceOffer> offers;
+std::vector<InstanceCandidate> FleetState::Offers() const {
+  std::vector<InstanceCandidate> offers;
   for (const auto& [name, record] : this->instances) {
     offers.push_back({name, record.zone, record.capacity});
   }
@@ -304,15 +306,15 @@
   const std::size_t others =
       std::min(kMostFollowers, this->instances.size() / kInstancesPerFollower);
   const std::size_t most = followers.size() + others;
-  for (const InstanceRecord* record : this->InstancesByStrength(kDutyKey)) {
+  for (const InstanceRecord* record : this->InstancesByStrength(kLeaderKey)) {
     if (followers.size() >= most) break;
     if (record->name != holder) followers.push_back(record);
   }
   return followers;
 }
 
-bool FleetState::FollowsStore(std::string_view instance) const {
-  return HasName(this->Followers(), instance);
+bool FleetState::IsRelayInstance(std::string_view instance) const {
+  return HasName(this->RelayInstances(), instance);
 }
 
 bool FleetState::IsListed(std::string_view instance) const {
@@ -321,7 +323,7 @@
 
 std::vector<const InstanceRecord*> FleetState::InstancesByStrength(
     std::string_view key) const {
-  return this->Records(ByStrength(this->Offers(), key));
+  return this->Records(OrderByCapacity(this->Offers(), key));
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/fleet_state.h
+++ b/dragonflyglade/gateway/fleet_state.h
@@ -27,7 +27,7 @@
 namespace dragonflyglade::gateway {
 
 /// Who holds the duty of placing models, according to the store.
-struct DutyHolder {
+struct LeaderRecord {
   InstanceRecord instance;
   std::uint64_t lease = 0;  ///< that the entry is under
   std::uint64_t revision = 0;
@@ -56,10 +56,10 @@
   /// The store answers again after it did not. Targets that are then missing
   /// are believed in for a moment: entries lapse while the store is away, and
   /// living targets enter themselves again.
-  void StoreReturned();
+  void HandleStoreRecovery();
 
   /// Drops targets whose time of grace is over.
-  void Sweep();
+  void RemoveExpiredTargets();
 
   /// The configuration in force; null until one is known.
   std::shared_ptr<const GatewayConfig> Config() const { return this->config; }
@@ -80,20 +80,20 @@
   bool IsListed(std::string_view instance) const;
   /// The instances that follow the store for all others: the holder of the
   /// placing duty, and in a large fleet the strongest ones beside it.
-  const std::vector<const InstanceRecord*>& Followers() const {
+  const std::vector<const InstanceRecord*>& RelayInstances() const {
     return this->Chosen().followers;
   }
-  bool FollowsStore(std::string_view instance) const;
+  bool IsRelayInstance(std::string_view instance) const;
   /// All instances by strength; ties are broken by a hash with the key.
   std::vector<const InstanceRecord*> InstancesByStrength(
       std::string_view key) const;
-  const std::optional<DutyHolder>& Duty() const { return this->duty; }
+  const std::optional<LeaderRecord>& Leader() const { return this->duty; }
   /// When the duty was last taken or let go.
-  std::uint64_t DutyRevision() const { return this->duty_revision; }
+  std::uint64_t LeaderRevision() const { return this->duty_revision; }
 
   /// What the store said that the fleet had spent of quotas, when this process
   /// first read it.
-  const std::optional<SpendRecord>& SpentBefore() const {
+  const std::optional<SpendRecord>& InitialSpendRecord() const {
     return this->spent_before;
   }
 
@@ -102,14 +102,15 @@
   std::uint64_t UrgentRevision() const { return this->urgent_revision; }
 
   /// The urgent changes seen lately.
-  const RecentChanges& Recent() const { return this->recent; }
+  const RecentChanges& RecentUrgentChanges() const { return this->recent; }
 
   /// Notified at each change.
   Signal& Changed() { return this->changed; }
 
   /// The keys of our own.
   static std::string InstanceKey(std::string_view name);
-  static constexpr std::string_view kDutyKey = "dragonflyglade/duty/placement";
+  static constexpr std::string_view kLeaderKey =
+      "dragonflyglade/duty/placement";
   /// See SpendRecord. Read by a new holder of the duty and at the start.
   static constexpr std::string_view kSpendsKey = "dragonflyglade/spends";
 
@@ -132,7 +133,7 @@
 
   const Choice& Chosen() const;
   std::vector<const InstanceRecord*> ChooseFollowers() const;
-  std::vector<InstanceOffer> Offers() const;
+  std::vector<InstanceCandidate> Offers() const;
   std::vector<const InstanceRecord*> Records(
       absl::Span<const std::size_t> order) const;
   bool HasPrefix(std::string_view key, std::string_view prefix) const;
@@ -152,7 +153,7 @@
   mutable std::optional<Choice> choice;
   std::optional<SpendRecord> spent_before;
   bool listed_before = false;  ///< a listing was applied
-  std::optional<DutyHolder> duty;
+  std::optional<LeaderRecord> duty;
   std::uint64_t duty_revision = 0;
   std::optional<Instant> returned_at;
   std::uint64_t urgent_revision = 0;
--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 #include "dragonflyglade/operator/caller_key.h"
 
 namespace dragonflyglade::gateway {
@@ -54,7 +54,7 @@
       news(this->context, this->clock),
       follower(this->context, this->store, this->fleet, this->news,
                this->settings.instance, this->log, this->clock),
-      duty({this->settings.quiet_between_holders}, ReadLocalTime),
+      duty({this->settings.leader_handover_delay}, ReadClocks),
       self(this->MakeSelf()),
       registration(
           this->context, this->store, this->fleet, this->duty, this->self,
@@ -104,17 +104,18 @@
     return config == nullptr ? 0.0 : static_cast<double>(config->version);
   });
   this->metrics.AddGauge("store_in_contact", [this] {
-    return this->follower.InContact() ? 1.0 : 0.0;
+    return this->follower.IsStoreReachable() ? 1.0 : 0.0;
   });
-  this->metrics.AddGauge("store_led",
-                         [this] { return this->news.IsLed() ? 1.0 : 0.0; });
+  this->metrics.AddGauge(
+      "store_led", [this] { return this->news.HasLiveRelay() ? 1.0 : 0.0; });
   this->metrics.AddGauge("store_behind",
                          [this] { return this->news.IsBehind() ? 1.0 : 0.0; });
   this->metrics.AddGauge("instances", [this] {
     return static_cast<double>(this->fleet.Instances().size());
   });
-  this->metrics.AddGauge("holds_placing_duty",
-                         [this] { return this->duty.MayAct() ? 1.0 : 0.0; });
+  this->metrics.AddGauge("holds_placing_duty", [this] {
+    return this->duty.MayIssueOrders() ? 1.0 : 0.0;
+  });
   this->metrics.AddGauge("log_lines_dropped", [this] {
     return static_cast<double>(this->log.Dropped());
   });
@@ -122,7 +123,7 @@
 
 Status Gateway::Run() {
   if (!this->listeners.Bound().Ok()) return this->listeners.Bound();
-  this->tasks.KeepRunning("accept callers", [this] {
+  this->tasks.SpawnWithRestart("accept callers", [this] {
     return this->AcceptCallers(this->listeners.callers);
   });
   this->KeepAnswering(
@@ -134,25 +135,26 @@
   this->KeepAnswering(
       "metrics", this->listeners.metrics,
       [this](std::string_view path) { return this->AnswerMetrics(path); });
-  this->tasks.KeepRunning("watch the loop",
-                          [this] { return this->loop_watch.Run(); });
-  this->tasks.KeepRunning("receive peers",
-                          [this] { return this->channel.Receive(); });
-  this->tasks.KeepRunning("ask followers",
-                          [this] { return this->relay.AskWhileSilent(); });
-  this->tasks.KeepRunning("report", [this] { return this->channel.Report(); });
-  this->tasks.KeepRunning("record spending",
-                          [this] { return this->spend_recorder.Run(); });
-  this->tasks.KeepRunning("place models",
-                          [this] { return this->placement.Run(); });
+  this->tasks.SpawnWithRestart("watch the loop",
+                               [this] { return this->loop_watch.Run(); });
+  this->tasks.SpawnWithRestart("receive peers",
+                               [this] { return this->channel.Receive(); });
+  this->tasks.SpawnWithRestart(
+      "ask followers", [this] { return this->relay.QueryRelaysWhileStale(); });
+  this->tasks.SpawnWithRestart("report",
+                               [this] { return this->channel.Report(); });
+  this->tasks.SpawnWithRestart("record spending",
+                               [this] { return this->spend_recorder.Run(); });
+  this->tasks.SpawnWithRestart("place models",
+                               [this] { return this->placement.Run(); });
   // A caller or target that closes its end must not end the process.
   signal(SIGPIPE, SIG_IGN);
-  this->tasks.KeepRunning("wait for signals",
-                          [this] { return this->WaitForSignal(); });
-  this->tasks.KeepRunning("follow store",
-                          [this] { return this->follower.Run(); });
-  this->tasks.KeepRunning("register",
-                          [this] { return this->registration.Run(); });
+  this->tasks.SpawnWithRestart("wait for signals",
+                               [this] { return this->WaitForSignal(); });
+  this->tasks.SpawnWithRestart("follow store",
+                               [this] { return this->follower.Run(); });
+  this->tasks.SpawnWithRestart("register",
+                               [this] { return this->registration.Run(); });
   this->log.Write("process", "started",
                   {{"callers", this->settings.callers.ToString()},
                    {"store", this->settings.store.ToString()}});
@@ -162,9 +164,10 @@
 
 void Gateway::KeepAnswering(std::string_view name, Acceptor& acceptor,
                             Answerer answer) {
-  this->tasks.KeepRunning(name, [this, &acceptor, answer = std::move(answer)] {
-    return this->AcceptQuestions(acceptor, answer);
-  });
+  this->tasks.SpawnWithRestart(name,
+                               [this, &acceptor, answer = std::move(answer)] {
+                                 return this->AcceptQuestions(acceptor, answer);
+                               });
 }
 
 asio::awaitable<void> Gateway::AcceptCallers(Acceptor& acceptor) {
@@ -201,14 +204,14 @@
 }
 
 asio::awaitable<void> Gateway::ServeCaller(Socket socket) {
-  CallerLink link(
+  CallerConnection link(
       this->context, std::move(socket), [this] { return this->Limits(); },
       this->clock);
   const int requests = co_await this->ServeRequests(link);
   this->NoteClosed(link, requests);
 }
 
-void Gateway::NoteClosed(const CallerLink& link, int requests) {
+void Gateway::NoteClosed(const CallerConnection& link, int requests) {
   const std::string_view why =
       link.EndedBy().empty() ? "served" : link.EndedBy();
   this->metrics.Count("caller_connections_ended",
@@ -223,11 +226,11 @@
                    {"config", config == nullptr ? 0 : config->version}});
 }
 
-asio::awaitable<int> Gateway::ServeRequests(CallerLink& link) {
+asio::awaitable<int> Gateway::ServeRequests(CallerConnection& link) {
   int requests = 0;
   while (true) {
     ReadResult read = co_await link.Read();
-    if (std::holds_alternative<CallerLeft>(read)) co_return requests;
+    if (std::holds_alternative<CallerDisconnected>(read)) co_return requests;
     requests += 1;
     int malformed = 0;
     if (const auto* bad = std::get_if<MalformedRequest>(&read)) {
@@ -248,18 +251,18 @@
     if (malformed != 0) {
       this->metrics.Count("malformed_requests");
       link.SetKeepAlive(false);
-      co_await link.WriteAnswer(malformed, {}, "");
+      co_await link.WriteResponse(malformed, {}, "");
     }
     if (link.Left()) co_return requests;
     if (!link.KeepAlive()) {
-      co_await link.CloseSoftly();
+      co_await link.CloseGracefully();
       co_return requests;
     }
   }
 }
 
 asio::awaitable<void> Gateway::ServeQuestions(Socket socket, Answerer answer) {
-  CallerLink link(
+  CallerConnection link(
       this->context, std::move(socket), [] { return CallerLimits(); },
       this->clock);
   while (true) {
@@ -269,20 +272,20 @@
     const PlainAnswer reply = answer(received->path_and_query);
     HeaderFields fields;
     fields.emplace_back("Content-Type", reply.content_type);
-    const bool written =
-        co_await link.WriteAnswer(reply.status, std::move(fields), reply.body);
+    const bool written = co_await link.WriteResponse(
+        reply.status, std::move(fields), reply.body);
     if (!written || !link.KeepAlive()) co_return;
   }
 }
 
 Gateway::PlainAnswer Gateway::AnswerReadiness(std::string_view path) const {
-  if (!this->wire.is_readiness_question(path)) return {};
+  if (!this->wire.is_readiness_check(path)) return {};
   const bool ready = this->fleet.Config() != nullptr && !this->stopping;
   return {ready ? 200 : 503, "text/plain", ready ? "ready" : "not ready"};
 }
 
 Gateway::PlainAnswer Gateway::AnswerDirectory(std::string_view path) const {
-  if (!this->wire.decode_directory_question(path).has_value()) return {};
+  if (!this->wire.decode_directory_query(path).has_value()) return {};
   const std::string own = this->settings.callers.ToString();
   std::vector<std::string> addresses;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
@@ -298,8 +301,8 @@
     addresses.resize(kMostAddresses);
   }
   return {200, "application/json",
-          this->wire.encode_directory_answer(addresses,
-                                             this->settings.directory_keep)};
+          this->wire.encode_directory_response(addresses,
+                                               this->settings.directory_keep)};
 }
 
 Gateway::PlainAnswer Gateway::AnswerMetrics(std::string_view path) const {
@@ -328,8 +331,9 @@
                     {{"why", newer.Error().ToString()}});
     return;
   }
-  const bool needs_restart = TakeLimitsOver(newer.Value(), this->settings);
-  this->quotas.SetAllowance(this->settings.quota_allowance);
+  const bool needs_restart =
+      ApplyReloadableSettings(newer.Value(), this->settings);
+  this->quotas.SetTolerance(this->settings.quota_allowance);
   this->log.Write("process", "reloaded", {{"needs_restart", needs_restart}});
 }
 
--- a/dragonflyglade/gateway/gateway.h
+++ b/dragonflyglade/gateway/gateway.h
@@ -9,25 +9,25 @@
 #include <string_view>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
+#include "dragonflyglade/decision/leader_lease.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_channel.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/gateway_settings.h"
 #include "dragonflyglade/gateway/listeners.h"
-#include "dragonflyglade/gateway/loop_watch.h"
+#include "dragonflyglade/gateway/loop_lag_monitor.h"
 #include "dragonflyglade/gateway/model_demand.h"
 #include "dragonflyglade/gateway/pipeline.h"
-#include "dragonflyglade/gateway/placement_duty.h"
-#include "dragonflyglade/gateway/quota_desk.h"
+#include "dragonflyglade/gateway/placement_controller.h"
+#include "dragonflyglade/gateway/quota_admission.h"
 #include "dragonflyglade/gateway/registration.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/spend_recorder.h"
-#include "dragonflyglade/gateway/store_follower.h"
-#include "dragonflyglade/gateway/store_link.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_client.h"
 #include "dragonflyglade/gateway/store_relay.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
+#include "dragonflyglade/gateway/store_watcher.h"
 #include "dragonflyglade/gateway/tasks.h"
 #include "dragonflyglade/gateway/wire_format.h"
 #include "dragonflyglade/operator/metrics.h"
@@ -62,7 +62,7 @@
   /// After Run: see EventLog::Drain.
   bool DrainLog(absl::Duration at_most) { return this->log.Drain(at_most); }
   const FleetState& Fleet() const { return this->fleet; }
-  bool HoldsDuty() const { return this->duty.Held(); }
+  bool HoldsLeaderLease() const { return this->duty.Held(); }
 
  private:
   using Acceptor = boost::asio::ip::tcp::acceptor;
@@ -81,8 +81,8 @@
   boost::asio::awaitable<void> AcceptQuestions(Acceptor& acceptor,
                                                Answerer answer);
   boost::asio::awaitable<void> ServeCaller(Socket socket);
-  boost::asio::awaitable<int> ServeRequests(CallerLink& link);
-  void NoteClosed(const CallerLink& link, int requests);
+  boost::asio::awaitable<int> ServeRequests(CallerConnection& link);
+  void NoteClosed(const CallerConnection& link, int requests);
   boost::asio::awaitable<void> ServeQuestions(Socket socket, Answerer answer);
   boost::asio::awaitable<void> WaitForSignal();
   boost::asio::awaitable<void> FollowStop();
@@ -104,23 +104,23 @@
   Metrics metrics;
   EventLog log;
   Tasks tasks;
-  LoopWatch loop_watch;
+  LoopLagMonitor loop_watch;
   FleetState fleet;
   ModelDemand demand;
-  QuotaOwners quota_owners;
+  QuotaParticipants quota_owners;
   QuotaWindows quotas;
-  StoreLink store;
-  StoreNews news;
-  StoreFollower follower;
-  DutyLease duty;
+  StoreClient store;
+  StoreSyncState news;
+  StoreWatcher follower;
+  LeaderLease duty;
   const InstanceRecord self;
   Registration registration;
-  ReportHub hub;
-  QuotaDesk desk;
+  ReportAggregator hub;
+  QuotaAdmission desk;
   StoreRelay relay;
   FleetChannel channel;
   SpendRecorder spend_recorder;
-  PlacementDuty placement;
+  PlacementController placement;
   Pipeline pipeline;
   bool stopping = false;
 };
--- a/dragonflyglade/gateway/gateway_settings.cc
+++ b/dragonflyglade/gateway/gateway_settings.cc
@@ -104,7 +104,7 @@
   ReadTime(limits, "lease_ttl_ms", ms, settings.lease_ttl);
   ReadTime(limits, "unlisted_lease_ttl_ms", ms, settings.unlisted_lease_ttl);
   ReadTime(limits, "quiet_between_holders_ms", ms,
-           settings.quiet_between_holders);
+           settings.leader_handover_delay);
   ReadTime(limits, "stop_within_s", s, settings.stop_within);
   ReadTime(limits, "directory_keep_s", s, settings.directory_keep);
   ReadTime(limits, "quota_window_s", s, settings.quota_allowance.window);
@@ -143,7 +143,8 @@
   return settings;
 }
 
-bool TakeLimitsOver(const GatewaySettings& newer, GatewaySettings& settings) {
+bool ApplyReloadableSettings(const GatewaySettings& newer,
+                             GatewaySettings& settings) {
   GatewaySettings taken = newer;
   taken.instance = settings.instance;
   taken.zone = settings.zone;
--- a/dragonflyglade/gateway/gateway_settings.h
+++ b/dragonflyglade/gateway/gateway_settings.h
@@ -6,7 +6,7 @@
 
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/failure.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/net/endpoint.h"
 
 namespace dragonflyglade::gateway {
@@ -29,7 +29,7 @@
   /// news of its end, and renewals of a large fleet are the store's main load.
   absl::Duration unlisted_lease_ttl = absl::Seconds(8);
   /// Orders of two holders of a duty to one target lie further apart.
-  absl::Duration quiet_between_holders = absl::Seconds(3);
+  absl::Duration leader_handover_delay = absl::Seconds(3);
   /// From the signal to stop until the process must have ended.
   absl::Duration stop_within = absl::Seconds(8);
   /// How long callers may keep the answer to "which instances to use".
@@ -38,7 +38,7 @@
   /// Whether no process of the fleet has run before, so that nothing can
   /// have been spent of any quota.
   bool first_start = false;
-  QuotaAllowance quota_allowance;
+  QuotaTolerance quota_allowance;
   double retry_share = 0.1;  ///< retries for each request
   double retry_slack = 10;   ///< retries over all instances in a window
   absl::Duration load_window = absl::Seconds(5);  ///< of the weight store
@@ -52,7 +52,8 @@
 /// Takes the limits of newer settings over, which may change while a process
 /// runs. Addresses and names stay.
 /// @return whether something differs that only a new process can take over
-bool TakeLimitsOver(const GatewaySettings& newer, GatewaySettings& settings);
+bool ApplyReloadableSettings(const GatewaySettings& newer,
+                             GatewaySettings& settings);
 
 /// The same as ReadGatewaySettings, from text.
 Result<GatewaySettings> ParseGatewaySettings(std::string_view text);
--- a/dragonflyglade/gateway/http_text.cc
+++ b/dragonflyglade/gateway/http_text.cc
@@ -31,7 +31,8 @@
 
 }  // namespace
 
-std::string RequestText(const HttpCallText& call, std::string_view host) {
+std::string RequestHeadText(const OutgoingHttpRequest& call,
+                            std::string_view host) {
   std::string text =
       fmt::format("{} {} HTTP/1.1\r\n", call.method, call.path_and_query);
   if (!HasHost(call.fields)) text += fmt::format("Host: {}\r\n", host);
@@ -43,9 +44,9 @@
   return text;
 }
 
-std::string AnswerText(int status, const HeaderFields& fields,
-                       BodyFraming framing, std::size_t length,
-                       std::optional<absl::Duration> keep_alive) {
+std::string ResponseHeadText(int status, const HeaderFields& fields,
+                             BodyFraming framing, std::size_t length,
+                             std::optional<absl::Duration> keep_alive) {
   std::string text =
       fmt::format("HTTP/1.1 {} {}\r\n", status, ReasonOf(status));
   AppendFields(fields, text);
--- a/dragonflyglade/gateway/http_text.h
+++ b/dragonflyglade/gateway/http_text.h
@@ -16,7 +16,8 @@
 
 /// The head of a request as text, with Content-Length for a body.
 /// @param host the Host field, if the fields have none
-std::string RequestText(const HttpCallText& call, std::string_view host);
+std::string RequestHeadText(const OutgoingHttpRequest& call,
+                            std::string_view host);
 
 /// How an answer's body ends.
 enum class BodyFraming { kLength, kChunked };
@@ -25,9 +26,9 @@
 /// @param length of the body, with kLength
 /// @param keep_alive how long the connection stays for a next request; none:
 ///     it ends with this answer
-std::string AnswerText(int status, const HeaderFields& fields,
-                       BodyFraming framing, std::size_t length,
-                       std::optional<absl::Duration> keep_alive);
+std::string ResponseHeadText(int status, const HeaderFields& fields,
+                             BodyFraming framing, std::size_t length,
+                             std::optional<absl::Duration> keep_alive);
 
 /// A chunk of a body with its framing; the bytes must not be empty.
 std::string ChunkText(std::string_view bytes);
@@ -37,9 +38,9 @@
 
 /// The head of a parsed request or answer.
 template <bool is_request>
-HttpHeadText HeadText(const boost::beast::http::header<is_request>& header,
-                      bool keep_alive) {
-  HttpHeadText head;
+HttpMessageHead HeadText(const boost::beast::http::header<is_request>& header,
+                         bool keep_alive) {
+  HttpMessageHead head;
   if constexpr (is_request) {
     head.method = {header.method_string().data(),
                    header.method_string().size()};
--- a/dragonflyglade/gateway/loop_watch.cc
+++ b/dragonflyglade/gateway/loop_lag_monitor.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/loop_watch.h"
+#include "dragonflyglade/gateway/loop_lag_monitor.h"
 
 #include <utility>
 
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-LoopWatch::LoopWatch(boost::asio::io_context& context, Metrics& metrics,
-                     EventLog& log, Clock clock)
+LoopLagMonitor::LoopLagMonitor(boost::asio::io_context& context,
+                               Metrics& metrics, EventLog& log, Clock clock)
     : context(context), metrics(metrics), log(log), clock(std::move(clock)) {}
 
-boost::asio::awaitable<void> LoopWatch::Run() {
+boost::asio::awaitable<void> LoopLagMonitor::Run() {
   while (true) {
     const Instant due = this->clock.Now() + kLookEvery;
     co_await Sleep(this->context, kLookEvery);
--- a/dragonflyglade/gateway/loop_watch.h
+++ b/dragonflyglade/gateway/loop_lag_monitor.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
-#define DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
+#define DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
 
 #include <boost/asio/io_context.hpp>
 
@@ -12,10 +12,10 @@
 
 /// Tells when the event loop was held up, be it by a long handler or for want
 /// of processor time: a line `process` `held up`, and `loop_late_seconds`.
-class LoopWatch {
+class LoopLagMonitor {
  public:
-  LoopWatch(boost::asio::io_context& context, Metrics& metrics, EventLog& log,
-            Clock clock);
+  LoopLagMonitor(boost::asio::io_context& context, Metrics& metrics,
+                 EventLog& log, Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
@@ -29,4 +29,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_LOOP_WATCH_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_LOOP_LAG_MONITOR_H_
--- a/dragonflyglade/gateway/messages.h
+++ b/dragonflyglade/gateway/messages.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "absl/time/time.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/decision/route_table.h"
 
 namespace dragonflyglade::gateway {
@@ -45,13 +45,13 @@
   std::optional<absl::Duration> deadline;  ///< how long the caller waits
   ModelUse use;
   std::optional<std::string> resume_after;  ///< the last event it has
-  HeaderFields passed_on;  ///< end-to-end fields, without those set here
+  HeaderFields forwarded_fields;  ///< end-to-end fields, without those set here
   std::string body;
   bool keep_alive = true;
 };
 
 /// What this system adds to a request for a target.
-struct TargetStamp {
+struct ForwardingContext {
   std::string target;           ///< the instance that must answer
   std::string workspace;        ///< empty on open routes
   absl::Duration time_left;     ///< what is left of the deadline
@@ -67,7 +67,7 @@
 };
 
 /// The head of a target's answer.
-struct AnswerHead {
+struct ResponseHead {
   int status = 0;
   std::string request_id;     ///< empty if it names none
   bool not_executed = false;  ///< the target says it did not run it
@@ -78,7 +78,7 @@
   bool closes = false;  ///< the connection ends with this answer
   std::optional<absl::Duration> keep_alive;  ///< idle life that it states
   std::optional<LoadReport> load;
-  HeaderFields passed_on;  ///< end-to-end fields
+  HeaderFields forwarded_fields;  ///< end-to-end fields
 };
 
 /// A model that an engine serves.
@@ -113,7 +113,7 @@
   std::optional<int> priority;  ///< goes before the route's
   QuotaLimit quota;
   bool counts_tokens = false;  ///< the quota; else it counts requests
-  double plain_tokens = 1;     ///< of a request that states none
+  double default_tokens = 1;   ///< of a request that states none
 };
 
 /// How long and large callers' requests may be.
@@ -131,7 +131,7 @@
   std::map<std::string, ServiceSpec, std::less<>> services;
   std::map<std::string, WorkspaceSpec, std::less<>> workspaces;
   std::map<std::string, std::string, std::less<>> workspace_of_key;
-  bool wants_keys = false;
+  bool requires_keys = false;
   CallerLimits limits;
 };
 
@@ -177,17 +177,17 @@
 };
 
 /// What an engine said to an order.
-enum class OrderAnswer {
-  kAccepted,      ///< it is being carried out
-  kAlreadyHolds,  ///< nothing to do
-  kConflict,      ///< another order is open, or the sequence differs
-  kFenced,        ///< a newer holder was here
+enum class OrderResponse {
+  kAccepted,        ///< it is being carried out
+  kAlreadyApplied,  ///< nothing to do
+  kConflict,        ///< another order is open, or the sequence differs
+  kFenced,          ///< a newer holder was here
   kInvalid,
   kWrongTarget,
 };
 
 /// A question for the addresses of instances.
-struct DirectoryQuestion {
+struct DirectoryQuery {
   std::string host;
   std::string zone;
 };
--- a/dragonflyglade/gateway/peek_socket.cc
+++ b/dragonflyglade/gateway/peek_socket.cc
@@ -16,7 +16,7 @@
   if (got > 0) return SocketState::kBytes;
   if (got == 0) return SocketState::kClosed;
   const bool quiet = errno == EAGAIN || errno == EWOULDBLOCK;
-  return quiet ? SocketState::kQuiet : SocketState::kFailed;
+  return quiet ? SocketState::kNoData : SocketState::kFailed;
 }
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/gateway/peek_socket.h
+++ b/dragonflyglade/gateway/peek_socket.h
@@ -7,7 +7,7 @@
 
 /// What a read would find.
 enum class SocketState {
-  kQuiet,   ///< open, and nothing to be read
+  kNoData,  ///< open, and nothing to be read
   kBytes,   ///< bytes that nobody has read yet
   kClosed,  ///< the other end sends nothing more
   kFailed,  ///< reset, timed out, or closed here
--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -8,7 +8,7 @@
 
 #include "dragonflyglade/decision/pacing.h"
 #include "dragonflyglade/decision/target_choice.h"
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 #include "dragonflyglade/gateway/request_job.h"
 
 namespace dragonflyglade::gateway {
@@ -39,7 +39,7 @@
 
 Pipeline::Pipeline(asio::io_context& context, const GatewaySettings& settings,
                    const WireFormat& wire, FleetState& fleet,
-                   ModelDemand& demand, QuotaDesk& quotas,
+                   ModelDemand& demand, QuotaAdmission& quotas,
                    FleetChannel& channel, Metrics& metrics, EventLog& log,
                    Tasks& tasks, Clock clock)
     : context(context),
@@ -54,15 +54,17 @@
       tasks(tasks),
       clock(std::move(clock)) {}
 
-asio::awaitable<void> Pipeline::Serve(CallerRequest request, CallerLink& link) {
+asio::awaitable<void> Pipeline::Serve(CallerRequest request,
+                                      CallerConnection& link) {
   RequestJob job(std::move(request), link);
   job.started = this->clock.Now();
   job.config = this->fleet.Config();
   this->in_flight += 1;
-  std::exception_ptr failure = co_await Caught(this->ServeJob(job));
+  std::exception_ptr failure = co_await CatchException(this->ServeJob(job));
   // The watch refers to the job.
   link.StopWatching();
-  if (failure) failure = co_await Caught(this->AnswerFailure(job, failure));
+  if (failure)
+    failure = co_await CatchException(this->AnswerFailure(job, failure));
   this->in_flight -= 1;
   if (failure) std::rethrow_exception(failure);
 }
@@ -73,7 +75,7 @@
     co_await this->Refuse(job, std::move(*refusal));
     co_return;
   }
-  job.link.WatchForLeaving([&job] {
+  job.link.WatchForDisconnect([&job] {
     if (job.exchange != nullptr) job.exchange->Abort("caller left");
   });
   co_await this->Forward(job);
@@ -140,7 +142,7 @@
 }
 
 std::optional<Refusal> Pipeline::FindWorkspace(RequestJob& job) {
-  if (!job.config->wants_keys || job.route->open) return std::nullopt;
+  if (!job.config->requires_keys || job.route->open) return std::nullopt;
   if (job.request.key.empty()) {
     return MakeRefusal(RefusalCode::kMissingKey, "no key was shown");
   }
@@ -152,7 +154,7 @@
   const double tokens = job.request.use.Tokens();
   job.cost = !job.workspace->counts_tokens ? 1
              : tokens > 0                  ? tokens
-                                           : job.workspace->plain_tokens;
+                                           : job.workspace->default_tokens;
   return std::nullopt;
 }
 
@@ -204,7 +206,7 @@
   const int most = this->MostAtTarget(*job.service);
   const ModelUse& use = job.request.use;
   std::vector<std::shared_ptr<TargetState>> targets;
-  std::vector<ChoiceCandidate> candidates;
+  std::vector<TargetCandidate> candidates;
   for (const auto& target : this->fleet.Targets(job.service->name)) {
     const TargetRecord& record = target->Record();
     if (record.leaving || target->InFlight() >= most) continue;
@@ -212,28 +214,28 @@
     if (!use.model.empty() && !target->Holds(use.model, use.adapter, now)) {
       continue;
     }
-    if (!all && (target->Avoided(now) || job.tried.count(record.id) > 0)) {
+    if (!all && (target->IsAvoided(now) || job.tried.count(record.id) > 0)) {
       continue;
     }
-    ChoiceCandidate candidate;
+    TargetCandidate candidate;
     candidate.id = record.id;
     candidate.slots = record.slots;
     candidate.requests = target->Requests(now);
     candidate.unread_tokens = target->Unread(now);
     candidate.same_zone = record.zone == this->settings.zone;
-    candidate.fault_share = target->FaultShare();
+    candidate.failure_rate = target->FaultShare();
     candidates.push_back(candidate);
     targets.push_back(target);
   }
-  ChoiceRequest request;
+  TargetChoiceRequest request;
   request.prompt_tokens = use.prompt_tokens;
-  request.shared_tokens = job.SharedTokens();
-  request.shared_id = job.SharedId();
+  request.shared_prefix_tokens = job.SharedTokens();
+  request.shared_prefix_id = job.SharedId();
   const std::optional<TargetChoice> choice = ChooseTarget(
       request, candidates, absl::Uniform<double>(this->random, 0, 1));
   if (!choice.has_value()) return nullptr;
   job.candidates = candidates.size();
-  job.expected_wait = choice->expected_wait;
+  job.expected_first_output_delay = choice->expected_first_output_delay;
   return targets[choice->index];
 }
 
@@ -254,13 +256,13 @@
 asio::awaitable<std::shared_ptr<TargetState>> Pipeline::Pace(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const absl::Duration objective =
-      job.config->routes.PauseObjective(job.service->name);
+      job.config->routes.EventGapObjective(job.service->name);
   const Instant begun = this->clock.Now();
-  const Instant until = begun + LongestPacing(job.route->latency_objective);
+  const Instant until = begun + MaxPacingDelay(job.route->latency_objective);
   Instant now = begun;
   while (target != nullptr && now < until && !job.link.Left()) {
     const absl::Duration hold =
-        PacingHold(target->AheadOfPace(now), job.UnreadTokens(), objective);
+        PacingDelay(target->AheadOfPace(now), job.UnreadTokens(), objective);
     if (hold <= absl::ZeroDuration()) break;
     co_await Sleep(this->context, std::min(hold, until - now));
     now = this->clock.Now();
@@ -322,12 +324,12 @@
     this->BreakStream(job);
     co_return;
   }
-  const RefusalRule& rule = RuleOf(refusal.code);
+  const RefusalRule& rule = RefusalRuleFor(refusal.code);
   if (rule.ran == Ran::kNo && job.workspace != nullptr &&
       refusal.code != RefusalCode::kOverRate) {
     this->quotas.GiveBack(job.workspace->name, job.cost);
   }
-  HeaderFields fields = this->wire.answer_fields(job.request);
+  HeaderFields fields = this->wire.response_fields(job.request);
   fields.emplace_back("Content-Type", "application/json");
   if (rule.retry_later) {
     // Callers honour fractions; whole seconds would keep them away for long
@@ -337,7 +339,7 @@
     fields.emplace_back("Retry-After", fmt::format("{:.2f}", seconds));
   }
   const std::string body = RefusalBody(refusal, job.request.id);
-  co_await job.link.WriteAnswer(rule.http_status, std::move(fields), body);
+  co_await job.link.WriteResponse(rule.http_status, std::move(fields), body);
   this->metrics.Count("refusals", fmt::format("code=\"{}\"", rule.name));
   this->Account(job, rule.name, rule.http_status);
 }
@@ -369,7 +371,7 @@
        {"quota_ms", job.admitted},
        {"held_ms", job.held},
        {"paced_ms", job.paced},
-       {"expected_ms", job.expected_wait},
+       {"expected_ms", job.expected_first_output_delay},
        {"first_ms", first},
        {"total_ms", now - job.started},
        {"connection", job.link.EndedBy()}});
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -14,13 +14,13 @@
 #include "dragonflyglade/decision/refusal.h"
 #include "dragonflyglade/decision/retry_budget.h"
 #include "dragonflyglade/gateway/awaitable.h"
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_channel.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/gateway_settings.h"
 #include "dragonflyglade/gateway/model_demand.h"
-#include "dragonflyglade/gateway/quota_desk.h"
+#include "dragonflyglade/gateway/quota_admission.h"
 #include "dragonflyglade/gateway/target_exchange.h"
 #include "dragonflyglade/gateway/tasks.h"
 #include "dragonflyglade/gateway/wire_format.h"
@@ -36,11 +36,12 @@
  public:
   Pipeline(boost::asio::io_context& context, const GatewaySettings& settings,
            const WireFormat& wire, FleetState& fleet, ModelDemand& demand,
-           QuotaDesk& quotas, FleetChannel& channel, Metrics& metrics,
+           QuotaAdmission& quotas, FleetChannel& channel, Metrics& metrics,
            EventLog& log, Tasks& tasks, Clock clock);
 
   /// Answers a request on the link.
-  boost::asio::awaitable<void> Serve(CallerRequest request, CallerLink& link);
+  boost::asio::awaitable<void> Serve(CallerRequest request,
+                                     CallerConnection& link);
 
   /// The process stops; it ends at this time at the latest. Requests that
   /// cannot be over by then are refused from a moment after the signal on.
@@ -73,9 +74,9 @@
                                        std::shared_ptr<TargetState> target);
   boost::asio::awaitable<Next> Relay(RequestJob& job, TargetState& target,
                                      TargetExchange& exchange,
-                                     const AnswerHead& head);
+                                     const ResponseHead& head);
   boost::asio::awaitable<bool> RelayEvents(RequestJob& job,
-                                           const AnswerHead& head,
+                                           const ResponseHead& head,
                                            std::string_view events, bool ended);
   boost::asio::awaitable<Next> AfterNotSent(RequestJob& job,
                                             TargetState& target,
@@ -99,7 +100,7 @@
   const WireFormat& wire;
   FleetState& fleet;
   ModelDemand& demand;
-  QuotaDesk& quotas;
+  QuotaAdmission& quotas;
   FleetChannel& channel;
   Metrics& metrics;
   EventLog& log;
--- a/dragonflyglade/gateway/pipeline_attempt.cc
+++ b/dragonflyglade/gateway/pipeline_attempt.cc
@@ -72,7 +72,7 @@
 asio::awaitable<Pipeline::Next> Pipeline::Attempt(
     RequestJob& job, std::shared_ptr<TargetState> target) {
   const Instant now = this->clock.Now();
-  TargetStamp stamp;
+  ForwardingContext stamp;
   stamp.target = target->Record().id;
   stamp.time_left = job.give_up - now;
   stamp.resume_after = job.events.LastId().empty()
@@ -80,16 +80,17 @@
                            : std::optional<std::string>(job.events.LastId());
   if (job.workspace != nullptr) stamp.workspace = job.workspace->name;
   if (job.IsEngineWork()) {
-    stamp.priority = UrgencyOf(
+    stamp.priority = EngineRequestPriority(
         job.route->priority,
         job.workspace == nullptr ? std::nullopt : job.workspace->priority);
   }
   job.target = stamp.target;
   job.tried.insert(stamp.target);
-  HttpCallText call{job.request.method, job.request.path_and_query,
-                    this->wire.target_fields(job.request, stamp), ""};
+  OutgoingHttpRequest call{job.request.method, job.request.path_and_query,
+                           this->wire.target_request_fields(job.request, stamp),
+                           ""};
   call.body = std::move(job.request.body);
-  std::string head = RequestText(call, job.request.host);
+  std::string head = RequestHeadText(call, job.request.host);
   job.request.body = std::move(call.body);
   const std::string address = target->Record().address;
   TargetExchange exchange(this->context, target->connections, this->wire,
@@ -97,7 +98,7 @@
   job.exchange = &exchange;
   InFlightGuard guard(*target, job.UnreadTokens(), job.Resident(), now);
   if (job.IsEngineWork()) {
-    this->channel.NoteSent(job.target, job.UnreadTokens());
+    this->channel.BroadcastSentPrompt(job.target, job.UnreadTokens());
   }
   ExchangeOutcome outcome =
       co_await exchange.Run(address, job.request.id, std::move(head),
@@ -133,9 +134,9 @@
   const Instant now = this->clock.Now();
   if (job.give_up - now < kLeastForAttempt) return false;
   if (job.attempts >= kMostAttempts) return false;
-  if (has_run && !job.MayRunAgain()) return false;
+  if (has_run && !job.MayReexecute()) return false;
   if (has_run && job.runs >= job.route->max_targets) return false;
-  if (this->RetriesOf(job.service->name).TakeRetry()) return true;
+  if (this->RetriesOf(job.service->name).TryConsumeRetry()) return true;
   this->metrics.Count("retries_refused");
   this->log.Write("retry", "no budget",
                   {{"id", job.request.id}, {"service", job.service->name}});
@@ -169,7 +170,7 @@
       {{"id", job.request.id}, {"target", job.target}, {"why", not_sent.why}});
   job.not_sent += 1;
   job.unreachable.insert(job.target);
-  if (not_sent.refused) this->channel.ReportRefusing(job.target);
+  if (not_sent.refused) this->channel.ReportConnectionRefused(job.target);
   const bool time_left = job.give_up - this->clock.Now() >= kLeastForAttempt;
   if (time_left && job.not_sent < kMostAttempts) co_return Next::kTryAnother;
   Refusal refusal = MakeRefusal(job.runs > 0 ? RefusalCode::kTargetLost
@@ -193,9 +194,9 @@
   if (!declined.head.wrong_target) {
     target.MarkFull(now);
   } else if (job.IsEngineWork()) {
-    target.MarkAbsent(use.model, use.adapter, now);
+    target.MarkNotResident(use.model, use.adapter, now);
     const ModelName name{job.service->name, use.model, use.adapter};
-    this->channel.ReportLack(job.target, name);
+    this->channel.ReportMissingModel(job.target, name);
   } else {
     target.Learn(TargetResult::kUnreachable, now);
   }
@@ -219,7 +220,7 @@
     this->Account(job, "caller left", 0);
     co_return Next::kDone;
   }
-  target.Learn(TargetResult::kFault, this->clock.Now());
+  target.Learn(TargetResult::kFailure, this->clock.Now());
   this->log.Write("request", "lost",
                   {{"id", job.request.id},
                    {"target", job.target},
@@ -244,7 +245,7 @@
 asio::awaitable<Pipeline::Next> Pipeline::AfterWhole(
     RequestJob& job, TargetState& target, const WholeAnswer& answer) {
   const Instant now = this->clock.Now();
-  const AnswerHead& head = answer.head;
+  const ResponseHead& head = answer.head;
   if (head.load.has_value()) target.Reported(*head.load, now);
   const bool unsound =
       head.encoded ||
@@ -258,7 +259,7 @@
     co_return co_await this->AfterLost(job, target, lost);
   }
   const bool failed = head.status >= 500;
-  target.Learn(failed ? TargetResult::kFault : TargetResult::kSound, now);
+  target.Learn(failed ? TargetResult::kFailure : TargetResult::kSuccess, now);
   job.first_output = now;
   if (failed && this->MayRepeat(job, true)) {
     this->log.Write("request", "failed at target",
@@ -271,8 +272,8 @@
     this->BreakStream(job);
     co_return Next::kDone;
   }
-  const bool written =
-      co_await job.link.WriteAnswer(head.status, head.passed_on, answer.body);
+  const bool written = co_await job.link.WriteResponse(
+      head.status, head.forwarded_fields, answer.body);
   this->Account(job, written ? "answered" : "caller left", head.status);
   co_return Next::kDone;
 }
@@ -280,7 +281,7 @@
 asio::awaitable<Pipeline::Next> Pipeline::Relay(RequestJob& job,
                                                 TargetState& target,
                                                 TargetExchange& exchange,
-                                                const AnswerHead& head) {
+                                                const ResponseHead& head) {
   if (head.load.has_value()) {
     target.Reported(*head.load, this->clock.Now());
   }
@@ -289,11 +290,11 @@
     co_return co_await this->AfterLost(job, target, lost);
   }
   while (true) {
-    const StreamPiece piece = co_await exchange.Read();
+    const StreamReadResult piece = co_await exchange.Read();
     if (const auto* lost = std::get_if<Lost>(&piece)) {
       co_return co_await this->AfterLost(job, target, *lost);
     }
-    const bool ended = std::holds_alternative<StreamEnded>(piece);
+    const bool ended = std::holds_alternative<EndOfStream>(piece);
     const std::string_view events =
         ended ? std::string_view()
               : job.events.Add(std::get<StreamBytes>(piece).bytes);
@@ -309,14 +310,14 @@
       co_return Next::kDone;
     }
     if (!ended) continue;
-    target.Learn(TargetResult::kSound, this->clock.Now());
+    target.Learn(TargetResult::kSuccess, this->clock.Now());
     this->Account(job, "answered", head.status);
     co_return Next::kDone;
   }
 }
 
 asio::awaitable<bool> Pipeline::RelayEvents(RequestJob& job,
-                                            const AnswerHead& head,
+                                            const ResponseHead& head,
                                             std::string_view events,
                                             bool ended) {
   if (!events.empty() && !job.first_output.has_value()) {
@@ -324,8 +325,8 @@
   }
   bool written = !job.link.Left();
   if (!job.link.StreamBegun() && (!events.empty() || ended)) {
-    written =
-        co_await job.link.BeginStream(head.status, head.passed_on, events);
+    written = co_await job.link.BeginStream(head.status, head.forwarded_fields,
+                                            events);
   } else if (!events.empty()) {
     written = co_await job.link.WritePart(events);
   }
--- a/dragonflyglade/gateway/placement_duty.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/placement_duty.h"
+#include "dragonflyglade/gateway/placement_controller.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,12 +24,11 @@
 
 }  // namespace
 
-PlacementDuty::PlacementDuty(asio::io_context& context,
-                             const GatewaySettings& settings,
-                             const WireFormat& wire, FleetState& fleet,
-                             DutyLease& duty, ReportHub& hub,
-                             FleetChannel& channel, Metrics& metrics,
-                             EventLog& log, Tasks& tasks, Clock clock)
+PlacementController::PlacementController(
+    asio::io_context& context, const GatewaySettings& settings,
+    const WireFormat& wire, FleetState& fleet, LeaderLease& duty,
+    ReportAggregator& hub, FleetChannel& channel, Metrics& metrics,
+    EventLog& log, Tasks& tasks, Clock clock)
     : context(context),
       settings(settings),
       wire(wire),
@@ -43,24 +42,24 @@
       clock(clock),
       planner(ResidencyOptions(), clock),
       wake(context) {
-  this->channel.OnWaiting([this] { this->WantPlan(); });
-  this->channel.OnLack(
+  this->channel.OnWaitingRequests([this] { this->WantPlan(); });
+  this->channel.OnMissingModel(
       [this](const wire::TargetLack& lack) { this->TakeLack(lack); });
-  this->channel.OnRefusing(
+  this->channel.OnConnectionRefused(
       [this](const std::string& target) { this->TakeRefusing(target); });
 }
 
-asio::awaitable<void> PlacementDuty::Run() {
+asio::awaitable<void> PlacementController::Run() {
   absl::Duration pause = kPlanPause;
   while (true) {
     co_await Sleep(this->context, pause);
     if (!this->plan_wanted) co_await this->wake.Wait(kPlanEvery);
     this->plan_wanted = false;
-    if (!this->duty.MayAct()) {
+    if (!this->duty.MayIssueOrders()) {
       if (this->acting) this->Forget();
       if (!this->duty.Held()) {
         this->hub.Clear();
-        this->channel.ForgetGrants();
+        this->channel.ClearGrants();
       }
       continue;
     }
@@ -78,7 +77,7 @@
   }
 }
 
-void PlacementDuty::TakeLack(const wire::TargetLack& lack) {
+void PlacementController::TakeLack(const wire::TargetLack& lack) {
   const auto found = this->engines.find(lack.target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
@@ -98,7 +97,7 @@
 
 // Its entry stands for some heartbeats more. Counted until then, its copies
 // keep the planner from loading their models elsewhere.
-void PlacementDuty::TakeRefusing(const std::string& target) {
+void PlacementController::TakeRefusing(const std::string& target) {
   const auto found = this->engines.find(target);
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
@@ -109,19 +108,19 @@
   engine.refused_at = this->clock.Now();
 }
 
-bool PlacementDuty::HasEnded(const Engine& engine) const {
+bool PlacementController::HasEnded(const Engine& engine) const {
   return engine.refused_at.has_value() &&
          this->clock.Now() - *engine.refused_at < kEntryLapses;
 }
 
-void PlacementDuty::Forget() {
+void PlacementController::Forget() {
   this->acting = false;
   this->engines.clear();
   this->channel.Holdings().Clear();
   this->log.Write("placement", "not acting", {{"held", this->duty.Held()}});
 }
 
-void PlacementDuty::Follow() {
+void PlacementController::Follow() {
   std::set<std::string> present;
   this->fleet.ForEachTarget([&](const TargetState& target) {
     const auto config = this->fleet.Config();
@@ -140,7 +139,7 @@
   }
 }
 
-void PlacementDuty::FollowEngine(const TargetState& target) {
+void PlacementController::FollowEngine(const TargetState& target) {
   const TargetRecord& record = target.Record();
   std::shared_ptr<Engine>& engine = this->engines[record.id];
   const bool known = engine != nullptr && engine->born_ms == record.born_ms &&
@@ -163,7 +162,8 @@
 
 // The record says which models are there, at its last heartbeat; adapters are
 // known better here. A record from before the last order says nothing of it.
-void PlacementDuty::FollowRecord(Engine& engine, const TargetState& target) {
+void PlacementController::FollowRecord(Engine& engine,
+                                       const TargetState& target) {
   const Instant now = this->clock.Now();
   const TargetRecord& record = target.Record();
   if (engine.loading.has_value()) {
@@ -194,7 +194,7 @@
   }
 }
 
-std::vector<wire::TargetHoldings> PlacementDuty::Holdings() const {
+std::vector<wire::TargetHoldings> PlacementController::Holdings() const {
   std::vector<wire::TargetHoldings> all;
   for (const auto& [id, engine] : this->engines) {
     wire::TargetHoldings holdings;
@@ -214,17 +214,17 @@
   return all;
 }
 
-void PlacementDuty::WantPlan() {
+void PlacementController::WantPlan() {
   this->plan_wanted = true;
   this->wake.Notify();
 }
 
-void PlacementDuty::TellHoldings() {
+void PlacementController::TellHoldings() {
   this->channel.Holdings().Set(this->Holdings());
-  this->channel.PushSoon();
+  this->channel.SchedulePush();
 }
 
-void PlacementDuty::Plan() {
+void PlacementController::Plan() {
   const auto config = this->fleet.Config();
   const std::map<ModelName, FleetDemand> demand = this->hub.Demand();
   for (const auto& [name, service] : config->services) {
@@ -232,32 +232,34 @@
   }
 }
 
-LoadCeiling& PlacementDuty::CeilingOf(const ServiceSpec& service) {
+ModelLoadLimiter& PlacementController::LoadLimiterOf(
+    const ServiceSpec& service) {
   const auto found = this->ceilings.find(service.name);
   if (found != this->ceilings.end()) return found->second;
-  const LoadCeilingOptions options{this->settings.load_window,
-                                   this->settings.load_overage,
-                                   this->settings.quiet_between_holders};
-  LoadCeiling& ceiling =
-      this->ceilings.emplace(service.name, LoadCeiling(options, this->clock))
+  const ModelLoadLimiterOptions options{this->settings.load_window,
+                                        this->settings.load_overage,
+                                        this->settings.leader_handover_delay};
+  ModelLoadLimiter& ceiling =
+      this->ceilings
+          .emplace(service.name, ModelLoadLimiter(options, this->clock))
           .first->second;
-  ceiling.TakenOver(service.engine->loads_per_second);
+  ceiling.OnLeadershipAcquired(service.engine->loads_per_second);
   return ceiling;
 }
 
-void PlacementDuty::PlanService(
+void PlacementController::PlanService(
     const ServiceSpec& service,
     const std::map<ModelName, FleetDemand>& demand) {
-  LoadCeiling& ceiling = this->CeilingOf(service);
-  std::vector<WantedModel> models;
+  ModelLoadLimiter& ceiling = this->LoadLimiterOf(service);
+  std::vector<DemandedModel> models;
   for (const ServedModel& served : service.engine->models) {
-    WantedModel model;
+    DemandedModel model;
     model.name = served.name;
     model.memory_mb = served.memory_mb;
     model.adapter_mb = served.adapter_mb;
     model.from_store = served.load_time;
-    model.from_disk = served.disk_load_time;
-    model.from_memory = served.memory_load_time;
+    model.load_time_from_disk = served.disk_load_time;
+    model.load_time_from_memory = served.memory_load_time;
     const auto asked = demand.find({service.name, served.name, ""});
     if (asked != demand.end()) {
       model.load = asked->second.load;
@@ -265,17 +267,17 @@
     }
     models.push_back(std::move(model));
   }
-  std::vector<WantedAdapter> adapters;
+  std::vector<DemandedAdapter> adapters;
   for (const auto& [name, asked] : demand) {
     if (name.service != service.name || name.adapter.empty()) continue;
     adapters.push_back({name.model, name.adapter, asked.load, asked.waiting});
   }
   const auto residents_in_use = this->hub.ResidentsInUse();
-  std::vector<EngineHoldings> holdings;
+  std::vector<EngineResidency> holdings;
   for (const auto& [id, engine] : this->engines) {
     if (engine->service != service.name) continue;
     const auto target = this->fleet.Target(id);
-    EngineHoldings item;
+    EngineResidency item;
     item.id = id;
     item.memory_mb = service.engine->memory_mb;
     item.adapter_slots = service.engine->adapter_slots;
@@ -284,7 +286,7 @@
     if (in_use != residents_in_use.end()) item.in_use = in_use->second;
     item.usable = target != nullptr && !target->Record().leaving &&
                   !this->HasEnded(*engine);
-    item.answers = target != nullptr && !target->Avoided(this->clock.Now());
+    item.answers = target != nullptr && !target->IsAvoided(this->clock.Now());
     item.loading = engine->loading.value_or("");
     // What it kept before its last order may have made way for that since.
     if (target != nullptr && target->UpdatedAt() > engine->settled_at) {
--- a/dragonflyglade/gateway/placement_duty.h
+++ b/dragonflyglade/gateway/placement_controller.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
-#define DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
+#define DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -11,15 +11,15 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 #include "dragonflyglade/decision/residency_planner.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_channel.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/gateway_settings.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/target_exchange.h"
 #include "dragonflyglade/gateway/tasks.h"
 #include "dragonflyglade/gateway/wire_format.h"
@@ -33,13 +33,14 @@
 /// shows that the model is gone. Each order names the engine's process and
 /// the count of orders that it took before, so that one that comes late or
 /// twice does nothing. One event loop.
-class PlacementDuty {
+class PlacementController {
  public:
-  PlacementDuty(boost::asio::io_context& context,
-                const GatewaySettings& settings, const WireFormat& wire,
-                FleetState& fleet, DutyLease& duty, ReportHub& hub,
-                FleetChannel& channel, Metrics& metrics, EventLog& log,
-                Tasks& tasks, Clock clock);
+  PlacementController(boost::asio::io_context& context,
+                      const GatewaySettings& settings, const WireFormat& wire,
+                      FleetState& fleet, LeaderLease& duty,
+                      ReportAggregator& hub, FleetChannel& channel,
+                      Metrics& metrics, EventLog& log, Tasks& tasks,
+                      Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
@@ -74,18 +75,18 @@
   void Plan();
   void PlanService(const ServiceSpec& service,
                    const std::map<ModelName, FleetDemand>& demand);
-  LoadCeiling& CeilingOf(const ServiceSpec& service);
+  ModelLoadLimiter& LoadLimiterOf(const ServiceSpec& service);
   bool Book(const ServiceSpec& service, const ResidencyChange& change);
   boost::asio::awaitable<void> CarryOut(std::shared_ptr<Engine> engine,
                                         ResidencyChange change);
   boost::asio::awaitable<void> GiveOrder(Engine& engine,
                                          const ResidencyChange& change);
   boost::asio::awaitable<ExchangeOutcome> Call(TargetState& target,
-                                               HttpCallText call);
-  boost::asio::awaitable<std::optional<OrderAnswer>> SendOrder(
+                                               OutgoingHttpRequest call);
+  boost::asio::awaitable<std::optional<OrderResponse>> SendOrder(
       const Engine& engine, const ResidencyChange& change);
   void Settle(Engine& engine, const ResidencyChange& change,
-              OrderAnswer answer);
+              OrderResponse answer);
   boost::asio::awaitable<void> Inspect(std::shared_ptr<Engine> engine);
   boost::asio::awaitable<void> AskForReport(Engine& engine);
   bool TakeReport(Engine& engine, std::string_view body);
@@ -97,8 +98,8 @@
   const GatewaySettings& settings;
   const WireFormat& wire;
   FleetState& fleet;
-  DutyLease& duty;
-  ReportHub& hub;
+  LeaderLease& duty;
+  ReportAggregator& hub;
   FleetChannel& channel;
   Metrics& metrics;
   EventLog& log;
@@ -109,9 +110,10 @@
   bool acting = false;
   bool plan_wanted = false;
   std::map<std::string, std::shared_ptr<Engine>> engines;
-  std::map<std::string, LoadCeiling, std::less<>> ceilings;  ///< by service
+  std::map<std::string, ModelLoadLimiter, std::less<>>
+      ceilings;  ///< by service
 };
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_PLACEMENT_DUTY_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_PLACEMENT_CONTROLLER_H_
--- a/dragonflyglade/gateway/placement_orders.cc
+++ b/dragonflyglade/gateway/placement_orders.cc
@@ -1,11 +1,11 @@
-// The part of PlacementDuty that gives engines their orders, and asks them what
-// they hold when an order's outcome is not known.
+// The part of PlacementController that gives engines their orders, and asks
+// them what they hold when an order's outcome is not known.
 #include <algorithm>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 #include "dragonflyglade/gateway/http_text.h"
-#include "dragonflyglade/gateway/placement_duty.h"
+#include "dragonflyglade/gateway/placement_controller.h"
 
 namespace dragonflyglade::gateway {
 
@@ -36,8 +36,8 @@
 
 }  // namespace
 
-bool PlacementDuty::Book(const ServiceSpec& service,
-                         const ResidencyChange& change) {
+bool PlacementController::Book(const ServiceSpec& service,
+                               const ResidencyChange& change) {
   const auto found = this->engines.find(change.target);
   if (found == this->engines.end() || found->second->ordering) return false;
   Engine& engine = *found->second;
@@ -51,7 +51,7 @@
         served.begin(), served.end(),
         [&](const ServedModel& item) { return item.name == change.model; });
     engine.loading_until = this->clock.Now() + kLoadPatience * model->load_time;
-    if (change.from_store) this->CeilingOf(service).Began();
+    if (change.from_store) this->LoadLimiterOf(service).RecordLoadStart();
   } else if (loads) {
     engine.models[change.model].insert(change.adapter);
     engine.unready.insert(PlaceOf(change));
@@ -64,10 +64,10 @@
   return true;
 }
 
-asio::awaitable<ExchangeOutcome> PlacementDuty::Call(TargetState& target,
-                                                     HttpCallText call) {
+asio::awaitable<ExchangeOutcome> PlacementController::Call(
+    TargetState& target, OutgoingHttpRequest call) {
   const std::string address = target.Record().address;
-  std::string head = RequestText(call, address);
+  std::string head = RequestHeadText(call, address);
   TargetExchange exchange(this->context, target.connections, this->wire,
                           this->clock);
   const Instant give_up = this->clock.Now() + kOrderTimeout;
@@ -75,10 +75,10 @@
                                   give_up);
 }
 
-asio::awaitable<std::optional<OrderAnswer>> PlacementDuty::SendOrder(
+asio::awaitable<std::optional<OrderResponse>> PlacementController::SendOrder(
     const Engine& engine, const ResidencyChange& change) {
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
-  if (target == nullptr) co_return OrderAnswer::kWrongTarget;
+  if (target == nullptr) co_return OrderResponse::kWrongTarget;
   EngineOrder order;
   order.load = change.kind == ResidencyChange::Kind::kLoad;
   order.model = change.model;
@@ -86,23 +86,23 @@
   order.orders_taken = engine.orders_taken;
   order.holder = this->settings.instance;
   order.fence = this->duty.Fence();
-  HttpCallText call = this->wire.encode_order(engine.id, order);
+  OutgoingHttpRequest call = this->wire.encode_order(engine.id, order);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("orders");
   if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
-    co_return this->wire.decode_order_answer(whole->head.status);
+    co_return this->wire.decode_order_response(whole->head.status);
   }
   if (const auto* declined = std::get_if<Declined>(&outcome)) {
-    co_return this->wire.decode_order_answer(declined->head.status);
+    co_return this->wire.decode_order_response(declined->head.status);
   }
   co_return std::nullopt;
 }
 
 // However the order ends, the engine takes others after it.
-asio::awaitable<void> PlacementDuty::CarryOut(std::shared_ptr<Engine> engine,
-                                              ResidencyChange change) {
+asio::awaitable<void> PlacementController::CarryOut(
+    std::shared_ptr<Engine> engine, ResidencyChange change) {
   const std::exception_ptr fault =
-      co_await Caught(this->GiveOrder(*engine, change));
+      co_await CatchException(this->GiveOrder(*engine, change));
   if (fault) engine->inspect = true;
   engine->unready.erase(PlaceOf(change));
   engine->settled_at = this->clock.Now();
@@ -112,17 +112,17 @@
   if (fault) std::rethrow_exception(fault);
 }
 
-asio::awaitable<void> PlacementDuty::GiveOrder(Engine& engine,
-                                               const ResidencyChange& change) {
+asio::awaitable<void> PlacementController::GiveOrder(
+    Engine& engine, const ResidencyChange& change) {
   if (change.kind == ResidencyChange::Kind::kUnload) {
     this->TellHoldings();
     co_await Sleep(this->context, kClosingNews);
   }
-  std::optional<OrderAnswer> answer;
+  std::optional<OrderResponse> answer;
   for (int attempt = 0; attempt < kOrderTries && !answer.has_value();
        ++attempt) {
     // Checked as late as possible: whoever lost the duty must not send.
-    if (!this->duty.MayAct()) break;
+    if (!this->duty.MayIssueOrders()) break;
     answer = co_await this->SendOrder(engine, change);
     if (!answer.has_value()) co_await Sleep(this->context, kOrderPause);
   }
@@ -140,35 +140,35 @@
   } else {
     engine.inspect = true;
   }
-  const bool adapter_loads = answer == OrderAnswer::kAccepted &&
+  const bool adapter_loads = answer == OrderResponse::kAccepted &&
                              !change.adapter.empty() &&
                              change.kind == ResidencyChange::Kind::kLoad;
   if (adapter_loads) co_await Sleep(this->context, kAdapterLoads);
 }
 
-void PlacementDuty::Settle(Engine& engine, const ResidencyChange& change,
-                           OrderAnswer answer) {
+void PlacementController::Settle(Engine& engine, const ResidencyChange& change,
+                                 OrderResponse answer) {
   const bool loads = change.kind == ResidencyChange::Kind::kLoad;
   const bool of_adapter = !change.adapter.empty();
   switch (answer) {
-    case OrderAnswer::kAccepted:
+    case OrderResponse::kAccepted:
       engine.orders_taken += 1;
       break;
-    case OrderAnswer::kAlreadyHolds:
+    case OrderResponse::kAlreadyApplied:
       // An adapter that nobody uses is dropped at once, which counts as an
       // order taken.
       if (of_adapter && !loads) engine.orders_taken += 1;
       if (!of_adapter && loads) engine.loading.reset();
       break;
-    case OrderAnswer::kWrongTarget:
-    case OrderAnswer::kConflict:
-    case OrderAnswer::kFenced:
-    case OrderAnswer::kInvalid:
+    case OrderResponse::kWrongTarget:
+    case OrderResponse::kConflict:
+    case OrderResponse::kFenced:
+    case OrderResponse::kInvalid:
       engine.inspect = true;
       return;
   }
   if (!of_adapter || loads) return;
-  if (answer == OrderAnswer::kAccepted) {
+  if (answer == OrderResponse::kAccepted) {
     // Requests still use it, and its place is not free until they end.
     engine.inspect = true;
     return;
@@ -176,22 +176,24 @@
   engine.models[change.model].erase(change.adapter);
 }
 
-asio::awaitable<void> PlacementDuty::Inspect(std::shared_ptr<Engine> engine) {
-  const std::exception_ptr fault = co_await Caught(this->AskForReport(*engine));
+asio::awaitable<void> PlacementController::Inspect(
+    std::shared_ptr<Engine> engine) {
+  const std::exception_ptr fault =
+      co_await CatchException(this->AskForReport(*engine));
   engine->settled_at = this->clock.Now();
   engine->ordering = false;
   this->TellHoldings();
   if (fault) std::rethrow_exception(fault);
 }
 
-asio::awaitable<void> PlacementDuty::AskForReport(Engine& engine) {
+asio::awaitable<void> PlacementController::AskForReport(Engine& engine) {
   // A report tells of a moment ago: asked too early, it would not yet show
   // the last order.
   const absl::Duration since = this->clock.Now() - engine.settled_at;
   if (since < kReportLag) co_await Sleep(this->context, kReportLag - since);
   const std::shared_ptr<TargetState> target = this->fleet.Target(engine.id);
-  if (target == nullptr || !this->duty.MayAct()) co_return;
-  HttpCallText call = this->wire.encode_report_call(engine.id);
+  if (target == nullptr || !this->duty.MayIssueOrders()) co_return;
+  OutgoingHttpRequest call = this->wire.encode_report_call(engine.id);
   const ExchangeOutcome outcome = co_await this->Call(*target, std::move(call));
   this->metrics.Count("engine_reports");
   const auto* whole = std::get_if<WholeAnswer>(&outcome);
@@ -202,7 +204,7 @@
                    {"known", known}});
 }
 
-bool PlacementDuty::TakeReport(Engine& engine, std::string_view body) {
+bool PlacementController::TakeReport(Engine& engine, std::string_view body) {
   const Result<EngineReport> decoded = this->wire.decode_report(body);
   if (!decoded.Ok() || decoded.Value().busy) return false;
   const EngineReport& report = decoded.Value();
--- a/dragonflyglade/gateway/quota_desk.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/quota_desk.h"
+#include "dragonflyglade/gateway/quota_admission.h"
 
 #include <algorithm>
 #include <utility>
@@ -28,11 +28,12 @@
 
 }  // namespace
 
-QuotaDesk::QuotaDesk(asio::io_context& context, FleetState& fleet,
-                     QuotaOwners& owners, QuotaWindows& quotas, ReportHub& hub,
-                     const DutyLease& duty, InstanceRecord self,
-                     absl::Duration window, Metrics& metrics, EventLog& log,
-                     Clock clock, TimeOfDay time_of_day)
+QuotaAdmission::QuotaAdmission(asio::io_context& context, FleetState& fleet,
+                               QuotaParticipants& owners, QuotaWindows& quotas,
+                               ReportAggregator& hub, const LeaderLease& duty,
+                               InstanceRecord self, absl::Duration window,
+                               Metrics& metrics, EventLog& log, Clock clock,
+                               TimeOfDay time_of_day)
     : context(context),
       fleet(fleet),
       owners(owners),
@@ -48,21 +49,21 @@
 
 // All processes may have been killed a moment ago. By the record, this one need
 // not wait for a holder to spend what is known to be left.
-void QuotaDesk::TakeOverSpending() {
-  const std::optional<SpendRecord>& before = this->fleet.SpentBefore();
+void QuotaAdmission::TakeOverSpending() {
+  const std::optional<SpendRecord>& before = this->fleet.InitialSpendRecord();
   if (this->looked_before || !before.has_value()) return;
   this->looked_before = true;
   const absl::Time now = this->time_of_day();
   const bool recent = IsRecent(*before, now);
   if (recent) {
-    this->quotas.SetBefore(FleetSpent(*before),
-                           WasListed(*before, this->self.name));
+    this->quotas.SetPriorSpending(SpendingByWorkspace(*before),
+                                  WasListed(*before, this->self.name));
   }
   this->log.Write("quota", recent ? "spending read" : "record too old",
                   {{"age_ms", now - before->written}});
 }
 
-void QuotaDesk::FollowInstances() {
+void QuotaAdmission::UpdateParticipants() {
   this->TakeOverSpending();
   std::vector<std::string_view> names;
   for (const InstanceRecord* record : this->fleet.ListedInstances()) {
@@ -70,17 +71,19 @@
   }
   this->owners.Follow(names);
   const int listed = static_cast<int>(names.size());
-  this->quotas.SetInstances(listed);
+  this->quotas.SetParticipantCount(listed);
   // An instance that sees nobody in the store, itself included, is at its
   // start; the age of its process limits it then.
   this->quotas.SetListed(listed == 0 || this->fleet.IsListed(this->self.name));
 }
 
-asio::awaitable<QuotaVerdict> QuotaDesk::Take(std::string_view request_id,
-                                              std::string workspace,
-                                              QuotaLimit limit, double tokens) {
-  this->FollowInstances();
-  QuotaVerdict verdict = this->quotas.TakePart(workspace, limit, tokens);
+asio::awaitable<QuotaVerdict> QuotaAdmission::Take(std::string_view request_id,
+                                                   std::string workspace,
+                                                   QuotaLimit limit,
+                                                   double tokens) {
+  this->UpdateParticipants();
+  QuotaVerdict verdict =
+      this->quotas.AdmitWithoutGrant(workspace, limit, tokens);
   if (verdict.admitted) co_return verdict;
   std::string_view by = "part";
   const std::optional<QuotaVerdict> before =
@@ -110,8 +113,9 @@
   co_return verdict;
 }
 
-QuotaVerdict QuotaDesk::TakeUnheard(const std::string& workspace,
-                                    const QuotaLimit& limit, double tokens) {
+QuotaVerdict QuotaAdmission::TakeUnheard(const std::string& workspace,
+                                         const QuotaLimit& limit,
+                                         double tokens) {
   QuotaVerdict verdict = this->quotas.Take(workspace, limit, tokens);
   if (!verdict.admitted) {
     verdict.retry_after = std::max(verdict.retry_after, kHolderReturns);
@@ -119,14 +123,14 @@
   return verdict;
 }
 
-bool QuotaDesk::MayAsk() const {
-  if (!this->fleet.Duty().has_value()) return false;
+bool QuotaAdmission::MayAsk() const {
+  if (!this->fleet.Leader().has_value()) return false;
   return !this->silent_since.has_value() ||
          this->clock.Now() - *this->silent_since > kSilence;
 }
 
-std::optional<QuotaVerdict> QuotaDesk::DeniedBefore(std::string_view workspace,
-                                                    double tokens) const {
+std::optional<QuotaVerdict> QuotaAdmission::DeniedBefore(
+    std::string_view workspace, double tokens) const {
   const auto found = this->denials.find(workspace);
   if (found == this->denials.end()) return std::nullopt;
   const absl::Duration rest = found->second.until - this->clock.Now();
@@ -139,16 +143,16 @@
   return verdict;
 }
 
-asio::awaitable<std::optional<QuotaVerdict>> QuotaDesk::Ask(
+asio::awaitable<std::optional<QuotaVerdict>> QuotaAdmission::Ask(
     std::string workspace, double tokens) {
   const std::int64_t number = ++this->last_number;
-  const std::string address = this->fleet.Duty()->instance.peers;
-  if (this->fleet.Duty()->instance.incarnation == this->self.incarnation) {
+  const std::string address = this->fleet.Leader()->instance.peers;
+  if (this->fleet.Leader()->instance.incarnation == this->self.incarnation) {
     if (!this->duty.Held()) co_return std::nullopt;
     const std::optional<QuotaVerdict> verdict =
         this->Decide(this->self.incarnation, number, workspace, tokens);
     const bool granted = verdict.has_value() && verdict->admitted;
-    if (granted) this->quotas.Granted(workspace, tokens);
+    if (granted) this->quotas.RecordGrant(workspace, tokens);
     co_return verdict;
   }
   wire::FleetMessage message;
@@ -166,7 +170,7 @@
   }
   const std::optional<QuotaVerdict> verdict = open.verdict;
   if (verdict.has_value() && verdict->admitted) {
-    this->quotas.Granted(workspace, tokens);
+    this->quotas.RecordGrant(workspace, tokens);
   }
   // An answer that comes later finds nobody and is not spent.
   this->open.erase(number);
@@ -183,7 +187,7 @@
   co_return verdict;
 }
 
-void QuotaDesk::TakeAsk(const wire::QuotaAsk& ask) {
+void QuotaAdmission::ReceiveAsk(const wire::QuotaAsk& ask) {
   if (!this->duty.Held()) return;
   const std::optional<QuotaVerdict> verdict =
       this->Decide(ask.incarnation, ask.number, ask.workspace,
@@ -202,7 +206,7 @@
 
 // A new holder that has heard one of eight instances would deny what is owed,
 // and callers that come back at once would be refused again.
-bool QuotaDesk::HearsReports(const FleetSpend& spend) {
+bool QuotaAdmission::HearsReports(const FleetSpending& spend) {
   const Instant now = this->clock.Now();
   if (this->duty_fence != this->duty.Fence()) {
     this->duty_fence = this->duty.Fence();
@@ -212,10 +216,10 @@
   return spend.instances >= listed || now - this->duty_since > kReportsComeIn;
 }
 
-std::optional<QuotaVerdict> QuotaDesk::Decide(const std::string& process,
-                                              std::int64_t number,
-                                              const std::string& workspace,
-                                              double tokens) {
+std::optional<QuotaVerdict> QuotaAdmission::Decide(const std::string& process,
+                                                   std::int64_t number,
+                                                   const std::string& workspace,
+                                                   double tokens) {
   QuotaVerdict verdict;
   verdict.admitted = false;
   verdict.retry_after = kSilence;
@@ -224,8 +228,8 @@
   const auto known = config->workspaces.find(workspace);
   // The asking instance follows a version that is not known here yet.
   if (known == config->workspaces.end()) return verdict;
-  this->FollowInstances();
-  FleetSpend spend = this->hub.SpendOf(workspace);
+  this->UpdateParticipants();
+  FleetSpending spend = this->hub.SpendingOf(workspace);
   if (!this->HearsReports(spend)) return std::nullopt;
   spend.total += this->ledger.Open(workspace);
   verdict = this->quotas.Grant(known->second.quota, tokens, spend);
@@ -245,8 +249,8 @@
   return verdict;
 }
 
-void QuotaDesk::TakeGrant(const wire::QuotaGrant& grant) {
-  const auto& holder = this->fleet.Duty();
+void QuotaAdmission::ReceiveGrant(const wire::QuotaGrant& grant) {
+  const auto& holder = this->fleet.Leader();
   // What a holder grants that was replaced is in nobody's sums.
   if (!holder.has_value() || holder->instance.incarnation != grant.holder) {
     return;
@@ -261,11 +265,11 @@
   found->second.answered.Notify();
 }
 
-void QuotaDesk::Reported(const wire::InstanceReport& report) {
+void QuotaAdmission::Reported(const wire::InstanceReport& report) {
   this->ledger.Reported(report.incarnation, report.grants_through);
 }
 
-std::int64_t QuotaDesk::SettledThrough() const {
+std::int64_t QuotaAdmission::SettledThrough() const {
   return this->open.empty() ? this->last_number : this->open.begin()->first - 1;
 }
 
--- a/dragonflyglade/gateway/quota_desk.h
+++ b/dragonflyglade/gateway/quota_admission.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
-#define DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
+#define DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -10,15 +10,15 @@
 #include <string_view>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
-#include "dragonflyglade/decision/quota_ledger.h"
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/leader_lease.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
+#include "dragonflyglade/decision/unreported_grants.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
 
@@ -27,17 +27,17 @@
 /// Admits requests to workspaces' quotas: out of this instance's own part, or
 /// by asking the holder of the placing duty, who sums up what all spent. As
 /// holder, answers such questions. One event loop.
-class QuotaDesk {
+class QuotaAdmission {
  public:
   using TimeOfDay = std::function<absl::Time()>;
   using SendMessage = std::function<void(const wire::FleetMessage& message,
                                          const std::string& address)>;
 
-  QuotaDesk(boost::asio::io_context& context, FleetState& fleet,
-            QuotaOwners& owners, QuotaWindows& quotas, ReportHub& hub,
-            const DutyLease& duty, InstanceRecord self, absl::Duration window,
-            Metrics& metrics, EventLog& log, Clock clock,
-            TimeOfDay time_of_day);
+  QuotaAdmission(boost::asio::io_context& context, FleetState& fleet,
+                 QuotaParticipants& owners, QuotaWindows& quotas,
+                 ReportAggregator& hub, const LeaderLease& duty,
+                 InstanceRecord self, absl::Duration window, Metrics& metrics,
+                 EventLog& log, Clock clock, TimeOfDay time_of_day);
 
   void OnSend(SendMessage send) { this->send = std::move(send); }
 
@@ -48,7 +48,7 @@
 
   /// Takes over which instances callers are sent to, this one among them or
   /// not, and since when.
-  void FollowInstances();
+  void UpdateParticipants();
 
   /// A request that was counted did not run.
   void GiveBack(std::string_view workspace, double tokens) {
@@ -56,13 +56,13 @@
   }
 
   /// Messages of other instances.
-  void TakeAsk(const wire::QuotaAsk& ask);
-  void TakeGrant(const wire::QuotaGrant& grant);
+  void ReceiveAsk(const wire::QuotaAsk& ask);
+  void ReceiveGrant(const wire::QuotaGrant& grant);
 
   /// As holder: a report came, which counts its process's grants.
   void Reported(const wire::InstanceReport& report);
   /// As holder: granted and not yet reported.
-  double OpenGrants(std::string_view workspace) {
+  double UnreportedGrantTokens(std::string_view workspace) {
     return this->ledger.Open(workspace);
   }
   /// As holder: the duty ended.
@@ -99,21 +99,21 @@
                                      std::int64_t number,
                                      const std::string& workspace,
                                      double tokens);
-  bool HearsReports(const FleetSpend& spend);
+  bool HearsReports(const FleetSpending& spend);
   bool MayAsk() const;
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  QuotaOwners& owners;
+  QuotaParticipants& owners;
   QuotaWindows& quotas;
-  ReportHub& hub;
-  const DutyLease& duty;
+  ReportAggregator& hub;
+  const LeaderLease& duty;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
   const Clock clock;
   const TimeOfDay time_of_day;
-  QuotaLedger ledger;
+  UnreportedGrants ledger;
   SendMessage send;
   std::int64_t last_number = 0;
   std::map<std::int64_t, Open> open;
@@ -126,4 +126,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_QUOTA_DESK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_QUOTA_ADMISSION_H_
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -29,22 +29,22 @@
 
 }  // namespace
 
-LocalTime ReadLocalTime() {
+ClockReadings ReadClocks() {
   timespec boot{};
   clock_gettime(CLOCK_BOOTTIME, &boot);
   return {SteadyClock().Now(), absl::DurationFromTimespec(boot)};
 }
 
-Registration::Registration(asio::io_context& context, StoreLink& store,
-                           FleetState& fleet, DutyLease& duty,
-                           InstanceRecord self, LeaseTimes lease_times,
+Registration::Registration(asio::io_context& context, StoreClient& store,
+                           FleetState& fleet, LeaderLease& duty,
+                           InstanceRecord self, LeaseDurations lease_durations,
                            EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
       duty(duty),
       self(std::move(self)),
-      lease_times(lease_times),
+      lease_durations(lease_durations),
       log(log),
       clock(std::move(clock)) {}
 
@@ -78,10 +78,10 @@
 }
 
 asio::awaitable<void> Registration::Grant() {
-  const LocalTime sent = ReadLocalTime();
+  const ClockReadings sent = ReadClocks();
   const absl::Duration wanted = this->WantedLease();
-  StoreCall call = StoreGrant{wanted};
-  const StoreReply reply =
+  StoreCall call = StoreLeaseGrant{wanted};
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   const auto* lease = std::get_if<StoreLease>(&reply);
   if (lease == nullptr) co_return;
@@ -99,9 +99,9 @@
   transaction.puts.push_back({FleetState::InstanceKey(this->self.name),
                               EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->LeaseEnded();
+  if (std::holds_alternative<StoreLeaseNotFound>(reply)) this->LeaseEnded();
   this->entered = std::holds_alternative<StoreCommitted>(reply);
   if (this->entered) {
     this->log.Write("registration", "entered", {{"lease", this->lease}});
@@ -109,11 +109,11 @@
 }
 
 asio::awaitable<void> Registration::Renew() {
-  const LocalTime sent = ReadLocalTime();
-  StoreCall call = StoreRenewal{this->lease};
-  const StoreReply reply =
+  const ClockReadings sent = ReadClocks();
+  StoreCall call = StoreLeaseRenewal{this->lease};
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) {
+  if (std::holds_alternative<StoreLeaseNotFound>(reply)) {
     this->LeaseEnded();
     co_return;
   }
@@ -121,7 +121,7 @@
   if (lease == nullptr) co_return;
   this->granted = lease->ttl;
   this->renewed = sent;
-  if (this->duty.Held()) this->duty.Renewed(sent, lease->ttl);
+  if (this->duty.Held()) this->duty.OnLeaseRenewed(sent, lease->ttl);
 }
 
 void Registration::LeaseEnded() {
@@ -133,7 +133,7 @@
 }
 
 bool Registration::DutyIsMine() const {
-  const auto& holder = this->fleet.Duty();
+  const auto& holder = this->fleet.Leader();
   return holder.has_value() && holder->lease == this->lease &&
          holder->instance.incarnation == this->self.incarnation;
 }
@@ -142,16 +142,16 @@
 // later change of the duty means that somebody else may hold it.
 void Registration::CheckDuty() {
   if (!this->duty.Held() || this->DutyIsMine()) return;
-  if (this->fleet.DutyRevision() <= this->duty.Fence()) return;
+  if (this->fleet.LeaderRevision() <= this->duty.Fence()) return;
   this->log.Write("duty", "lost to another",
                   {{"fence", this->duty.Fence()},
-                   {"revision", this->fleet.DutyRevision()}});
+                   {"revision", this->fleet.LeaderRevision()}});
   this->duty.Lost();
 }
 
 absl::Duration Registration::WantedLease() const {
-  return this->fleet.IsListed(this->self.name) ? this->lease_times.listed
-                                               : this->lease_times.unlisted;
+  return this->fleet.IsListed(this->self.name) ? this->lease_durations.listed
+                                               : this->lease_durations.unlisted;
 }
 
 // The lease that the duty stands under must not change: orders carry it.
@@ -163,7 +163,7 @@
 
 absl::Duration Registration::TurnToTake() const {
   // The holder sends summaries to all instances, so strong ones go first.
-  const auto order = this->fleet.InstancesByStrength(FleetState::kDutyKey);
+  const auto order = this->fleet.InstancesByStrength(FleetState::kLeaderKey);
   const auto place = std::find_if(
       order.begin(), order.end(),
       [&](const auto* record) { return record->name == this->self.name; });
@@ -174,14 +174,14 @@
 asio::awaitable<void> Registration::TakeDuty() {
   this->CheckDuty();
   const Instant now = this->clock.Now();
-  if (this->fleet.Duty().has_value()) {
+  if (this->fleet.Leader().has_value()) {
     this->vacant_since.reset();
     // The answer to the taking write was lost, and the store shows it. An
     // entry under an earlier lease is about to vanish: going on from it, this
     // instance would give orders with an old fence beside the next holder.
     if (this->DutyIsMine() && !this->duty.Held()) {
-      this->duty.Acquired(this->fleet.Duty()->revision, this->renewed,
-                          this->granted);
+      this->duty.OnLeaseAcquired(this->fleet.Leader()->revision, this->renewed,
+                                 this->granted);
     }
     co_return;
   }
@@ -189,21 +189,21 @@
   if (this->duty.Held()) co_return;
   // The duty stands under this instance's lease, and a long one would keep it
   // from others for as long after this one's end.
-  if (this->asked_for != this->lease_times.listed) co_return;
+  if (this->asked_for != this->lease_durations.listed) co_return;
   if (!this->vacant_since.has_value()) this->vacant_since = now;
   if (now - *this->vacant_since < this->TurnToTake()) co_return;
   StoreTransaction transaction;
-  const std::string key(FleetState::kDutyKey);
+  const std::string key(FleetState::kLeaderKey);
   transaction.expected.push_back({key, 0});
   transaction.puts.push_back(
       {key, EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreNoLease>(reply)) this->LeaseEnded();
+  if (std::holds_alternative<StoreLeaseNotFound>(reply)) this->LeaseEnded();
   const auto* committed = std::get_if<StoreCommitted>(&reply);
   if (committed == nullptr) co_return;
-  this->duty.Acquired(committed->revision, this->renewed, this->granted);
+  this->duty.OnLeaseAcquired(committed->revision, this->renewed, this->granted);
   this->log.Write("duty", "taken", {{"fence", committed->revision}});
 }
 
@@ -215,7 +215,7 @@
   transaction.deletes.push_back(FleetState::InstanceKey(this->self.name));
   if (held) {
     // Its own watch may not show the duty yet, right after it was taken.
-    const std::string key(FleetState::kDutyKey);
+    const std::string key(FleetState::kLeaderKey);
     transaction.expected.push_back({key, this->duty.Fence()});
     transaction.deletes.push_back(key);
   }
@@ -225,7 +225,7 @@
   bool known = false;
   while (!known) {
     StoreCall call = transaction;
-    const StoreReply reply =
+    const StoreResponse reply =
         co_await this->store.Call(std::move(call), kCallTimeout);
     known = std::holds_alternative<StoreCommitted>(reply);
     if (std::holds_alternative<StoreConflict>(reply)) {
--- a/dragonflyglade/gateway/registration.h
+++ b/dragonflyglade/gateway/registration.h
@@ -6,20 +6,20 @@
 #include <optional>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/duty_lease.h"
+#include "dragonflyglade/decision/leader_lease.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_link.h"
+#include "dragonflyglade/gateway/store_client.h"
 
 namespace dragonflyglade::gateway {
 
 /// The steady and the boot clock now.
-LocalTime ReadLocalTime();
+ClockReadings ReadClocks();
 
 /// How long leases last.
-struct LeaseTimes {
+struct LeaseDurations {
   absl::Duration listed = absl::Seconds(2);    ///< callers are sent here
   absl::Duration unlisted = absl::Seconds(8);  ///< they are not
 };
@@ -28,9 +28,9 @@
 /// under the same lease when nobody holds it. One event loop.
 class Registration {
  public:
-  Registration(boost::asio::io_context& context, StoreLink& store,
-               FleetState& fleet, DutyLease& duty, InstanceRecord self,
-               LeaseTimes lease_times, EventLog& log, Clock clock);
+  Registration(boost::asio::io_context& context, StoreClient& store,
+               FleetState& fleet, LeaderLease& duty, InstanceRecord self,
+               LeaseDurations lease_durations, EventLog& log, Clock clock);
 
   /// Runs until Leave.
   boost::asio::awaitable<void> Run();
@@ -52,15 +52,15 @@
   void LeaseEnded();
 
   boost::asio::io_context& context;
-  StoreLink& store;
+  StoreClient& store;
   FleetState& fleet;
-  DutyLease& duty;
+  LeaderLease& duty;
   const InstanceRecord self;
-  const LeaseTimes lease_times;
+  const LeaseDurations lease_durations;
   EventLog& log;
   const Clock clock;
   std::uint64_t lease = 0;
-  LocalTime renewed;         ///< when the last answered renewal was sent
+  ClockReadings renewed;     ///< when the last answered renewal was sent
   absl::Duration granted;    ///< by the store
   absl::Duration asked_for;  ///< of the store
   bool entered = false;
--- a/dragonflyglade/gateway/report_hub.cc
+++ b/dragonflyglade/gateway/report_aggregator.cc
@@ -1,10 +1,10 @@
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -24,18 +24,18 @@
 
 }  // namespace
 
-ReportHub::ReportHub(const QuotaOwners& owners, absl::Duration spend_window,
-                     Clock clock)
+ReportAggregator::ReportAggregator(const QuotaParticipants& owners,
+                                   absl::Duration spend_window, Clock clock)
     : owners(owners), spend_window(spend_window), clock(std::move(clock)) {}
 
-void ReportHub::Decay(Average& average) const {
+void ReportAggregator::Decay(Average& average) const {
   const Instant now = this->clock.Now();
   const double age = absl::FDivDuration(now - average.at, kDemandMemory);
   average.sum_ms *= std::exp(-age);
   average.at = now;
 }
 
-void ReportHub::Take(const wire::InstanceReport& report) {
+void ReportAggregator::Take(const wire::InstanceReport& report) {
   Entry& entry = this->entries[report.incarnation];
   if (report.sequence <= entry.report.sequence) return;
   entry.report = report;
@@ -52,13 +52,13 @@
   }
 }
 
-bool ReportHub::IsHeard(const Entry& entry) const {
+bool ReportAggregator::IsHeard(const Entry& entry) const {
   if (entry.taken_over) return false;
   const absl::Duration interval = absl::Milliseconds(entry.report.interval_ms);
   return this->clock.Now() - entry.at <= interval + kReportLate;
 }
 
-void ReportHub::DropOld() {
+void ReportAggregator::DropOld() {
   const Instant now = this->clock.Now();
   for (auto entry = this->entries.begin(); entry != this->entries.end();) {
     if (now - entry->second.at > this->spend_window) {
@@ -69,18 +69,19 @@
   }
 }
 
-double ReportHub::UnknownShares() const {
+double ReportAggregator::UnknownShares() const {
   double shares = 0;
   for (const auto& [incarnation, entry] : this->entries) {
     if (!entry.report.listed || !this->IsHeard(entry)) continue;
     if (this->IsSuccessor(incarnation, entry)) continue;
-    shares += 1 - EarnedPart(absl::Milliseconds(entry.report.age_ms),
-                             this->spend_window);
+    shares +=
+        1 - SpendableFractionAfterRestart(
+                absl::Milliseconds(entry.report.age_ms), this->spend_window);
   }
   return shares;
 }
 
-double ReportHub::MissingPart() const {
+double ReportAggregator::MissingPart() const {
   std::set<std::string_view> heard;
   for (const auto& [incarnation, entry] : this->entries) {
     if (this->IsHeard(entry)) heard.insert(entry.report.instance);
@@ -89,8 +90,8 @@
 }
 
 // Whether what the process before it spent is known from its reports.
-bool ReportHub::IsSuccessor(std::string_view incarnation,
-                            const Entry& entry) const {
+bool ReportAggregator::IsSuccessor(std::string_view incarnation,
+                                   const Entry& entry) const {
   return std::any_of(
       this->entries.begin(), this->entries.end(), [&](const auto& other) {
         return other.first != incarnation &&
@@ -100,7 +101,7 @@
 
 // Summed up once for many summaries: each instance's summary is the whole less
 // its own part, so the work grows with the instances and not with their square.
-void ReportHub::SumUp() {
+void ReportAggregator::SumUp() {
   const Instant now = this->clock.Now();
   if (this->sums_at.has_value() && now - *this->sums_at < kSumsHold) return;
   this->sums_at = now;
@@ -124,14 +125,15 @@
 }
 
 // What was taken over leaves the window at an unknown pace.
-std::int64_t ReportHub::Counted(const Entry& entry, std::int64_t tokens) const {
+std::int64_t ReportAggregator::Counted(const Entry& entry,
+                                       std::int64_t tokens) const {
   if (!entry.taken_over) return tokens;
-  const double part =
-      CountedPart(this->clock.Now() - entry.at, this->spend_window);
+  const double part = CountedFractionOfPriorSpending(
+      this->clock.Now() - entry.at, this->spend_window);
   return static_cast<std::int64_t>(part * static_cast<double>(tokens));
 }
 
-std::vector<ProcessSpend> ReportHub::SpendsByProcess() {
+std::vector<ProcessSpend> ReportAggregator::SpendingByProcess() {
   this->DropOld();
   std::vector<ProcessSpend> all;
   for (const auto& [incarnation, entry] : this->entries) {
@@ -149,7 +151,7 @@
   return all;
 }
 
-void ReportHub::TakeOver(const SpendRecord& record) {
+void ReportAggregator::TakeOver(const SpendRecord& record) {
   for (const ProcessSpend& process : record.processes) {
     Entry entry;
     entry.report.instance = process.instance;
@@ -159,7 +161,7 @@
     for (const auto& [workspace, tokens] : process.tokens) {
       wire::WorkspaceSpend spend;
       spend.workspace = workspace;
-      spend.tokens = static_cast<std::int64_t>((1 + kSpentAfterRecord) *
+      spend.tokens = static_cast<std::int64_t>((1 + kUnrecordedSpendingShare) *
                                                static_cast<double>(tokens));
       entry.report.spends.push_back(std::move(spend));
     }
@@ -169,9 +171,9 @@
   this->sums_at.reset();
 }
 
-FleetSpend ReportHub::SpendOf(const std::string& workspace) {
+FleetSpending ReportAggregator::SpendingOf(const std::string& workspace) {
   this->SumUp();
-  FleetSpend spend;
+  FleetSpending spend;
   const auto tokens = this->sums.spends.find(workspace);
   if (tokens != this->sums.spends.end()) {
     spend.total = static_cast<double>(tokens->second);
@@ -182,7 +184,8 @@
   return spend;
 }
 
-wire::FleetSummary ReportHub::SummaryFor(const wire::InstanceReport& report) {
+wire::FleetSummary ReportAggregator::SummaryFor(
+    const wire::InstanceReport& report) {
   this->SumUp();
   wire::FleetSummary summary;
   summary.instances = this->sums.instances;
@@ -215,7 +218,7 @@
   return summary;
 }
 
-std::map<ModelName, FleetDemand> ReportHub::Demand() {
+std::map<ModelName, FleetDemand> ReportAggregator::Demand() {
   this->DropOld();
   std::map<ModelName, FleetDemand> result;
   // The average of a new holder begins at nothing; without this, models in
@@ -244,7 +247,8 @@
   return result;
 }
 
-std::map<std::string, std::set<std::string>> ReportHub::ResidentsInUse() const {
+std::map<std::string, std::set<std::string>> ReportAggregator::ResidentsInUse()
+    const {
   std::map<std::string, std::set<std::string>> in_use;
   for (const auto& [incarnation, entry] : this->entries) {
     if (!this->IsHeard(entry)) continue;
@@ -255,7 +259,7 @@
   return in_use;
 }
 
-std::vector<wire::InstanceReport> ReportHub::Reporters() {
+std::vector<wire::InstanceReport> ReportAggregator::RecentReports() {
   this->DropOld();
   std::vector<wire::InstanceReport> reporters;
   for (const auto& [incarnation, entry] : this->entries) {
@@ -264,7 +268,7 @@
   return reporters;
 }
 
-void ReportHub::Clear() {
+void ReportAggregator::Clear() {
   this->entries.clear();
   this->demand.clear();
   this->sums_at.reset();
--- a/dragonflyglade/gateway/report_hub.h
+++ b/dragonflyglade/gateway/report_aggregator.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
-#define DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
+#define DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "dragonflyglade/gateway/model_demand.h"
 #include "dragonflyglade/gateway/spend_record.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
@@ -28,12 +28,12 @@
 /// that each instance sends one message and gets one instead of speaking to
 /// all others. What is kept is soft: a new holder knows all after a round of
 /// reports. One event loop.
-class ReportHub {
+class ReportAggregator {
  public:
   /// @param owners who spends quotas, which others keep up to date
   /// @param spend_window how long what an instance spent still counts
-  ReportHub(const QuotaOwners& owners, absl::Duration spend_window,
-            Clock clock);
+  ReportAggregator(const QuotaParticipants& owners, absl::Duration spend_window,
+                   Clock clock);
 
   /// Takes a report in. Older ones than the last from the process are dropped.
   void Take(const wire::InstanceReport& report);
@@ -45,10 +45,10 @@
   wire::FleetSummary SummaryFor(const wire::InstanceReport& report);
 
   /// What all instances spent of a workspace's quota.
-  FleetSpend SpendOf(const std::string& workspace);
+  FleetSpending SpendingOf(const std::string& workspace);
 
   /// What each process spent in the window.
-  std::vector<ProcessSpend> SpendsByProcess();
+  std::vector<ProcessSpend> SpendingByProcess();
 
   /// Counts what processes spent that may have ended since, by the record of
   /// the holder before.
@@ -62,7 +62,7 @@
   std::map<std::string, std::set<std::string>> ResidentsInUse() const;
 
   /// The last reports of the instances heard lately.
-  std::vector<wire::InstanceReport> Reporters();
+  std::vector<wire::InstanceReport> RecentReports();
 
   /// Forgets all; the duty went elsewhere.
   void Clear();
@@ -97,7 +97,7 @@
   bool IsSuccessor(std::string_view incarnation, const Entry& entry) const;
   void Decay(Average& average) const;
 
-  const QuotaOwners& owners;
+  const QuotaParticipants& owners;
   const absl::Duration spend_window;
   const Clock clock;
   /// By incarnation: an instance that was started anew has forgotten what it
@@ -111,4 +111,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_REPORT_HUB_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_REPORT_AGGREGATOR_H_
--- a/dragonflyglade/gateway/request_job.cc
+++ b/dragonflyglade/gateway/request_job.cc
@@ -22,7 +22,8 @@
 }
 
 double RequestJob::UnreadTokens() const {
-  return ExpectedRead(this->request.use.prompt_tokens, this->SharedTokens());
+  return ExpectedPrefillTokens(this->request.use.prompt_tokens,
+                               this->SharedTokens());
 }
 
 Refusal MakeRefusal(RefusalCode code, std::string message,
--- a/dragonflyglade/gateway/request_job.h
+++ b/dragonflyglade/gateway/request_job.h
@@ -12,7 +12,7 @@
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/refusal.h"
-#include "dragonflyglade/gateway/caller_link.h"
+#include "dragonflyglade/gateway/caller_connection.h"
 #include "dragonflyglade/gateway/event_splitter.h"
 #include "dragonflyglade/gateway/messages.h"
 #include "dragonflyglade/gateway/target_exchange.h"
@@ -23,7 +23,7 @@
 /// A request on its way through the pipeline.
 struct RequestJob {
   CallerRequest request;
-  CallerLink& link;
+  CallerConnection& link;
   std::shared_ptr<const GatewayConfig> config;
   const Route* route = nullptr;
   const WorkspaceSpec* workspace = nullptr;
@@ -40,19 +40,19 @@
   TargetExchange* exchange = nullptr;
   EventSplitter events;
   std::optional<Instant> first_output;
-  absl::Duration expected_wait;
+  absl::Duration expected_first_output_delay;
   absl::Duration admitted;  ///< until its quota was decided
   absl::Duration held;      ///< waiting for a target
   absl::Duration paced;     ///< held back so that streams at its target go on
   std::size_t candidates = 0;
 
-  RequestJob(CallerRequest request, CallerLink& link)
+  RequestJob(CallerRequest request, CallerConnection& link)
       : request(std::move(request)), link(link) {}
 
   bool IsEngineWork() const { return !this->request.use.model.empty(); }
   /// Whether it may run at another target after it may have run at one.
-  bool MayRunAgain() const {
-    return this->route->MayRunAgain() || this->route->resumable;
+  bool MayReexecute() const {
+    return this->route->MayReexecute() || this->route->resumable;
   }
   /// Prompt tokens that other requests share.
   double SharedTokens() const;
--- a/dragonflyglade/gateway/spend_record.cc
+++ b/dragonflyglade/gateway/spend_record.cc
@@ -23,12 +23,13 @@
   return absl::AbsDuration(now - record.written) <= kOldest;
 }
 
-std::map<std::string, double, std::less<>> FleetSpent(
+std::map<std::string, double, std::less<>> SpendingByWorkspace(
     const SpendRecord& record) {
   std::map<std::string, double, std::less<>> spent;
   for (const ProcessSpend& process : record.processes) {
     for (const auto& [workspace, tokens] : process.tokens) {
-      spent[workspace] += (1 + kSpentAfterRecord) * static_cast<double>(tokens);
+      spent[workspace] +=
+          (1 + kUnrecordedSpendingShare) * static_cast<double>(tokens);
     }
   }
   return spent;
--- a/dragonflyglade/gateway/spend_record.h
+++ b/dragonflyglade/gateway/spend_record.h
@@ -33,14 +33,14 @@
 
 /// What all processes spent, by workspace, and a part more for what they may
 /// have spent between the record and their end.
-std::map<std::string, double, std::less<>> FleetSpent(
+std::map<std::string, double, std::less<>> SpendingByWorkspace(
     const SpendRecord& record);
 
 /// Whether callers were sent to the instance.
 bool WasListed(const SpendRecord& record, std::string_view instance);
 
-/// See FleetSpent.
-inline constexpr double kSpentAfterRecord = 0.3;
+/// See SpendingByWorkspace.
+inline constexpr double kUnrecordedSpendingShare = 0.3;
 
 /// As compressed JSON: a few kilobytes for some tens of processes, which each
 /// instance that follows the store reads at each change.
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A flood shows in the record within this time; see kSpentAfterRecord.
+// A flood shows in the record within this time; see kUnrecordedSpendingShare.
 constexpr absl::Duration kLookEvery = absl::Milliseconds(500);
 // Each write is a call, so that a record stands for this long while no
 // workspace spends much more than it says.
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-SpendRecorder::SpendRecorder(asio::io_context& context, StoreLink& store,
-                             ReportHub& hub, const DutyLease& duty,
+SpendRecorder::SpendRecorder(asio::io_context& context, StoreClient& store,
+                             ReportAggregator& hub, const LeaderLease& duty,
                              EventLog& log, TimeOfDay time_of_day)
     : context(context),
       store(store),
@@ -52,7 +52,7 @@
 asio::awaitable<bool> SpendRecorder::TakeOver() {
   const std::string key(FleetState::kSpendsKey);
   StoreCall call = StoreList{key, ""};
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   const auto* page = std::get_if<StorePage>(&reply);
   if (page == nullptr) co_return false;
@@ -77,8 +77,8 @@
 bool SpendRecorder::Stands(const SpendRecord& newer) const {
   const absl::Duration age = newer.written - this->last.written;
   if (age < absl::ZeroDuration() || age >= kRecordStands) return false;
-  const auto known = FleetSpent(this->last);
-  const auto spent = FleetSpent(newer);
+  const auto known = SpendingByWorkspace(this->last);
+  const auto spent = SpendingByWorkspace(newer);
   return std::all_of(spent.begin(), spent.end(), [&](const auto& item) {
     const auto found = known.find(item.first);
     return found != known.end() && item.second <= kMuchMore * found->second;
@@ -88,16 +88,16 @@
 asio::awaitable<void> SpendRecorder::Record() {
   SpendRecord record;
   record.written = this->time_of_day();
-  record.processes = this->hub.SpendsByProcess();
-  if (FleetSpent(record).empty() || this->Stands(record)) co_return;
+  record.processes = this->hub.SpendingByProcess();
+  if (SpendingByWorkspace(record).empty() || this->Stands(record)) co_return;
   StoreTransaction transaction;
   // A holder that was replaced and does not know it yet writes nothing.
   transaction.expected.push_back(
-      {std::string(FleetState::kDutyKey), this->duty.Fence()});
+      {std::string(FleetState::kLeaderKey), this->duty.Fence()});
   transaction.puts.push_back(
       {std::string(FleetState::kSpendsKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), kCallTimeout);
   if (std::holds_alternative<StoreCommitted>(reply)) {
     this->last = std::move(record);
--- a/dragonflyglade/gateway/spend_recorder.h
+++ b/dragonflyglade/gateway/spend_recorder.h
@@ -5,12 +5,12 @@
 #include <functional>
 
 #include "absl/time/time.h"
-#include "dragonflyglade/decision/duty_lease.h"
+#include "dragonflyglade/decision/leader_lease.h"
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 #include "dragonflyglade/gateway/spend_record.h"
-#include "dragonflyglade/gateway/store_link.h"
+#include "dragonflyglade/gateway/store_client.h"
 
 namespace dragonflyglade::gateway {
 
@@ -20,8 +20,8 @@
  public:
   using TimeOfDay = std::function<absl::Time()>;
 
-  SpendRecorder(boost::asio::io_context& context, StoreLink& store,
-                ReportHub& hub, const DutyLease& duty, EventLog& log,
+  SpendRecorder(boost::asio::io_context& context, StoreClient& store,
+                ReportAggregator& hub, const LeaderLease& duty, EventLog& log,
                 TimeOfDay time_of_day);
 
   /// Runs until the process ends.
@@ -33,9 +33,9 @@
   boost::asio::awaitable<void> Record();
 
   boost::asio::io_context& context;
-  StoreLink& store;
-  ReportHub& hub;
-  const DutyLease& duty;
+  StoreClient& store;
+  ReportAggregator& hub;
+  const LeaderLease& duty;
   EventLog& log;
   const TimeOfDay time_of_day;
   SpendRecord last;  ///< as written last
--- a/dragonflyglade/gateway/step_timer.cc
+++ b/dragonflyglade/gateway/step_timer.cc
@@ -15,10 +15,10 @@
 }  // namespace
 
 StepTimer::StepTimer(boost::asio::io_context& context, Clock clock,
-                     std::function<bool()> bytes_wait)
+                     std::function<bool()> has_unread_bytes)
     : timer(context),
       clock(std::move(clock)),
-      bytes_wait(std::move(bytes_wait)) {}
+      has_unread_bytes(std::move(has_unread_bytes)) {}
 
 StepTimer::~StepTimer() { *this->step += 1; }
 
@@ -55,7 +55,7 @@
 bool StepTimer::LooksAgain(Looks& looks) const {
   const Instant now = this->clock.Now();
   if (!looks.first.has_value()) looks.first = now;
-  looks.quiet = this->bytes_wait() ? 0 : looks.quiet + 1;
+  looks.quiet = this->has_unread_bytes() ? 0 : looks.quiet + 1;
   if (looks.quiet >= kQuietLooks) return false;
   return now - *looks.first < kLongestLooking;
 }
--- a/dragonflyglade/gateway/step_timer.h
+++ b/dragonflyglade/gateway/step_timer.h
@@ -23,9 +23,10 @@
   /// @param late how much after its end
   using Expired = std::function<void(absl::Duration late)>;
 
-  /// @param bytes_wait whether the connection has bytes that are not read yet
+  /// @param has_unread_bytes whether the connection has bytes that are not read
+  /// yet
   StepTimer(boost::asio::io_context& context, Clock clock,
-            std::function<bool()> bytes_wait);
+            std::function<bool()> has_unread_bytes);
   ~StepTimer();
   StepTimer(const StepTimer&) = delete;
   StepTimer& operator=(const StepTimer&) = delete;
@@ -49,7 +50,7 @@
 
   boost::asio::steady_timer timer;
   const Clock clock;
-  const std::function<bool()> bytes_wait;
+  const std::function<bool()> has_unread_bytes;
   /// The present step's number; handlers share it, since they may outlive this.
   std::shared_ptr<std::int64_t> step = std::make_shared<std::int64_t>(0);
 };
--- a/dragonflyglade/gateway/store_link.cc
+++ b/dragonflyglade/gateway/store_client.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/store_link.h"
+#include "dragonflyglade/gateway/store_client.h"
 
 #include <fmt/format.h>
 
@@ -27,43 +27,45 @@
   std::string_view operator()(const StoreTransaction&) const {
     return "transaction";
   }
-  std::string_view operator()(const StoreGrant&) const { return "grant"; }
-  std::string_view operator()(const StoreRenewal&) const { return "renewal"; }
-  std::string_view operator()(const StoreLeaseEnd&) const {
+  std::string_view operator()(const StoreLeaseGrant&) const { return "grant"; }
+  std::string_view operator()(const StoreLeaseRenewal&) const {
+    return "renewal";
+  }
+  std::string_view operator()(const StoreLeaseRevoke&) const {
     return "lease end";
   }
 };
 
 }  // namespace
 
-StoreLink::StoreLink(asio::io_context& context, Endpoint store,
-                     const WireFormat& wire, Metrics& metrics, Clock clock)
+StoreClient::StoreClient(asio::io_context& context, Endpoint store,
+                         const WireFormat& wire, Metrics& metrics, Clock clock)
     : context(context),
       address(store.ToString()),
       wire(wire),
       metrics(metrics),
       clock(std::move(clock)) {}
 
-asio::awaitable<StoreReply> StoreLink::Call(StoreCall call,
-                                            absl::Duration timeout) {
-  const HttpCallText text = this->wire.encode_store_call(call);
+asio::awaitable<StoreResponse> StoreClient::Call(StoreCall call,
+                                                 absl::Duration timeout) {
+  const OutgoingHttpRequest text = this->wire.encode_store_call(call);
   TargetExchange exchange(this->context, this->connections, this->wire,
                           this->clock);
   const Instant begun = this->clock.Now();
-  std::string head = RequestText(text, this->address);
-  exchange.WaitWhileBytesCome(kStalled);
+  std::string head = RequestHeadText(text, this->address);
+  exchange.SetStallTimeout(kStalled);
   const ExchangeOutcome outcome = co_await exchange.Run(
       this->address, "", std::move(head), text.body, begun + timeout);
-  StoreReply reply = StoreUnknown{};
+  StoreResponse reply = StoreOutcomeUnknown{};
   std::string_view result = "unknown";
   std::size_t bytes = 0;
   if (const auto* whole = std::get_if<WholeAnswer>(&outcome)) {
     bytes = whole->body.size();
     reply =
-        this->wire.decode_store_reply(call, whole->head.status, whole->body);
+        this->wire.decode_store_response(call, whole->head.status, whole->body);
     result = "answered";
   } else if (const auto* lost = std::get_if<Lost>(&outcome)) {
-    reply = StoreUnknown{lost->why};
+    reply = StoreOutcomeUnknown{lost->why};
   } else if (std::holds_alternative<NotSent>(outcome)) {
     reply = StoreRefused{};
     result = "not sent";
--- a/dragonflyglade/gateway/store_link.h
+++ b/dragonflyglade/gateway/store_client.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
 
 #include <boost/asio/io_context.hpp>
 
@@ -16,15 +16,15 @@
 
 /// Calls to the store, each with a time-out of its own. A connection on which
 /// an answer failed to come is never used again. One event loop.
-class StoreLink {
+class StoreClient {
  public:
-  StoreLink(boost::asio::io_context& context, Endpoint store,
-            const WireFormat& wire, Metrics& metrics, Clock clock);
+  StoreClient(boost::asio::io_context& context, Endpoint store,
+              const WireFormat& wire, Metrics& metrics, Clock clock);
 
   /// @param timeout until the answer begins; it goes on while bytes come
-  /// @return StoreUnknown if the call may have been carried out unheard
-  boost::asio::awaitable<StoreReply> Call(StoreCall call,
-                                          absl::Duration timeout);
+  /// @return StoreOutcomeUnknown if the call may have been carried out unheard
+  boost::asio::awaitable<StoreResponse> Call(StoreCall call,
+                                             absl::Duration timeout);
 
  private:
   boost::asio::io_context& context;
@@ -37,4 +37,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_LINK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_CLIENT_H_
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -27,8 +27,8 @@
 }  // namespace
 
 StoreRelay::StoreRelay(asio::io_context& context, FleetState& fleet,
-                       StoreNews& news, InstanceRecord self, Metrics& metrics,
-                       EventLog& log, Clock clock)
+                       StoreSyncState& news, InstanceRecord self,
+                       Metrics& metrics, EventLog& log, Clock clock)
     : context(context),
       fleet(fleet),
       news(news),
@@ -40,7 +40,7 @@
 // Most instances know the same revision, and packing costs some milliseconds
 // of a small machine for a large configuration.
 const StoreRelay::Packed* StoreRelay::ChangesSince(std::uint64_t known) {
-  const RecentChanges& recent = this->fleet.Recent();
+  const RecentChanges& recent = this->fleet.RecentUrgentChanges();
   if (recent.Version() != this->packed_version) this->packed.clear();
   this->packed_version = recent.Version();
   const auto found = this->packed.find(known);
@@ -55,7 +55,7 @@
   return &this->packed.emplace(known, std::move(packed)).first->second;
 }
 
-wire::StoreDigest StoreRelay::DigestFor(std::uint64_t known) {
+wire::StoreDigest StoreRelay::DigestSince(std::uint64_t known) {
   const Packed* changes = this->ChangesSince(known);
   if (changes == nullptr) return this->DigestOf("");
   wire::StoreDigest digest = this->DigestOf(changes->bytes);
@@ -64,8 +64,8 @@
   return digest;
 }
 
-void StoreRelay::TakeDigest(const wire::StoreDigest& digest) {
-  StoreWord word;
+void StoreRelay::ReceiveDigest(const wire::StoreDigest& digest) {
+  RelayDigest word;
   word.urgent_revision = static_cast<std::uint64_t>(digest.urgent_revision);
   word.confirmed_at = this->clock.Now() - absl::Milliseconds(digest.age_ms);
   word.changes_through = static_cast<std::uint64_t>(digest.changes_through);
@@ -91,11 +91,12 @@
   if (this->on_taken) this->on_taken();
 }
 
-std::string StoreRelay::PackDuty() const {
-  auto changes = this->fleet.Recent().Since(this->fleet.DutyRevision() - 1);
+std::string StoreRelay::PackLeaderRecord() const {
+  auto changes =
+      this->fleet.RecentUrgentChanges().Since(this->fleet.LeaderRevision() - 1);
   if (!changes.has_value()) return "";
   std::erase_if(*changes, [](const StoreEvent& event) {
-    return event.item.key != FleetState::kDutyKey;
+    return event.item.key != FleetState::kLeaderKey;
   });
   return PackChanges(*changes, kMostPackedBytes).bytes;
 }
@@ -113,17 +114,17 @@
 
 void StoreRelay::SendDigest(std::uint64_t known, const std::string& address) {
   wire::FleetMessage message;
-  message.__set_store(this->DigestFor(known));
+  message.__set_store(this->DigestSince(known));
   this->send(message, address);
 }
 
-void StoreRelay::TakeQuestion(const wire::StoreQuestion& question) {
+void StoreRelay::ReceiveQuestion(const wire::StoreQuestion& question) {
   const auto known = static_cast<std::uint64_t>(question.known);
   this->askers[question.address] = {known, this->clock.Now()};
   this->SendDigest(known, question.address);
 }
 
-void StoreRelay::TellAskers() {
+void StoreRelay::NotifySubscribers() {
   const Instant now = this->clock.Now();
   for (auto asker = this->askers.begin(); asker != this->askers.end();) {
     if (now - asker->second.at > kAskerStays) {
@@ -136,15 +137,15 @@
 }
 
 bool StoreRelay::IsFollower() const {
-  return this->fleet.FollowsStore(this->self.name);
+  return this->fleet.IsRelayInstance(this->self.name);
 }
 
-asio::awaitable<void> StoreRelay::AskWhileSilent() {
+asio::awaitable<void> StoreRelay::QueryRelaysWhileStale() {
   while (true) {
     co_await Sleep(this->context, kAskEvery);
-    if (!this->IsFollower() && this->news.WordAge() > kOldWord) this->Ask();
-    if (this->news.IsLed() == this->led) continue;
-    this->led = this->news.IsLed();
+    if (!this->IsFollower() && this->news.DigestAge() > kOldWord) this->Ask();
+    if (this->news.HasLiveRelay() == this->led) continue;
+    this->led = this->news.HasLiveRelay();
     this->log.Write("store", this->led ? "led" : "not led",
                     {{"known_through", this->news.KnownThrough()},
                      {"behind", this->news.IsBehind()}});
@@ -153,7 +154,8 @@
 
 // In turn, since one of them may be dead, or cut off from here.
 void StoreRelay::Ask() {
-  const std::vector<const InstanceRecord*>& followers = this->fleet.Followers();
+  const std::vector<const InstanceRecord*>& followers =
+      this->fleet.RelayInstances();
   if (followers.empty()) return;
   const InstanceRecord* follower = followers[this->turn % followers.size()];
   this->turn += 1;
--- a/dragonflyglade/gateway/store_relay.h
+++ b/dragonflyglade/gateway/store_relay.h
@@ -14,7 +14,7 @@
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "dragonflyglade/peer/generated/fleet_types.h"
 
@@ -32,36 +32,38 @@
                                          const std::string& address)>;
 
   StoreRelay(boost::asio::io_context& context, FleetState& fleet,
-             StoreNews& news, InstanceRecord self, Metrics& metrics,
+             StoreSyncState& news, InstanceRecord self, Metrics& metrics,
              EventLog& log, Clock clock);
 
   /// How messages leave; set once, before anything else is called.
   void OnSend(SendMessage send) { this->send = std::move(send); }
   /// Called after another instance's word was applied.
-  void OnTaken(std::function<void()> act) { this->on_taken = std::move(act); }
+  void OnDigestApplied(std::function<void()> act) {
+    this->on_taken = std::move(act);
+  }
 
   /// What an instance lacks that knows all urgent changes through a revision.
-  wire::StoreDigest DigestFor(std::uint64_t known);
+  wire::StoreDigest DigestSince(std::uint64_t known);
 
   /// Applies what another instance says.
-  void TakeDigest(const wire::StoreDigest& digest);
+  void ReceiveDigest(const wire::StoreDigest& digest);
 
   /// Answers an instance that asks.
-  void TakeQuestion(const wire::StoreQuestion& question);
+  void ReceiveQuestion(const wire::StoreQuestion& question);
 
   /// Tells those that asked lately what is new.
-  void TellAskers();
+  void NotifySubscribers();
 
   /// Sends an instance what it lacks.
   void SendDigest(std::uint64_t known, const std::string& address);
 
   /// Who holds the placing duty, packed, for any number of DigestOf.
-  std::string PackDuty() const;
+  std::string PackLeaderRecord() const;
   /// Packed changes for instances of which it is not known what else they know.
   wire::StoreDigest DigestOf(std::string changes) const;
 
   /// Asks other followers while nobody speaks; runs until the process ends.
-  boost::asio::awaitable<void> AskWhileSilent();
+  boost::asio::awaitable<void> QueryRelaysWhileStale();
 
  private:
   /// Changes packed for all that know the same revision.
@@ -81,7 +83,7 @@
 
   boost::asio::io_context& context;
   FleetState& fleet;
-  StoreNews& news;
+  StoreSyncState& news;
   const InstanceRecord self;
   Metrics& metrics;
   EventLog& log;
--- a/dragonflyglade/gateway/store_news.cc
+++ b/dragonflyglade/gateway/store_sync_state.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-StoreNews::StoreNews(boost::asio::io_context& context, Clock clock)
+StoreSyncState::StoreSyncState(boost::asio::io_context& context, Clock clock)
     : clock(std::move(clock)), changed(context) {}
 
-void StoreNews::Read(std::uint64_t revision, std::uint64_t urgent) {
+void StoreSyncState::Read(std::uint64_t revision, std::uint64_t urgent) {
   const bool is_new = urgent > this->urgent_revision;
   this->read_through = std::max(this->read_through, revision);
   this->urgent_revision = std::max(this->urgent_revision, urgent);
@@ -31,7 +31,7 @@
   if (is_new && this->on_urgent) this->on_urgent();
 }
 
-void StoreNews::Told(const StoreWord& word) {
+void StoreSyncState::Told(const RelayDigest& word) {
   const bool progress = word.changes_through > this->known_through;
   this->known_through = std::max(this->known_through, word.changes_through);
   this->told_revision = std::max(this->told_revision, word.urgent_revision);
@@ -45,7 +45,7 @@
   this->changed.Notify();
 }
 
-void StoreNews::LookBehind(bool progress) {
+void StoreSyncState::LookBehind(bool progress) {
   if (this->told_revision <= this->known_through) {
     this->behind_since.reset();
   } else if (progress || !this->behind_since.has_value()) {
@@ -53,19 +53,21 @@
   }
 }
 
-absl::Duration StoreNews::WordAge() const {
+absl::Duration StoreSyncState::DigestAge() const {
   return this->clock.Now() - this->told_confirmed_at;
 }
 
-bool StoreNews::IsLed() const { return this->WordAge() < kWordHolds; }
+bool StoreSyncState::HasLiveRelay() const {
+  return this->DigestAge() < kWordHolds;
+}
 
-bool StoreNews::MustRead() const {
+bool StoreSyncState::MustReadStore() const {
   return this->behind_since.has_value() &&
          this->clock.Now() - *this->behind_since > kBehindAtMost;
 }
 
-absl::Duration StoreNews::SteadyFor() const {
-  if (!this->IsLed()) return absl::ZeroDuration();
+absl::Duration StoreSyncState::StoreUptime() const {
+  if (!this->HasLiveRelay()) return absl::ZeroDuration();
   return this->clock.Now() - this->told_steady_since;
 }
 
--- a/dragonflyglade/gateway/store_news.h
+++ b/dragonflyglade/gateway/store_sync_state.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -12,7 +12,7 @@
 namespace dragonflyglade::gateway {
 
 /// What an instance that follows the store says of it.
-struct StoreWord {
+struct RelayDigest {
   /// The newest revision with an urgent change: of the configuration, of which
   /// targets and instances there are, or of the duty.
   std::uint64_t urgent_revision = 0;
@@ -25,19 +25,21 @@
 
 /// What this instance knows of the store, and how old that is: by its own
 /// reads, and by the word of instances that follow the store. One event loop.
-class StoreNews {
+class StoreSyncState {
  public:
-  StoreNews(boost::asio::io_context& context, Clock clock);
+  StoreSyncState(boost::asio::io_context& context, Clock clock);
 
   /// An own read brought all changes up to a revision.
   /// @param urgent the newest revision with an urgent change
   void Read(std::uint64_t revision, std::uint64_t urgent);
 
   /// Another instance's word came, and its changes were applied.
-  void Told(const StoreWord& word);
+  void Told(const RelayDigest& word);
 
   /// Called when an own read brought an urgent change.
-  void OnUrgent(std::function<void()> act) { this->on_urgent = std::move(act); }
+  void OnUrgentChange(std::function<void()> act) {
+    this->on_urgent = std::move(act);
+  }
 
   /// By own reads: the newest urgent change, the revision through which all
   /// changes are known, and when the store said so.
@@ -51,21 +53,21 @@
 
   /// Whether an instance that follows the store spoke lately enough to rely on
   /// its word.
-  bool IsLed() const;
+  bool HasLiveRelay() const;
 
   /// Whether others know of urgent changes that this instance lacks.
   bool IsBehind() const { return this->behind_since.has_value(); }
 
   /// Whether it has lacked them for so long that they must be read.
-  bool MustRead() const;
+  bool MustReadStore() const;
 
   /// For how long the store has answered those that follow it, without a
   /// pause; zero if nobody speaks for it.
-  absl::Duration SteadyFor() const;
+  absl::Duration StoreUptime() const;
 
   /// How old the newest word is, from when its sender heard the store;
   /// unlimited if none came.
-  absl::Duration WordAge() const;
+  absl::Duration DigestAge() const;
 
   /// Notified at each word.
   Signal& Changed() { return this->changed; }
@@ -90,4 +92,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_NEWS_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_SYNC_STATE_H_
--- a/dragonflyglade/gateway/store_types.h
+++ b/dragonflyglade/gateway/store_types.h
@@ -38,7 +38,7 @@
 };
 
 /// A condition of a transaction.
-struct StoreExpectation {
+struct StorePrecondition {
   std::string key;
   std::uint64_t revision = 0;  ///< 0: the key does not exist
 };
@@ -52,7 +52,7 @@
 
 /// All or nothing.
 struct StoreTransaction {
-  std::vector<StoreExpectation> expected;
+  std::vector<StorePrecondition> expected;
   std::vector<StorePut> puts;
   std::vector<std::string> deletes;
 };
@@ -67,17 +67,18 @@
   std::uint64_t after = 0;
   absl::Duration wait;
 };
-struct StoreGrant {
+struct StoreLeaseGrant {
   absl::Duration ttl;
 };
-struct StoreRenewal {
+struct StoreLeaseRenewal {
   std::uint64_t lease = 0;
 };
-struct StoreLeaseEnd {
+struct StoreLeaseRevoke {
   std::uint64_t lease = 0;
 };
-using StoreCall = std::variant<StoreList, StoreWatch, StoreTransaction,
-                               StoreGrant, StoreRenewal, StoreLeaseEnd>;
+using StoreCall =
+    std::variant<StoreList, StoreWatch, StoreTransaction, StoreLeaseGrant,
+                 StoreLeaseRenewal, StoreLeaseRevoke>;
 
 /// The answers of the store.
 struct StoreCommitted {
@@ -90,7 +91,7 @@
 /// A condition did not hold; nothing was written.
 struct StoreConflict {};
 /// No such lease.
-struct StoreNoLease {};
+struct StoreLeaseNotFound {};
 /// The history since the revision is no longer kept: list again.
 struct StoreCompacted {};
 /// The store says that it did nothing: busy, too many calls or refused.
@@ -98,12 +99,13 @@
   int status = 0;
 };
 /// No answer, or none that can be read: it may have been carried out.
-struct StoreUnknown {
+struct StoreOutcomeUnknown {
   std::string detail;
 };
-using StoreReply = std::variant<StorePage, StoreEvents, StoreCommitted,
-                                StoreLease, StoreConflict, StoreNoLease,
-                                StoreCompacted, StoreRefused, StoreUnknown>;
+using StoreResponse =
+    std::variant<StorePage, StoreEvents, StoreCommitted, StoreLease,
+                 StoreConflict, StoreLeaseNotFound, StoreCompacted,
+                 StoreRefused, StoreOutcomeUnknown>;
 
 }  // namespace dragonflyglade::gateway
 
--- a/dragonflyglade/gateway/store_follower.cc
+++ b/dragonflyglade/gateway/store_watcher.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/gateway/store_follower.h"
+#include "dragonflyglade/gateway/store_watcher.h"
 
 #include <fmt/format.h>
 
@@ -37,11 +37,11 @@
 // each waiting call counts.
 constexpr const char* kAllKeys = "";
 
-std::string WhyNot(const StoreReply& reply) {
+std::string WhyNot(const StoreResponse& reply) {
   if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
     return fmt::format("refused with status {}", refused->status);
   }
-  if (const auto* unknown = std::get_if<StoreUnknown>(&reply)) {
+  if (const auto* unknown = std::get_if<StoreOutcomeUnknown>(&reply)) {
     return "no answer: " + unknown->detail;
   }
   return "unexpected answer";
@@ -49,9 +49,9 @@
 
 }  // namespace
 
-StoreFollower::StoreFollower(asio::io_context& context, StoreLink& store,
-                             FleetState& fleet, StoreNews& news,
-                             std::string self, EventLog& log, Clock clock)
+StoreWatcher::StoreWatcher(asio::io_context& context, StoreClient& store,
+                           FleetState& fleet, StoreSyncState& news,
+                           std::string self, EventLog& log, Clock clock)
     : context(context),
       store(store),
       fleet(fleet),
@@ -60,14 +60,14 @@
       log(log),
       clock(std::move(clock)) {}
 
-asio::awaitable<void> StoreFollower::Run() {
+asio::awaitable<void> StoreWatcher::Run() {
   while (true) {
     const bool listed = co_await this->List();
     if (!listed) continue;
     bool history_kept = true;
     while (history_kept) {
       history_kept = co_await this->Watch();
-      this->fleet.Sweep();
+      this->fleet.RemoveExpiredTargets();
     }
     this->log.Write(
         "store", "listing anew",
@@ -75,14 +75,15 @@
   }
 }
 
-asio::awaitable<bool> StoreFollower::List() {
+asio::awaitable<bool> StoreWatcher::List() {
   std::vector<StoreItem> items;
   std::optional<std::uint64_t> first_revision;
   std::string after;
   bool more = true;
   while (more) {
     StoreCall call = StoreList{kAllKeys, after};
-    StoreReply reply = co_await this->store.Call(std::move(call), kListTimeout);
+    StoreResponse reply =
+        co_await this->store.Call(std::move(call), kListTimeout);
     auto* page = std::get_if<StorePage>(&reply);
     if (page == nullptr) {
       co_await this->NotHeard(WhyNot(reply));
@@ -108,20 +109,20 @@
 }
 
 // Those that follow the store for others read it themselves.
-bool StoreFollower::IsLed() const {
-  return this->news.IsLed() && !this->fleet.FollowsStore(this->self);
+bool StoreWatcher::HasLiveRelay() const {
+  return this->news.HasLiveRelay() && !this->fleet.IsRelayInstance(this->self);
 }
 
-asio::awaitable<void> StoreFollower::WaitWhileLed() {
-  while (this->IsLed() && !this->news.MustRead()) {
+asio::awaitable<void> StoreWatcher::WaitWhileLed() {
+  while (this->HasLiveRelay() && !this->news.MustReadStore()) {
     co_await this->news.Changed().Wait(kLedLook);
     // Targets whose time of grace ends while nothing is read.
-    this->fleet.Sweep();
+    this->fleet.RemoveExpiredTargets();
   }
 }
 
-absl::Duration StoreFollower::PauseBetweenReads() const {
-  if (this->fleet.FollowsStore(this->self)) return kShortestPause;
+absl::Duration StoreWatcher::PauseBetweenReads() const {
+  if (this->fleet.IsRelayInstance(this->self)) return kShortestPause;
   const auto instances = static_cast<double>(this->fleet.Instances().size());
   return std::clamp(kPausePerInstance * instances, kShortestPause,
                     kLongestPause);
@@ -130,23 +131,23 @@
 // What others' word brought need not be read again. That leaves out what is not
 // urgent: adapters and kept weights of targets. Whoever follows the store may
 // come to give orders, and must know these.
-void StoreFollower::SkipWhatIsKnown() {
-  if (this->fleet.FollowsStore(this->self)) return;
+void StoreWatcher::SkipWhatIsKnown() {
+  if (this->fleet.IsRelayInstance(this->self)) return;
   if (this->news.KnownThrough() <= this->revision) return;
   this->revision = this->news.KnownThrough();
   this->lacks_details = true;
 }
 
-asio::awaitable<bool> StoreFollower::Watch() {
+asio::awaitable<bool> StoreWatcher::Watch() {
   co_await this->WaitWhileLed();
-  if (this->lacks_details && this->fleet.FollowsStore(this->self)) {
+  if (this->lacks_details && this->fleet.IsRelayInstance(this->self)) {
     co_return false;
   }
   this->SkipWhatIsKnown();
   const absl::Duration wait =
-      this->fleet.FollowsStore(this->self) ? kFollowersWait : kWatchWait;
+      this->fleet.IsRelayInstance(this->self) ? kFollowersWait : kWatchWait;
   StoreCall call = StoreWatch{kAllKeys, this->revision, wait};
-  const StoreReply reply =
+  const StoreResponse reply =
       co_await this->store.Call(std::move(call), wait + kAnswerTime);
   if (std::holds_alternative<StoreCompacted>(reply)) {
     this->Heard();
@@ -173,24 +174,24 @@
   co_return true;
 }
 
-void StoreFollower::Heard() {
+void StoreWatcher::Heard() {
   if (!this->away_since.has_value()) return;
   this->log.Write("store", "regained",
                   {{"away_ms", this->clock.Now() - *this->away_since},
                    {"revision", this->revision}});
   this->away_since.reset();
-  if (!this->StoreStayed()) this->fleet.StoreReturned();
+  if (!this->StoreStayed()) this->fleet.HandleStoreRecovery();
 }
 
 // Entries lapse only while the store is away for all. If it turned away just
 // this instance and answered those that follow it throughout, what is missing
 // is gone, and believing in it for longer would send requests to a target that
 // left.
-bool StoreFollower::StoreStayed() const {
-  return this->news.SteadyFor() > kEntriesBack;
+bool StoreWatcher::StoreStayed() const {
+  return this->news.StoreUptime() > kEntriesBack;
 }
 
-asio::awaitable<void> StoreFollower::NotHeard(std::string_view why) {
+asio::awaitable<void> StoreWatcher::NotHeard(std::string_view why) {
   if (!this->away_since.has_value()) {
     this->away_since = this->clock.Now();
     this->log.Write("store", "lost",
--- a/dragonflyglade/gateway/store_follower.h
+++ b/dragonflyglade/gateway/store_watcher.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
-#define DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
+#define DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -11,8 +11,8 @@
 #include "dragonflyglade/gateway/awaitable.h"
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
-#include "dragonflyglade/gateway/store_link.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_client.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 namespace dragonflyglade::gateway {
 
@@ -24,18 +24,18 @@
 /// the two apart. While an instance that follows the store speaks, and brings
 /// the urgent changes, this one reads nothing: calls then do not grow with the
 /// instances. One event loop.
-class StoreFollower {
+class StoreWatcher {
  public:
   /// @param self the name of this instance
-  StoreFollower(boost::asio::io_context& context, StoreLink& store,
-                FleetState& fleet, StoreNews& news, std::string self,
-                EventLog& log, Clock clock);
+  StoreWatcher(boost::asio::io_context& context, StoreClient& store,
+               FleetState& fleet, StoreSyncState& news, std::string self,
+               EventLog& log, Clock clock);
 
   /// Runs until the process ends.
   boost::asio::awaitable<void> Run();
 
   /// Whether the last call was answered.
-  bool InContact() const { return !this->away_since.has_value(); }
+  bool IsStoreReachable() const { return !this->away_since.has_value(); }
   /// The revision that the state stands at, but for details of targets.
   std::uint64_t Revision() const { return this->revision; }
 
@@ -43,7 +43,7 @@
   boost::asio::awaitable<bool> List();
   boost::asio::awaitable<bool> Watch();
   boost::asio::awaitable<void> WaitWhileLed();
-  bool IsLed() const;
+  bool HasLiveRelay() const;
   void SkipWhatIsKnown();
   absl::Duration PauseBetweenReads() const;
   bool StoreStayed() const;
@@ -51,9 +51,9 @@
   boost::asio::awaitable<void> NotHeard(std::string_view why);
 
   boost::asio::io_context& context;
-  StoreLink& store;
+  StoreClient& store;
   FleetState& fleet;
-  StoreNews& news;
+  StoreSyncState& news;
   const std::string self;
   EventLog& log;
   const Clock clock;
@@ -65,4 +65,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_STORE_FOLLOWER_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_STORE_WATCHER_H_
--- a/dragonflyglade/gateway/target_connection.cc
+++ b/dragonflyglade/gateway/target_connection.cc
@@ -21,7 +21,7 @@
 // answer, or a target that closed. Such a connection must not be used.
 bool IsQuiet(TargetConnection& connection) {
   if (connection.buffer.size() > 0) return false;
-  return PeekSocket(connection.socket) == SocketState::kQuiet;
+  return PeekSocket(connection.socket) == SocketState::kNoData;
 }
 
 }  // namespace
--- a/dragonflyglade/gateway/target_exchange.cc
+++ b/dragonflyglade/gateway/target_exchange.cc
@@ -170,7 +170,7 @@
       asio::redirect_error(asio::use_awaitable, error));
   if (error) co_return this->LostBy(error);
   // Interim answers carry nothing that is passed on.
-  this->head = this->wire.decode_answer(
+  this->head = this->wire.decode_response_head(
       HeadText<false>(this->parser->get().base(), this->parser->keep_alive()));
   co_return std::nullopt;
 }
@@ -245,10 +245,10 @@
   co_return WholeAnswer{this->head, std::move(answer)};
 }
 
-asio::awaitable<StreamPiece> TargetExchange::Read() {
+asio::awaitable<StreamReadResult> TargetExchange::Read() {
   if (this->parser->is_done()) {
     this->Finish();
-    co_return StreamEnded{};
+    co_return EndOfStream{};
   }
   this->piece.resize(kReadBytes);
   auto& buffer = this->parser->get().body();
--- a/dragonflyglade/gateway/target_exchange.h
+++ b/dragonflyglade/gateway/target_exchange.h
@@ -26,7 +26,7 @@
 };
 /// The target says itself that it did not run the request.
 struct Declined {
-  AnswerHead head;
+  ResponseHead head;
 };
 /// The request left and no sound answer came: it may have run.
 struct Lost {
@@ -35,12 +35,12 @@
 };
 /// A whole answer, of the length that it states, to this request.
 struct WholeAnswer {
-  AnswerHead head;
+  ResponseHead head;
   std::string body;
 };
 /// The head of a stream of events; its bytes are read one by one.
 struct StreamHead {
-  AnswerHead head;
+  ResponseHead head;
 };
 using ExchangeOutcome =
     std::variant<NotSent, Declined, Lost, WholeAnswer, StreamHead>;
@@ -50,8 +50,8 @@
   std::string_view bytes;  ///< valid until the next read
 };
 /// The stream ended as its framing says it should.
-struct StreamEnded {};
-using StreamPiece = std::variant<StreamBytes, StreamEnded, Lost>;
+struct EndOfStream {};
+using StreamReadResult = std::variant<StreamBytes, EndOfStream, Lost>;
 
 /// One request to one target on one connection. One event loop.
 ///
@@ -76,10 +76,10 @@
 
   /// From the head on, Run waits past its end for as long as bytes of the
   /// answer come, none later than this after the one before. Called before Run.
-  void WaitWhileBytesCome(absl::Duration stalled) { this->stalled = stalled; }
+  void SetStallTimeout(absl::Duration stalled) { this->stalled = stalled; }
 
   /// The next part of a stream, after Run gave a StreamHead.
-  boost::asio::awaitable<StreamPiece> Read();
+  boost::asio::awaitable<StreamReadResult> Read();
 
   /// Ends the exchange from outside: closes the connection.
   void Abort(std::string_view why);
@@ -114,7 +114,7 @@
   std::shared_ptr<Written> written;
   std::optional<Parser> parser;
   std::string piece;
-  AnswerHead head;
+  ResponseHead head;
   std::string aborted_by;  ///< empty: not aborted
   Instant give_up;
   std::optional<absl::Duration> stalled;
--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -48,7 +48,7 @@
   this->absent_until.clear();
   this->connections.Clear();
   this->report.reset();
-  this->fault_share = 0;
+  this->failure_rate = 0;
   this->unreachable_in_row = 0;
   this->avoid_until = absl::ZeroDuration();
 }
@@ -77,19 +77,19 @@
   return false;
 }
 
-void TargetState::MarkAbsent(std::string_view model, std::string_view adapter,
-                             Instant now) {
+void TargetState::MarkNotResident(std::string_view model,
+                                  std::string_view adapter, Instant now) {
   this->absent_until[ResidentKey(model, adapter)] = now + kAbsenceHolds;
 }
 
-bool TargetState::ConfirmPlaced(Instant now) {
+bool TargetState::RefreshPlacement(Instant now) {
   if (!this->placed_at.has_value()) return false;
   this->placed_at = now;
   return true;
 }
 
-void TargetState::SetPlaced(std::set<std::string> adapters,
-                            std::set<std::string> closing, Instant now) {
+void TargetState::SetPlacement(std::set<std::string> adapters,
+                               std::set<std::string> closing, Instant now) {
   this->placed_adapters = std::move(adapters);
   this->closing_models = std::move(closing);
   this->placed_at = now;
@@ -125,13 +125,14 @@
   this->in_flight_at_report = this->in_flight;
 }
 
-void TargetState::SetOthers(double requests, double unread, Instant now) {
+void TargetState::SetOtherInstancesLoad(double requests, double unread,
+                                        Instant now) {
   this->others_requests = requests;
   this->others_unread = unread;
   this->others_at = now;
 }
 
-void TargetState::OthersSent(double prompt_tokens, Instant now) {
+void TargetState::AddSentByOthers(double prompt_tokens, Instant now) {
   this->others_sent.Add(prompt_tokens, now);
   this->pace.Add(prompt_tokens, now);
 }
@@ -157,8 +158,8 @@
 }
 
 void TargetState::Learn(TargetResult result, Instant now) {
-  const double fault = result == TargetResult::kSound ? 0 : 1;
-  this->fault_share += kFaultWeight * (fault - this->fault_share);
+  const double fault = result == TargetResult::kSuccess ? 0 : 1;
+  this->failure_rate += kFaultWeight * (fault - this->failure_rate);
   if (result != TargetResult::kUnreachable) {
     this->unreachable_in_row = 0;
     return;
