--- a/dragonflyglade/gateway/target_state.h
+++ b/dragonflyglade/gateway/target_state.h
@@ -19,8 +19,8 @@
 
 /// How a request ended, as far as it tells of its target.
 enum class TargetResult {
-  kSound,  ///< answered as it should
-  kFault,  ///< failed, broke off, or answered with an error of its own
+  kSuccess,  ///< answered as it should
+  kFailure,  ///< failed, broke off, or answered with an error of its own
   kUnreachable,
 };
 
@@ -42,17 +42,17 @@
   bool HoldsModel(std::string_view model) const;
 
   /// The target said that it lacks them, whatever its record says.
-  void MarkAbsent(std::string_view model, std::string_view adapter,
-                  Instant now);
+  void MarkNotResident(std::string_view model, std::string_view adapter,
+                       Instant now);
 
   /// The placing instance says which adapters are there, as ResidentKey, and
   /// which models are about to leave. While that is fresh it goes before the
   /// record, which lags by a heartbeat.
   /// What was told last still holds.
   /// @return false if nothing is known since the target's process started
-  bool ConfirmPlaced(Instant now);
-  void SetPlaced(std::set<std::string> adapters,
-                 std::set<std::string> closing_models, Instant now);
+  bool RefreshPlacement(Instant now);
+  void SetPlacement(std::set<std::string> adapters,
+                    std::set<std::string> closing_models, Instant now);
 
   /// Counts a request while it is at the target.
   /// @param adapter as ResidentKey; empty if it needs none
@@ -69,14 +69,14 @@
   /// What the target said of its load with an answer.
   void Reported(const LoadReport& report, Instant now);
   /// What other instances have there, by the last summary.
-  void SetOthers(double requests, double unread, Instant now);
+  void SetOtherInstancesLoad(double requests, double unread, Instant now);
   /// Another instance told of prompts that it just sent there.
-  void OthersSent(double prompt_tokens, Instant now);
+  void AddSentByOthers(double prompt_tokens, Instant now);
 
   /// Requests there, of this and all other instances, as far as known.
   double Requests(Instant now) const;
   double Unread(Instant now) const;
-  /// Prompt tokens that were sent faster than the pace; see PacingHold.
+  /// Prompt tokens that were sent faster than the pace; see PacingDelay.
   double AheadOfPace(Instant now) const { return this->pace.Level(now); }
 
   /// The target had no place for a request just now.
@@ -84,9 +84,9 @@
 
   /// Learns from a request's end.
   void Learn(TargetResult result, Instant now);
-  bool Avoided(Instant now) const { return now < this->avoid_until; }
+  bool IsAvoided(Instant now) const { return now < this->avoid_until; }
   /// 0 to 1: the part of the last requests that failed.
-  double FaultShare() const { return this->fault_share; }
+  double FaultShare() const { return this->failure_rate; }
 
   /// Set when the entry vanished although the target may live on.
   std::optional<Instant> missing_since;
@@ -108,9 +108,9 @@
   double others_requests = 0;
   double others_unread = 0;
   std::optional<Instant> others_at;
-  LeakyBucket others_sent{kReadPerMs};
-  LeakyBucket pace{kPacedPerMs};  ///< of what all instances send
-  double fault_share = 0;
+  LeakyBucket others_sent{kPrefillTokensPerMs};
+  LeakyBucket pace{kPacedPrefillTokensPerMs};  ///< of what all instances send
+  double failure_rate = 0;
   int unreachable_in_row = 0;
   Instant avoid_until;
 };
--- a/dragonflyglade/gateway/tasks.cc
+++ b/dragonflyglade/gateway/tasks.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "dragonflyglade/gateway/caught.h"
+#include "dragonflyglade/gateway/catch_exception.h"
 #include "dragonflyglade/gateway/signal.h"
 
 namespace dragonflyglade::gateway {
@@ -20,7 +20,7 @@
 void Tasks::Failed(std::string_view name, const std::exception_ptr& exception) {
   this->metrics.Count("task_failures", fmt::format("task=\"{}\"", name));
   this->log.Write("task", "failed",
-                  {{"task", name}, {"why", WhatOf(exception)}});
+                  {{"task", name}, {"why", ExceptionText(exception)}});
 }
 
 void Tasks::Spawn(std::string_view name, boost::asio::awaitable<void> task) {
@@ -30,7 +30,7 @@
                         });
 }
 
-void Tasks::KeepRunning(std::string_view name, TaskMaker make) {
+void Tasks::SpawnWithRestart(std::string_view name, TaskMaker make) {
   this->Spawn(name, this->RunAgain(name, std::move(make)));
 }
 
@@ -39,7 +39,7 @@
 boost::asio::awaitable<void> Tasks::RunAgain(std::string_view name,
                                              TaskMaker make) {
   while (true) {
-    const std::exception_ptr failure = co_await Caught(make());
+    const std::exception_ptr failure = co_await CatchException(make());
     if (!failure) co_return;
     this->Failed(name, failure);
     co_await Sleep(this->context, kPauseAfterFailure);
--- a/dragonflyglade/gateway/tasks.h
+++ b/dragonflyglade/gateway/tasks.h
@@ -27,7 +27,7 @@
 
   /// Starts a task that runs for as long as the process. It is made and run
   /// again, after a pause, when it ends by an exception.
-  void KeepRunning(std::string_view name, TaskMaker make);
+  void SpawnWithRestart(std::string_view name, TaskMaker make);
 
   /// Runs the event loop until it is stopped. An exception ends the handler
   /// that it comes from, and nothing else.
--- a/dragonflyglade/gateway/thrift_text.h
+++ b/dragonflyglade/gateway/thrift_codec.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_THRIFT_TEXT_H_
-#define DRAGONFLYGLADE_GATEWAY_THRIFT_TEXT_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_THRIFT_CODEC_H_
+#define DRAGONFLYGLADE_GATEWAY_THRIFT_CODEC_H_
 
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
@@ -41,4 +41,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_THRIFT_TEXT_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_THRIFT_CODEC_H_
--- a/dragonflyglade/gateway/holdings_book.cc
+++ b/dragonflyglade/gateway/versioned_holdings.cc
@@ -1,10 +1,10 @@
-#include "dragonflyglade/gateway/holdings_book.h"
+#include "dragonflyglade/gateway/versioned_holdings.h"
 
 #include <utility>
 
 namespace dragonflyglade::gateway {
 
-void HoldingsBook::Set(std::vector<wire::TargetHoldings> all) {
+void VersionedHoldings::Set(std::vector<wire::TargetHoldings> all) {
   std::map<std::string, Item> newer;
   for (wire::TargetHoldings& holdings : all) {
     const auto known = this->items.find(holdings.target);
@@ -19,9 +19,9 @@
   this->items = std::move(newer);
 }
 
-void HoldingsBook::Clear() { this->items.clear(); }
+void VersionedHoldings::Clear() { this->items.clear(); }
 
-std::vector<wire::TargetHoldings> HoldingsBook::Since(
+std::vector<wire::TargetHoldings> VersionedHoldings::Since(
     std::int64_t known) const {
   std::vector<wire::TargetHoldings> changed;
   for (const auto& [target, item] : this->items) {
--- a/dragonflyglade/gateway/holdings_book.h
+++ b/dragonflyglade/gateway/versioned_holdings.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
-#define DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
+#ifndef DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
+#define DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 /// What is at the targets, by versions, so that the holder of the placing duty
 /// tells an instance only what changed since the version that it knows. One
 /// event loop.
-class HoldingsBook {
+class VersionedHoldings {
  public:
   /// What is there now; targets that are missing from it are gone.
   /// Complexity: O(n log n) in the targets.
@@ -42,4 +42,4 @@
 
 }  // namespace dragonflyglade::gateway
 
-#endif  // DRAGONFLYGLADE_GATEWAY_HOLDINGS_BOOK_H_
+#endif  // DRAGONFLYGLADE_GATEWAY_VERSIONED_HOLDINGS_H_
--- a/dragonflyglade/gateway/wire_format.h
+++ b/dragonflyglade/gateway/wire_format.h
@@ -14,7 +14,7 @@
 namespace dragonflyglade::gateway {
 
 /// An HTTP call, free of any library's types.
-struct HttpCallText {
+struct OutgoingHttpRequest {
   std::string method;
   std::string path_and_query;
   HeaderFields fields;
@@ -22,7 +22,7 @@
 };
 
 /// An HTTP message's head, as a library parsed it.
-struct HttpHeadText {
+struct HttpMessageHead {
   std::string_view method;          ///< of requests
   std::string_view path_and_query;  ///< of requests
   int status = 0;                   ///< of answers
@@ -35,18 +35,20 @@
 /// decodes and encodes, and decides nothing.
 struct WireFormat {
   // Callers.
-  std::function<Result<CallerRequest>(const HttpHeadText&)> decode_request;
+  std::function<Result<CallerRequest>(const HttpMessageHead&)> decode_request;
   /// The fields that a caller's request is named by in an answer.
-  std::function<HeaderFields(const CallerRequest&)> answer_fields;
+  std::function<HeaderFields(const CallerRequest&)> response_fields;
 
   // Targets.
-  std::function<HeaderFields(const CallerRequest&, const TargetStamp&)>
-      target_fields;
-  std::function<AnswerHead(const HttpHeadText&)> decode_answer;
-  std::function<HttpCallText(std::string_view target, const EngineOrder&)>
+  std::function<HeaderFields(const CallerRequest&, const ForwardingContext&)>
+      target_request_fields;
+  std::function<ResponseHead(const HttpMessageHead&)> decode_response_head;
+  std::function<OutgoingHttpRequest(std::string_view target,
+                                    const EngineOrder&)>
       encode_order;
-  std::function<std::optional<OrderAnswer>(int status)> decode_order_answer;
-  std::function<HttpCallText(std::string_view target)> encode_report_call;
+  std::function<std::optional<OrderResponse>(int status)> decode_order_response;
+  std::function<OutgoingHttpRequest(std::string_view target)>
+      encode_report_call;
   std::function<Result<EngineReport>(std::string_view body)> decode_report;
 
   // What lies in the store.
@@ -59,17 +61,18 @@
       decode_target;
 
   // Calls to the store.
-  std::function<HttpCallText(const StoreCall&)> encode_store_call;
-  std::function<StoreReply(const StoreCall&, int status, std::string_view body)>
-      decode_store_reply;
+  std::function<OutgoingHttpRequest(const StoreCall&)> encode_store_call;
+  std::function<StoreResponse(const StoreCall&, int status,
+                              std::string_view body)>
+      decode_store_response;
 
   // Which instances to use, and readiness.
-  std::function<std::optional<DirectoryQuestion>(std::string_view path)>
-      decode_directory_question;
+  std::function<std::optional<DirectoryQuery>(std::string_view path)>
+      decode_directory_query;
   std::function<std::string(absl::Span<const std::string> addresses,
                             absl::Duration keep)>
-      encode_directory_answer;
-  std::function<bool(std::string_view path)> is_readiness_question;
+      encode_directory_response;
+  std::function<bool(std::string_view path)> is_readiness_check;
 };
 
 }  // namespace dragonflyglade::gateway
--- a/dragonflyglade/instance/allotment_keeper.cc
+++ b/dragonflyglade/instance/allotment_keeper.cc
@@ -19,18 +19,18 @@
 
 }  // namespace
 
-std::vector<HolderCandidate> WantedHolders(
-    std::string_view workspace, const std::vector<HolderCandidate>& able) {
+std::vector<OwnerCandidate> WantedHolders(
+    std::string_view workspace, const std::vector<OwnerCandidate>& able) {
   if (able.size() <= kSmallFleet) return able;
   std::vector<std::string> names;
   names.reserve(able.size());
-  for (const HolderCandidate& candidate : able) {
+  for (const OwnerCandidate& candidate : able) {
     names.push_back(candidate.instance);
   }
   const std::vector<std::string> owners =
       RendezvousOwners(workspace, names, kHoldersInLargeFleet);
-  std::vector<HolderCandidate> wanted;
-  for (const HolderCandidate& candidate : able) {
+  std::vector<OwnerCandidate> wanted;
+  for (const OwnerCandidate& candidate : able) {
     const bool owns = std::find(owners.begin(), owners.end(),
                                 candidate.instance) != owners.end();
     if (owns) wanted.push_back(candidate);
@@ -39,7 +39,8 @@
 }
 
 AllotmentKeeper::AllotmentKeeper(const KvClient& kv, PeerClient& peers,
-                                 Membership& membership, ShareBook& shares,
+                                 Membership& membership,
+                                 DistributedRateLimiter& shares,
                                  const CatalogHolder& catalog,
                                  AuditTrail& audit, absl::Duration period,
                                  absl::Duration settle, Hear hear, Clock clock)
@@ -65,14 +66,14 @@
                            this->membership.Active(), 1);
 }
 
-AllotmentView AllotmentKeeper::CommonView() const {
-  AllotmentView view;
+AllotmentInputs AllotmentKeeper::CommonView() const {
+  AllotmentInputs view;
   const InstanceList list = this->membership.List();
   view.list_version = list.version;
   for (const ListedInstance& listed : list.instances) {
     view.listed.insert(listed.info.name);
   }
-  for (const MemberStatement& member : this->membership.All()) {
+  for (const MemberStatus& member : this->membership.All()) {
     if (member.incarnation != 0) {
       view.answering[member.info.name] = member.incarnation;
     }
@@ -80,7 +81,7 @@
                       view.listed.count(member.info.name) > 0;
     if (able) {
       view.wanted.push_back(
-          HolderCandidate{member.info.name, member.incarnation});
+          OwnerCandidate{member.info.name, member.incarnation});
     }
   }
   return view;
@@ -89,7 +90,7 @@
 // One instance notes changes of membership for all, or each would be in the
 // audit trail as often as there are instances.
 void AllotmentKeeper::NoteMembers() {
-  for (const MemberStatement& member : this->membership.All()) {
+  for (const MemberStatus& member : this->membership.All()) {
     std::string state = member.leaving ? "leaving" : "alive";
     if (member.state == MemberState::kDead) state = "dead";
     if (member.incarnation == 0) continue;
@@ -104,11 +105,12 @@
 
 // In a large fleet a chosen holder may not have been heard of yet. It gets its
 // share in the round after it answered.
-void AllotmentKeeper::HearHolders(std::map<std::string, AllotmentView>& views) {
+void AllotmentKeeper::HearHolders(
+    std::map<std::string, AllotmentInputs>& views) {
   std::set<std::string> unheard;
   for (auto& [workspace, view] : views) {
-    std::vector<HolderCandidate> heard;
-    for (const HolderCandidate& candidate : view.wanted) {
+    std::vector<OwnerCandidate> heard;
+    for (const OwnerCandidate& candidate : view.wanted) {
       if (candidate.incarnation != 0) {
         heard.push_back(candidate);
       } else {
@@ -118,18 +120,17 @@
     view.wanted = std::move(heard);
   }
   for (const std::string& instance : unheard) {
-    const std::optional<MemberStatement> member =
-        this->membership.Find(instance);
+    const std::optional<MemberStatus> member = this->membership.Find(instance);
     if (member.has_value()) this->hear(*member);
   }
 }
 
 // Asks each holder that should shrink which epochs it follows.
 void AllotmentKeeper::Confirm(const std::map<std::string, Stored>& stored,
-                              std::map<std::string, AllotmentView>& views) {
+                              std::map<std::string, AllotmentInputs>& views) {
   std::map<std::string, std::vector<std::string>> questions;
   for (const auto& [workspace, entry] : stored) {
-    for (const HolderShare& holder : entry.allotment.holders) {
+    for (const OwnerShare& holder : entry.allotment.holders) {
       if (holder.held > holder.share) {
         questions[holder.instance].push_back(workspace);
       }
@@ -144,8 +145,7 @@
       }
       continue;
     }
-    const std::optional<MemberStatement> member =
-        this->membership.Find(instance);
+    const std::optional<MemberStatus> member = this->membership.Find(instance);
     if (!member.has_value() || member->state == MemberState::kDead) continue;
     const Result<wire::EpochConfirmation> answer =
         this->peers.ConfirmEpochs(PeerEndpoint(*member), workspaces);
@@ -158,12 +158,14 @@
 }
 
 void AllotmentKeeper::Improve(const std::string& workspace,
-                              const Stored& stored, const AllotmentView& view) {
-  const std::optional<Allotment> next = NextAllotment(stored.allotment, view);
+                              const Stored& stored,
+                              const AllotmentInputs& view) {
+  const std::optional<Allotment> next =
+      PlanNextAllotment(stored.allotment, view);
   if (!next.has_value()) return;
   const std::string key = AllotmentKey(workspace);
-  const Result<KvTxnReply> reply =
-      this->kv.Txn({KvExpect{key, stored.mod_revision}},
+  const Result<KvTxnResult> reply =
+      this->kv.Txn({KvCondition{key, stored.mod_revision}},
                    {KvWrite{key, EncodeAllotment(*next), 0, false}});
   if (!reply.Ok() || !reply.Value().succeeded) return;
   LogFor(LogPart::kInstance)
@@ -171,7 +173,7 @@
   this->audit.Add("allotment", workspace,
                   {{"epoch", next->epoch},
                    {"holders", next->holders.size()},
-                   {"assumed", AssumedTotal(*next)}});
+                   {"assumed", MaxTotalInUse(*next)}});
 }
 
 absl::Duration AllotmentKeeper::Round() {
@@ -191,8 +193,8 @@
     stored[key.Value().name] =
         Stored{std::get<Allotment>(record.Value()), entry.mod_revision};
   }
-  const AllotmentView common = this->CommonView();
-  std::map<std::string, AllotmentView> views;
+  const AllotmentInputs common = this->CommonView();
+  std::map<std::string, AllotmentInputs> views;
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [workspace, rate] : catalog->rates) {
     stored[workspace].allotment.workspace = workspace;
@@ -204,8 +206,8 @@
   for (const auto& [workspace, entry] : stored) {
     // A workspace without a rate record keeps its allotment as it is.
     if (catalog->rates.count(workspace) == 0) continue;
-    AllotmentView& view = views[workspace];
-    view.settled = this->gone.Settled(entry.allotment, view);
+    AllotmentInputs& view = views[workspace];
+    view.settled = this->gone.UpdateReclaimable(entry.allotment, view);
     this->Improve(workspace, entry, view);
   }
   return this->period;
--- a/dragonflyglade/instance/allotment_keeper.h
+++ b/dragonflyglade/instance/allotment_keeper.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "dragonflyglade/decision/allotment.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/decision/share_book.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/operator/audit_trail.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/peer/peer_client.h"
@@ -25,10 +25,10 @@
 class AllotmentKeeper {
  public:
   /// Exchanges heartbeats with an instance that was not heard of yet.
-  using Hear = std::function<bool(const MemberStatement&)>;
+  using Hear = std::function<bool(const MemberStatus&)>;
 
   AllotmentKeeper(const KvClient& kv, PeerClient& peers, Membership& membership,
-                  ShareBook& shares, const CatalogHolder& catalog,
+                  DistributedRateLimiter& shares, const CatalogHolder& catalog,
                   AuditTrail& audit, absl::Duration period,
                   absl::Duration settle, Hear hear, Clock clock);
   ~AllotmentKeeper();
@@ -45,32 +45,32 @@
 
   absl::Duration Round();
   bool IsKeeper() const;
-  AllotmentView CommonView() const;
+  AllotmentInputs CommonView() const;
   void NoteMembers();
-  void HearHolders(std::map<std::string, AllotmentView>& views);
+  void HearHolders(std::map<std::string, AllotmentInputs>& views);
   void Confirm(const std::map<std::string, Stored>& stored,
-               std::map<std::string, AllotmentView>& views);
+               std::map<std::string, AllotmentInputs>& views);
   void Improve(const std::string& workspace, const Stored& stored,
-               const AllotmentView& view);
+               const AllotmentInputs& view);
 
   const KvClient& kv;
   PeerClient& peers;
   Membership& membership;
-  ShareBook& shares;
+  DistributedRateLimiter& shares;
   const CatalogHolder& catalog;
   AuditTrail& audit;
   const absl::Duration period;
   const Hear hear;
-  GoneHolders gone;
+  TerminatedOwners gone;
   std::map<std::string, std::string> noted_members;
-  Worker worker;
+  PeriodicWorker worker;
 };
 
 /// Which instances should hold shares of a workspace's rate: all of a small
 /// fleet, a few of a large one, since a burst cut into hundreds of parts
 /// serves no request.
-std::vector<HolderCandidate> WantedHolders(
-    std::string_view workspace, const std::vector<HolderCandidate>& able);
+std::vector<OwnerCandidate> WantedHolders(
+    std::string_view workspace, const std::vector<OwnerCandidate>& able);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/instance/config_follower.cc
+++ b/dragonflyglade/instance/config_follower.cc
@@ -22,9 +22,9 @@
 
 ConfigFollower::ConfigFollower(const KvClient& kv, PeerClient& peers,
                                Membership& membership, RecordStore& records,
-                               Freshness& freshness, CatalogHolder& catalog,
-                               FollowerOptions options, OnChange on_change,
-                               Clock clock)
+                               ConfigFreshness& freshness,
+                               CatalogHolder& catalog, FollowerOptions options,
+                               OnChange on_change, Clock clock)
     : kv(kv),
       peers(peers),
       membership(membership),
@@ -64,7 +64,7 @@
                            static_cast<std::size_t>(this->options.relays));
 }
 
-void ConfigFollower::PullFrom(const MemberStatement& member) {
+void ConfigFollower::PullFrom(const MemberStatus& member) {
   {
     absl::MutexLock lock(&this->mutex);
     this->pull_from = member;
@@ -87,7 +87,7 @@
   }
   if (never) {
     // The service is out: any instance that has a configuration will do.
-    for (const MemberStatement& member : this->membership.RandomLive(1, "")) {
+    for (const MemberStatus& member : this->membership.SampleAlive(1, "")) {
       this->PullFrom(member);
     }
   }
@@ -139,10 +139,11 @@
 void ConfigFollower::MarkMissing(const KvRange& range) {
   std::set<std::string> present;
   for (const KvEntry& entry : range.entries) present.insert(entry.key);
-  for (const RecordVersion& good : this->records.Good()) {
+  for (const RecordVersion& good : this->records.ValidRecords()) {
     const bool known_later = good.revision > range.revision;
     if (good.deleted || known_later || present.count(good.key) > 0) continue;
-    this->records.Offer(RecordVersion{good.key, range.revision, "", true});
+    this->records.ApplyVersion(
+        RecordVersion{good.key, range.revision, "", true});
   }
 }
 
@@ -152,14 +153,14 @@
   for (const KvEntry& entry : entries) {
     const RecordVersion version{entry.key, entry.mod_revision, entry.value,
                                 false};
-    const RecordFate fate = this->records.Offer(version);
-    changed = changed || fate == RecordFate::kInForce;
-    if (fate != RecordFate::kRejected) continue;
+    const ApplyResult fate = this->records.ApplyVersion(version);
+    changed = changed || fate == ApplyResult::kApplied;
+    if (fate != ApplyResult::kRejected) continue;
     LogFor(LogPart::kOperator)
         .warn("Rejected {} at revision {}.", entry.key, entry.mod_revision);
-    if (!this->records.HasGood(entry.key)) this->RecoverGood(version);
+    if (!this->records.HasValidVersion(entry.key)) this->RecoverGood(version);
   }
-  this->records.CompleteUpTo(revision);
+  this->records.MarkCompleteThrough(revision);
   if (changed || this->catalog.Get()->revision == 0) this->Rebuild();
 }
 
@@ -175,9 +176,9 @@
     const Result<KvRange> range = this->kv.Range(query);
     if (!range.Ok() || range.Value().entries.empty()) return;
     const KvEntry& older = range.Value().entries.front();
-    const RecordFate fate = this->records.Offer(
+    const ApplyResult fate = this->records.ApplyVersion(
         RecordVersion{older.key, older.mod_revision, older.value, false});
-    if (fate == RecordFate::kInForce) return;
+    if (fate == ApplyResult::kApplied) return;
     before = older.mod_revision - 1;
   }
 }
@@ -186,7 +187,7 @@
   absl::MutexLock lock(&this->rebuild_mutex);
   const std::int64_t revision = this->records.CompleteRevision();
   std::shared_ptr<const Catalog> catalog =
-      this->builder.Build(revision, this->records.Good());
+      this->builder.Build(revision, this->records.ValidRecords());
   this->catalog.Set(catalog);
   this->on_change(catalog);
 }
@@ -194,7 +195,7 @@
 absl::Duration ConfigFollower::WatchRound() {
   const std::int64_t from = this->records.CompleteRevision();
   if (from == 0 || !this->IsRelay()) return kWatchPause;
-  const auto on_start = [this](std::shared_ptr<KvWatch> handle) {
+  const auto on_start = [this](std::shared_ptr<KvWatchHandle> handle) {
     absl::MutexLock lock(&this->mutex);
     this->watch = std::move(handle);
     this->watched_revision = 0;
@@ -207,7 +208,7 @@
     for (const KvEvent& event : events) {
       newest = std::max(newest, event.entry.mod_revision);
       if (event.deleted) {
-        this->records.Offer(
+        this->records.ApplyVersion(
             RecordVersion{event.entry.key, event.entry.mod_revision, "", true});
       } else {
         puts.push_back(event.entry);
@@ -237,7 +238,7 @@
 }
 
 absl::Duration ConfigFollower::PullRound() {
-  std::optional<MemberStatement> from;
+  std::optional<MemberStatus> from;
   {
     absl::MutexLock lock(&this->mutex);
     from.swap(this->pull_from);
@@ -253,10 +254,10 @@
   }
   bool changed = false;
   for (const wire::ConfigRecord& record : page.Value().records) {
-    const RecordFate fate = this->records.Offer(FromWire(record));
-    changed = changed || fate == RecordFate::kInForce;
+    const ApplyResult fate = this->records.ApplyVersion(FromWire(record));
+    changed = changed || fate == ApplyResult::kApplied;
   }
-  this->records.CompleteUpTo(page.Value().revision);
+  this->records.MarkCompleteThrough(page.Value().revision);
   if (page.Value().age_ms >= 0) {
     this->freshness.ConfirmedAt(asked_at -
                                 absl::Milliseconds(page.Value().age_ms));
--- a/dragonflyglade/instance/config_follower.h
+++ b/dragonflyglade/instance/config_follower.h
@@ -8,10 +8,10 @@
 
 #include "absl/synchronization/mutex.h"
 #include "dragonflyglade/decision/backoff.h"
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/record_store.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/peer/peer_client.h"
 #include "dragonflyglade/store/kv_client.h"
@@ -37,7 +37,7 @@
   using OnChange = std::function<void(const std::shared_ptr<const Catalog>&)>;
 
   ConfigFollower(const KvClient& kv, PeerClient& peers, Membership& membership,
-                 RecordStore& records, Freshness& freshness,
+                 RecordStore& records, ConfigFreshness& freshness,
                  CatalogHolder& catalog, FollowerOptions options,
                  OnChange on_change, Clock clock);
   ~ConfigFollower();
@@ -46,7 +46,7 @@
   void Stop();
 
   /// An instance has a newer configuration; pull from it soon.
-  void PullFrom(const MemberStatement& member);
+  void PullFrom(const MemberStatus& member);
 
   /// Whether this instance watches the service for others.
   bool IsRelay() const;
@@ -66,7 +66,7 @@
   PeerClient& peers;
   Membership& membership;
   RecordStore& records;
-  Freshness& freshness;
+  ConfigFreshness& freshness;
   CatalogHolder& catalog;
   const FollowerOptions options;
   const OnChange on_change;
@@ -75,14 +75,14 @@
   absl::Mutex rebuild_mutex;
   CatalogBuilder builder ABSL_GUARDED_BY(rebuild_mutex);
   absl::Mutex mutex;
-  std::shared_ptr<KvWatch> watch ABSL_GUARDED_BY(mutex);
+  std::shared_ptr<KvWatchHandle> watch ABSL_GUARDED_BY(mutex);
   std::int64_t watched_revision ABSL_GUARDED_BY(mutex) = 0;
-  std::optional<MemberStatement> pull_from ABSL_GUARDED_BY(mutex);
+  std::optional<MemberStatus> pull_from ABSL_GUARDED_BY(mutex);
   Backoff backoff;
   int rounds = 0;
-  Worker reader;
-  Worker watcher;
-  Worker puller;
+  PeriodicWorker reader;
+  PeriodicWorker watcher;
+  PeriodicWorker puller;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/instance/instance.cc
+++ b/dragonflyglade/instance/instance.cc
@@ -16,7 +16,7 @@
 #include "dragonflyglade/operator/status_server.h"
 #include "dragonflyglade/peer/heartbeat_loop.h"
 #include "dragonflyglade/peer/peer_server.h"
-#include "dragonflyglade/store/list_client.h"
+#include "dragonflyglade/store/discovery_client.h"
 #include "dragonflyglade/target/target_poller.h"
 
 namespace dragonflyglade {
@@ -33,8 +33,8 @@
 constexpr double kRetryReserve = 10;
 constexpr double kFullLoad = 1000;
 
-MemberStatement SelfOf(const Settings& settings) {
-  MemberStatement self;
+MemberStatus SelfOf(const Settings& settings) {
+  MemberStatus self;
   self.info = MemberInfo{settings.name, settings.peer_listen.address,
                          settings.peer_listen.port, settings.caller_listen.port,
                          settings.zone};
@@ -64,7 +64,7 @@
         peers(settings.peers, clock),
         heartbeats(
             membership, shares, records, freshness, targets,
-            [this](const MemberStatement& newer) {
+            [this](const MemberStatus& newer) {
               this->follower.PullFrom(newer);
             },
             clock),
@@ -93,9 +93,9 @@
         keeper(
             kv, peers, membership, shares, catalog, audit,
             settings.periods.allotments,
-            settings.shares.longest_promise + settings.shares.hold_limit,
-            [this](const MemberStatement& member) {
-              return this->heartbeat_loop.ExchangeWith(member);
+            settings.shares.max_reservation_wait + settings.shares.min_hold,
+            [this](const MemberStatus& member) {
+              return this->heartbeat_loop.ExchangeHeartbeats(member);
             },
             clock),
         placement(kv, peers, membership, targets, catalog, demand, audit,
@@ -107,7 +107,7 @@
                     [this](std::string_view name) {
                       const auto member = this->membership.Find(name);
                       return member.has_value() &&
-                             this->heartbeat_loop.ExchangeWith(*member);
+                             this->heartbeat_loop.ExchangeHeartbeats(*member);
                     }),
         operators(settings.operator_listen,
                   [this] { return this->ReadStatus(); }),
@@ -124,7 +124,7 @@
               this->callers.Active() * kFullLoad / this->settings.threads;
           this->membership.SetLoad(
               std::min(static_cast<int>(kFullLoad), static_cast<int>(load)));
-          this->targets.SetSharers(
+          this->targets.SetInstanceCount(
               static_cast<int>(this->membership.Active().size()));
           return kLoadPeriod;
         }) {}
@@ -137,19 +137,19 @@
 
   const Settings settings;
   const Clock clock{SteadyClock{}};
-  const MemberStatement self;
+  const MemberStatus self;
   const std::uint64_t seed;
   const KvClient kv;
-  const ListClient lists;
+  const DiscoveryClient lists;
   Metrics metrics;
   Membership membership;
-  ShareBook shares;
+  DistributedRateLimiter shares;
   RecordStore records;
-  Freshness freshness;
-  TargetBook targets;
+  ConfigFreshness freshness;
+  TargetRegistry targets;
   CatalogHolder catalog;
   StreamRegistry registry;
-  DemandBook demand;
+  DemandTracker demand;
   AuditTrail audit;
   PeerClient peers;
   HeartbeatExchange heartbeats;
@@ -168,9 +168,9 @@
   TargetPoller poller;
   PeerServer peer_server;
   StatusServer operators;
-  Worker list_worker;
-  Worker audit_worker;
-  Worker load_worker;
+  PeriodicWorker list_worker;
+  PeriodicWorker audit_worker;
+  PeriodicWorker load_worker;
   std::set<std::string> rated;  ///< workspaces with a rate; follower's thread
   std::atomic<bool> stopped{false};
 };
@@ -189,7 +189,7 @@
   }
   this->rated = std::move(now_rated);
   for (const auto& [workspace, allotment] : newest->allotments) {
-    this->shares.Adopt(allotment);
+    this->shares.ApplyAllotment(allotment);
   }
   for (const std::string& key_id : this->registry.KeysInUse()) {
     const KeyRecord* key = FindRecord(newest->keys, key_id);
@@ -198,7 +198,7 @@
     LogFor(LogPart::kCaller)
         .info("Ended {} calls of withdrawn key {}.", ended, key_id);
   }
-  this->heartbeat_loop.SpreadNews();
+  this->heartbeat_loop.PropagateUpdates();
 }
 
 absl::Duration Instance::Parts::ListRound() {
@@ -221,7 +221,7 @@
 bool Instance::Parts::HoldsShares() const {
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [workspace, allotment] : catalog->allotments) {
-    for (const HolderShare& holder : allotment.holders) {
+    for (const OwnerShare& holder : allotment.holders) {
       if (holder.instance == this->settings.name &&
           holder.incarnation == this->self.incarnation) {
         return true;
@@ -239,7 +239,7 @@
     return static_cast<double>(this->peers.Calls());
   });
   this->metrics.AddGauge("dragonflyglade_borrows", [this] {
-    return static_cast<double>(this->gate.Borrows());
+    return static_cast<double>(this->gate.BorrowAttempts());
   });
   this->metrics.AddGauge("dragonflyglade_config_age_seconds", [this] {
     return absl::ToDoubleSeconds(this->freshness.Age());
@@ -294,7 +294,7 @@
   p.audit.Add("instance drain", p.settings.name, nlohmann::json::object());
   p.membership.Leave();
   p.placement.Stop();
-  p.heartbeat_loop.SpreadNews();
+  p.heartbeat_loop.PropagateUpdates();
   p.callers.CloseIdle();
   const Instant start = p.clock.Now();
   const Instant limit = start + p.settings.drain_limit;
--- a/dragonflyglade/instance/instance_status.cc
+++ b/dragonflyglade/instance/instance_status.cc
@@ -10,21 +10,21 @@
   return absl::ToInt64Milliseconds(duration);
 }
 
-const char* NameOf(AdmissionRight right) {
+const char* NameOf(ConfigFreshnessState right) {
   switch (right) {
-    case AdmissionRight::kFresh:
+    case ConfigFreshnessState::kFresh:
       return "fresh";
-    case AdmissionRight::kOutage:
+    case ConfigFreshnessState::kStoreOutage:
       return "key-value service out; serving the last configuration";
-    case AdmissionRight::kCutOff:
+    case ConfigFreshnessState::kCutOff:
       return "cut off; refusing new work";
-    case AdmissionRight::kNeverReady:
+    case ConfigFreshnessState::kNeverComplete:
       return "not complete yet";
   }
   return "";
 }
 
-std::string StateOf(const MemberStatement& member) {
+std::string StateOf(const MemberStatus& member) {
   std::string state;
   switch (member.state) {
     case MemberState::kAlive:
@@ -42,15 +42,16 @@
 
 json ConfigurationOf(const StatusSources& sources) {
   json rejected = json::array();
-  for (const Rejection& rejection : sources.records.Rejected()) {
+  for (const RejectedRecord& rejection : sources.records.RejectedRecords()) {
     rejected.push_back({{"key", rejection.key},
                         {"revision", rejection.revision},
                         {"reason", rejection.reason}});
   }
-  const auto [listed, alive] = sources.membership.ListedAndAlive();
+  const auto [listed, alive] = sources.membership.CountListedAndAlive();
   return {{"revision", sources.records.CompleteRevision()},
           {"age_ms", Milliseconds(sources.freshness.Age())},
-          {"right", NameOf(sources.freshness.Right(Reach{listed, alive}))},
+          {"right",
+           NameOf(sources.freshness.Right(PeerReachability{listed, alive}))},
           {"relay", sources.is_relay},
           {"schemas", sources.catalog.Get()->schema_in_use},
           {"rejected", rejected}};
@@ -58,7 +59,7 @@
 
 json MembersOf(const StatusSources& sources) {
   json members = json::array();
-  for (const MemberStatement& member : sources.membership.All()) {
+  for (const MemberStatus& member : sources.membership.All()) {
     members.push_back({{"name", member.info.name},
                        {"state", StateOf(member)},
                        {"address", member.info.address},
@@ -96,9 +97,9 @@
   const std::shared_ptr<const Catalog> catalog = sources.catalog.Get();
   for (const auto& [name, rate] : catalog->rates) {
     json holders = json::object();
-    const auto followed = sources.shares.Followed(name);
+    const auto followed = sources.shares.CurrentAllotment(name);
     if (followed.has_value()) {
-      for (const HolderShare& holder : followed->holders) {
+      for (const OwnerShare& holder : followed->holders) {
         holders[holder.instance] = {{"share", holder.share},
                                     {"held", holder.held}};
       }
@@ -119,7 +120,7 @@
 }  // namespace
 
 json InstanceStatus(const StatusSources& sources) {
-  const MemberStatement self = sources.membership.Self();
+  const MemberStatus self = sources.membership.Self();
   return {
       {"instance", self.info.name},
       {"incarnation", self.incarnation},
--- a/dragonflyglade/instance/instance_status.h
+++ b/dragonflyglade/instance/instance_status.h
@@ -3,11 +3,11 @@
 
 #include <nlohmann/json.hpp>
 
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/record_store.h"
-#include "dragonflyglade/decision/share_book.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/operator/metrics.h"
 
@@ -17,9 +17,9 @@
 struct StatusSources {
   const Membership& membership;
   const RecordStore& records;
-  const Freshness& freshness;
-  const TargetBook& targets;
-  const ShareBook& shares;
+  const ConfigFreshness& freshness;
+  const TargetRegistry& targets;
+  const DistributedRateLimiter& shares;
   const CatalogHolder& catalog;
   const Metrics& metrics;
   bool is_relay = false;
--- a/dragonflyglade/instance/placement_options.h
+++ b/dragonflyglade/instance/placement_options.h
@@ -14,7 +14,7 @@
   absl::Duration report_limit = absl::Seconds(10);
   /// Time that an order has to take effect before it is repeated.
   absl::Duration settle = absl::Seconds(8);
-  PlanOptions plan;
+  PlannerOptions plan;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -27,9 +27,10 @@
 }
 
 PlacementRunner::PlacementRunner(const KvClient& kv, PeerClient& peers,
-                                 Membership& membership, TargetBook& targets,
+                                 Membership& membership,
+                                 TargetRegistry& targets,
                                  const CatalogHolder& catalog,
-                                 DemandBook& demand, AuditTrail& audit,
+                                 DemandTracker& demand, AuditTrail& audit,
                                  TargetCallOptions call_options,
                                  PlacementOptions options, Clock clock)
     : kv(kv),
@@ -156,9 +157,9 @@
       spec.bytes = adapter->bytes;
     } else {
       spec.bytes =
-          std::max<std::int64_t>(0, ledger.capacity - BookedBytes(ledger));
+          std::max<std::int64_t>(0, ledger.capacity - ReservedBytes(ledger));
     }
-    BookFound(ledger, spec);
+    AddUnorderedCopy(ledger, spec);
   }
 }
 
@@ -187,7 +188,7 @@
   this->demand_read_at = now;
   this->fleet_demand = this->demand.Rates();
   const std::string self = this->membership.Self().info.name;
-  for (const MemberStatement& member : this->membership.All()) {
+  for (const MemberStatus& member : this->membership.All()) {
     const bool is_self = member.info.name == self;
     if (is_self || member.state != MemberState::kAlive) continue;
     const Result<wire::DemandReport> report =
@@ -199,23 +200,23 @@
   }
 }
 
-PlanInput PlacementRunner::InputFor(const PoolRound& round) const {
-  PlanInput input;
+PlannerInput PlacementRunner::InputFor(const PoolRound& round) const {
+  PlannerInput input;
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [name, model] : catalog->models) {
     if (model.pool != round.name) continue;
     const PlacementRecord* wish = FindRecord(catalog->placements, name);
-    input.models.push_back(PlannedModel{name, model.version, model.bytes,
+    input.models.push_back(PlannerModel{name, model.version, model.bytes,
                                         wish == nullptr ? 1 : wish->copies});
   }
   for (const auto& [name, adapter] : catalog->adapters) {
     const ModelRecord* base = FindRecord(catalog->models, adapter.model);
     if (base == nullptr || base->pool != round.name) continue;
     input.adapters.push_back(
-        PlannedAdapter{name, adapter.model, adapter.bytes});
+        PlannerAdapter{name, adapter.model, adapter.bytes});
   }
   for (const auto& [target, stored] : round.ledgers) {
-    PlannedTarget planned;
+    PlannerTarget planned;
     planned.ledger = stored.ledger;
     const auto status = round.statuses.find(target);
     // Before its first report was booked, nothing is known of its memory.
@@ -230,8 +231,8 @@
     input.targets.push_back(std::move(planned));
   }
   input.demand = this->fleet_demand;
-  input.model_loads_open = this->model_loads_open;
-  input.adapter_loads_open = this->adapter_loads_open;
+  input.open_model_loads = this->open_model_loads;
+  input.open_adapter_loads = this->open_adapter_loads;
   return input;
 }
 
@@ -278,11 +279,11 @@
 }
 
 bool PlacementRunner::Store(const PoolRound& round, Stored& stored,
-                            const std::vector<KvExpect>& also) {
+                            const std::vector<KvCondition>& also) {
   const std::string key = LedgerKey(round.name, stored.ledger.target);
-  std::vector<KvExpect> expects = {KvExpect{key, stored.mod_revision}};
+  std::vector<KvCondition> expects = {KvCondition{key, stored.mod_revision}};
   expects.insert(expects.end(), also.begin(), also.end());
-  const Result<KvTxnReply> reply = this->kv.Txn(
+  const Result<KvTxnResult> reply = this->kv.Txn(
       expects, {KvWrite{key, EncodeLedger(stored.ledger), 0, false}});
   // After a lost answer the booking may stand in the service without its
   // order; the next round reads it and repeats the order.
@@ -352,10 +353,11 @@
   if (copy == nullptr) return;
   const bool is_adapter = !copy->base.empty();
   if (!BeginUnload(stored.ledger, step.name, round.fence).Ok()) return;
-  std::vector<KvExpect> also;
-  if (!step.relies_on.empty()) {
-    also.push_back(KvExpect{LedgerKey(round.name, step.relies_on),
-                            round.ledgers.at(step.relies_on).mod_revision});
+  std::vector<KvCondition> also;
+  if (!step.retained_copy_target.empty()) {
+    also.push_back(
+        KvCondition{LedgerKey(round.name, step.retained_copy_target),
+                    round.ledgers.at(step.retained_copy_target).mod_revision});
   }
   if (!this->Store(round, stored, also)) return;
   round.ledgers[step.target] = stored;
@@ -370,12 +372,12 @@
 
 void PlacementRunner::Send(Order order) {
   std::atomic<int>& open =
-      order.is_adapter ? this->adapter_loads_open : this->model_loads_open;
+      order.is_adapter ? this->open_adapter_loads : this->open_model_loads;
   if (order.is_load) ++open;
   this->orders.Run([this, &open, order = std::move(order)] {
     const EngineClient engine(Endpoint{order.target.address, order.target.port},
                               order.target.name, this->call_options);
-    const Result<OrderReply> reply = engine.Order(order.order);
+    const Result<OrderResult> reply = engine.Order(order.order);
     if (order.is_load) --open;
     if (reply.Ok()) {
       this->Settle(order, reply.Value());
@@ -384,11 +386,11 @@
     LogFor(LogPart::kPlacement).warn("{}.", reply.Error().ToString());
     if (reply.Error().code != Errc::kConnectFailed) return;
     // Nothing arrived, which is as good as a refusal by nobody.
-    this->Settle(order, OrderReply{});
+    this->Settle(order, OrderResult{});
   });
 }
 
-void PlacementRunner::Settle(const Order& order, const OrderReply& reply) {
+void PlacementRunner::Settle(const Order& order, const OrderResult& reply) {
   if (!reply.explanation.empty()) {
     LogFor(LogPart::kPlacement)
         .warn("{} refused {}: {}.", order.target.name, order.order.name,
@@ -413,8 +415,8 @@
       } else {
         FinishUnload(ledger, outcome, order.fenced);
       }
-      const Result<KvTxnReply> stored =
-          this->kv.Txn({KvExpect{key, entry.mod_revision}},
+      const Result<KvTxnResult> stored =
+          this->kv.Txn({KvCondition{key, entry.mod_revision}},
                        {KvWrite{key, EncodeLedger(ledger), 0, false}});
       if (stored.Ok() && stored.Value().succeeded) return;
     }
--- a/dragonflyglade/instance/placement_runner.h
+++ b/dragonflyglade/instance/placement_runner.h
@@ -9,13 +9,13 @@
 #include <vector>
 
 #include "absl/synchronization/mutex.h"
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/placement_planner.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/instance/placement_options.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/net/task_group.h"
-#include "dragonflyglade/net/worker.h"
 #include "dragonflyglade/operator/audit_trail.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "dragonflyglade/peer/peer_client.h"
@@ -32,8 +32,8 @@
 class PlacementRunner {
  public:
   PlacementRunner(const KvClient& kv, PeerClient& peers, Membership& membership,
-                  TargetBook& targets, const CatalogHolder& catalog,
-                  DemandBook& demand, AuditTrail& audit,
+                  TargetRegistry& targets, const CatalogHolder& catalog,
+                  DemandTracker& demand, AuditTrail& audit,
                   TargetCallOptions call_options, PlacementOptions options,
                   Clock clock);
   ~PlacementRunner();
@@ -84,7 +84,7 @@
                      const std::set<std::string>& resident) const;
   bool ReportIsAfter(const PoolRound& round, const TargetStatus& status,
                      absl::Duration settle) const;
-  PlanInput InputFor(const PoolRound& round) const;
+  PlannerInput InputFor(const PoolRound& round) const;
   void RefreshDemand();
   void CarryOut(PoolRound& round, const PlanLoad& step);
   void CarryOut(PoolRound& round, const PlanReload& step);
@@ -93,20 +93,20 @@
   void CorrectRole(PoolRound& round, Stored& stored,
                    const TargetStatus& status);
   bool Store(const PoolRound& round, Stored& stored,
-             const std::vector<KvExpect>& also);
+             const std::vector<KvCondition>& also);
   static Order NewOrder(const PoolRound& round, const ListedTarget& target,
                         OrderKind kind, std::string_view id,
                         std::string_view name);
   void SendLoad(PoolRound& round, const Stored& stored, const CopySpec& spec);
   void Send(Order order);
-  void Settle(const Order& order, const OrderReply& reply);
+  void Settle(const Order& order, const OrderResult& reply);
 
   const KvClient& kv;
   PeerClient& peers;
   Membership& membership;
-  TargetBook& targets;
+  TargetRegistry& targets;
   const CatalogHolder& catalog;
-  DemandBook& demand;
+  DemandTracker& demand;
   AuditTrail& audit;
   const TargetCallOptions call_options;
   const PlacementOptions options;
@@ -114,10 +114,10 @@
   std::map<std::string, double> fleet_demand;
   Instant demand_read_at = -absl::InfiniteDuration();
   std::map<std::string, Pool> pools;
-  std::atomic<int> model_loads_open{0};
-  std::atomic<int> adapter_loads_open{0};
+  std::atomic<int> open_model_loads{0};
+  std::atomic<int> open_adapter_loads{0};
   TaskGroup orders;
-  Worker worker;
+  PeriodicWorker worker;
 };
 
 /// Where a target's ledger is kept.
--- a/dragonflyglade/instance/settings.cc
+++ b/dragonflyglade/instance/settings.cc
@@ -37,7 +37,7 @@
  public:
   Endpoint Listen(const json& listen, const std::string& path) {
     Endpoint endpoint{listen.at("address"), listen.at("port")};
-    if (!IsIpNumber(endpoint.address)) {
+    if (!IsIpAddress(endpoint.address)) {
       this->Complain(path + ".address", endpoint.address);
     }
     return endpoint;
@@ -84,10 +84,10 @@
   const absl::Duration ms = absl::Milliseconds(1);
   const absl::Duration s = absl::Seconds(1);
   Read(timeouts, "kv_ms", ms, settings.kv.call_timeout);
-  Read(timeouts, "kv_watch_silence_ms", ms, settings.kv.watch_silence);
+  Read(timeouts, "kv_watch_silence_ms", ms, settings.kv.watch_read_timeout);
   Read(timeouts, "peer_ms", ms, settings.peers.call_timeout);
   Read(timeouts, "borrow_ms", ms, settings.peers.borrow_timeout);
-  Read(timeouts, "hold_ms", ms, settings.shares.hold_limit);
+  Read(timeouts, "hold_ms", ms, settings.shares.min_hold);
   Read(timeouts, "target_connect_ms", ms,
        settings.target_calls.connect_timeout);
   Read(timeouts, "target_read_ms", ms, settings.target_calls.read_timeout);
@@ -95,7 +95,7 @@
   Read(timeouts, "suspicion_ms", ms, settings.membership.suspicion);
   Read(timeouts, "config_fresh_ms", ms, settings.fresh_bound);
   Read(timeouts, "ejection_ms", ms, settings.targets.ejection);
-  Read(timeouts, "slow_return_ms", ms, settings.targets.slow_return);
+  Read(timeouts, "slow_return_ms", ms, settings.targets.recovery_ramp);
   Read(timeouts, "claim_keep_s", s, settings.claim_keep);
   Read(timeouts, "answer_keep_s", s, settings.keep);
   Read(timeouts, "drain_s", s, settings.drain_limit);
--- a/dragonflyglade/instance/settings.h
+++ b/dragonflyglade/instance/settings.h
@@ -6,10 +6,10 @@
 
 #include "absl/time/time.h"
 #include "dragonflyglade/caller/call_context.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/failure.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/decision/share_book.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/instance/placement_options.h"
 #include "dragonflyglade/net/endpoint.h"
 #include "dragonflyglade/net/log.h"
@@ -40,8 +40,8 @@
   PeerOptions peers;
   TargetCallOptions target_calls;
   TargetOptions targets;
-  DispatchOptions dispatch;
-  ShareOptions shares;
+  DispatcherOptions dispatch;
+  RateLimiterOptions shares;
   MembershipOptions membership;
   CallerLimits limits;
   PlacementOptions placement;
--- a/dragonflyglade/net/endpoint.cc
+++ b/dragonflyglade/net/endpoint.cc
@@ -24,7 +24,7 @@
                  : fmt::format("{}:{}", this->address, this->port);
 }
 
-bool IsIpNumber(std::string_view text) {
+bool IsIpAddress(std::string_view text) {
   const std::string address(text);
   in6_addr buffer;
   return inet_pton(AF_INET, address.c_str(), &buffer) == 1 ||
@@ -44,7 +44,7 @@
   if (address.size() > 2 && address.front() == '[' && address.back() == ']') {
     address = address.substr(1, address.size() - 2);
   }
-  if (!IsIpNumber(address)) return InvalidEndpoint(text, "an IP number");
+  if (!IsIpAddress(address)) return InvalidEndpoint(text, "an IP number");
   int number = 0;
   const auto [end, error] =
       std::from_chars(port.data(), port.data() + port.size(), number);
--- a/dragonflyglade/net/endpoint.h
+++ b/dragonflyglade/net/endpoint.h
@@ -23,7 +23,7 @@
 Result<Endpoint> ParseEndpoint(std::string_view text);
 
 /// Whether the text is an IPv4 or IPv6 address.
-bool IsIpNumber(std::string_view text);
+bool IsIpAddress(std::string_view text);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/net/http_call.cc
+++ b/dragonflyglade/net/http_call.cc
@@ -13,8 +13,8 @@
 namespace dragonflyglade {
 namespace {
 
-HttpHead ToHead(const httplib::Response& response) {
-  HttpHead head;
+HttpResponseHead ToHead(const httplib::Response& response) {
+  HttpResponseHead head;
   head.status = response.status;
   head.content_type = response.get_header_value("Content-Type");
   head.request_id = response.get_header_value("X-Request-Id");
@@ -52,7 +52,7 @@
     this->client.set_keep_alive(false);
     this->client.set_tcp_nodelay(true);
     this->client.set_socket_options(
-        [](int socket) { WatchForSilence(socket); });
+        [](int socket) { EnableDeadPeerDetection(socket); });
   }
 
   Failure FailureFor(httplib::Error error, bool head_seen,
@@ -122,10 +122,10 @@
       error, head_seen, std::chrono::steady_clock::now() - last_progress);
 }
 
-Result<HttpReply> HttpCall::Run(const HttpRequest& request) {
-  HttpReply reply;
+Result<HttpResponse> HttpCall::Run(const HttpRequest& request) {
+  HttpResponse reply;
   bool too_large = false;
-  const auto on_head = [&](const HttpHead& head) {
+  const auto on_head = [&](const HttpResponseHead& head) {
     reply.head = head;
     return true;
   };
@@ -137,8 +137,8 @@
   };
   const Status status = this->Stream(request, on_head, on_data);
   if (too_large) {
-    return MakeFailure(Errc::kBadAnswer, "read response", this->impl->peer,
-                       "the body exceeds the size limit");
+    return MakeFailure(Errc::kMalformedResponse, "read response",
+                       this->impl->peer, "the body exceeds the size limit");
   }
   if (!status.Ok()) return status.Error();
   return reply;
--- a/dragonflyglade/net/http_call.h
+++ b/dragonflyglade/net/http_call.h
@@ -26,7 +26,7 @@
 };
 
 /// The parts of a response's head that callers of HttpCall use.
-struct HttpHead {
+struct HttpResponseHead {
   int status = 0;
   std::string content_type;
   std::string request_id;   ///< the echoed X-Request-Id; may be empty
@@ -34,8 +34,8 @@
 };
 
 /// A complete response.
-struct HttpReply {
-  HttpHead head;
+struct HttpResponse {
+  HttpResponseHead head;
   std::string body;
 };
 
@@ -57,7 +57,7 @@
 class HttpCall {
  public:
   /// Called when the response's head has arrived; false stops the call.
-  using OnHead = std::function<bool(const HttpHead&)>;
+  using OnHead = std::function<bool(const HttpResponseHead&)>;
   /// Called for each received chunk of the body; false stops the call.
   using OnData = std::function<bool(std::string_view)>;
 
@@ -71,8 +71,8 @@
                 const OnData& on_data);
 
   /// Sends the request and returns the complete response. Call once.
-  /// Errors also: kBadAnswer if the body exceeds HttpOptions::max_body.
-  Result<HttpReply> Run(const HttpRequest& request);
+  /// Errors also: kMalformedResponse if the body exceeds HttpOptions::max_body.
+  Result<HttpResponse> Run(const HttpRequest& request);
 
   /// Ends the call; may be called from any thread.
   void Cancel();
--- a/dragonflyglade/net/http_server.cc
+++ b/dragonflyglade/net/http_server.cc
@@ -35,12 +35,12 @@
   server.set_read_timeout(kReadTimeoutSeconds);
   server.set_write_timeout(kWriteTimeoutSeconds);
   server.set_tcp_nodelay(true);
-  server.set_socket_options([](int socket) { ListenAlone(socket); });
+  server.set_socket_options([](int socket) { ConfigureListenSocket(socket); });
 }
 
 HttpServer::~HttpServer() { this->Stop(); }
 
-httplib::Server& HttpServer::Library() { return this->impl->server; }
+httplib::Server& HttpServer::HttplibServer() { return this->impl->server; }
 
 Result<int> HttpServer::Start(std::string_view step) {
   Impl& state = *this->impl;
--- a/dragonflyglade/net/http_server.h
+++ b/dragonflyglade/net/http_server.h
@@ -21,7 +21,7 @@
   ~HttpServer();
 
   /// The underlying server of the httplib library. Set its routes before Start.
-  httplib::Server& Library();
+  httplib::Server& HttplibServer();
 
   /// Binds the address and starts to serve requests.
   /// @param step the step that an error carries
--- a/dragonflyglade/net/worker.cc
+++ b/dragonflyglade/net/periodic_worker.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 
 #include <exception>
 #include <utility>
@@ -13,15 +13,15 @@
 
 }  // namespace
 
-Worker::Worker(Job job) : job(std::move(job)) {}
+PeriodicWorker::PeriodicWorker(Job job) : job(std::move(job)) {}
 
-Worker::~Worker() { this->Stop(); }
+PeriodicWorker::~PeriodicWorker() { this->Stop(); }
 
-void Worker::Start() {
+void PeriodicWorker::Start() {
   this->thread = std::thread([this] { this->Run(); });
 }
 
-absl::Duration Worker::RunJobOnce() const {
+absl::Duration PeriodicWorker::RunJobOnce() const {
   try {
     return this->job();
   } catch (const std::exception& error) {
@@ -31,7 +31,7 @@
   }
 }
 
-void Worker::Run() {
+void PeriodicWorker::Run() {
   while (true) {
     const absl::Duration pause = this->RunJobOnce();
     absl::MutexLock lock(&this->mutex);
@@ -44,12 +44,12 @@
   }
 }
 
-void Worker::Wake() {
+void PeriodicWorker::Wake() {
   absl::MutexLock lock(&this->mutex);
   this->woken = true;
 }
 
-void Worker::Stop() {
+void PeriodicWorker::Stop() {
   {
     absl::MutexLock lock(&this->mutex);
     this->stopping = true;
@@ -57,7 +57,7 @@
   if (this->thread.joinable()) this->thread.join();
 }
 
-bool Worker::Stopping() const {
+bool PeriodicWorker::Stopping() const {
   absl::MutexLock lock(&this->mutex);
   return this->stopping;
 }
--- a/dragonflyglade/net/worker.h
+++ b/dragonflyglade/net/periodic_worker.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_NET_WORKER_H_
-#define DRAGONFLYGLADE_NET_WORKER_H_
+#ifndef DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
+#define DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
 
 #include <functional>
 #include <thread>
@@ -11,13 +11,13 @@
 
 /// A thread that runs a job repeatedly, with a pause after each run. If the
 /// job throws, the exception is logged and the job runs again after a second.
-class Worker {
+class PeriodicWorker {
  public:
   /// Runs once and returns the pause until the next run.
   using Job = std::function<absl::Duration()>;
 
-  explicit Worker(Job job);
-  ~Worker();
+  explicit PeriodicWorker(Job job);
+  ~PeriodicWorker();
 
   void Start();
 
@@ -43,4 +43,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_NET_WORKER_H_
+#endif  // DRAGONFLYGLADE_NET_PERIODIC_WORKER_H_
--- a/dragonflyglade/net/socket_options.cc
+++ b/dragonflyglade/net/socket_options.cc
@@ -23,7 +23,7 @@
 // Both ends still see the connection as open, so a read or write blocks
 // forever. Keepalive probes detect this on an idle connection, and the user
 // timeout detects it while sent data is unacknowledged.
-void WatchForSilence(int socket) {
+void EnableDeadPeerDetection(int socket) {
   SetOption(socket, SOL_SOCKET, SO_KEEPALIVE, kEnabled);
   SetOption(socket, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
   SetOption(socket, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveProbeSeconds);
@@ -36,9 +36,9 @@
 // Failure: the HTTP library by default lets several processes bind one port
 // (SO_REUSEPORT), so a second instance started by mistake silently takes half
 // of the connections. Without that option its bind fails.
-void ListenAlone(int socket) {
+void ConfigureListenSocket(int socket) {
   SetOption(socket, SOL_SOCKET, SO_REUSEADDR, kEnabled);
-  WatchForSilence(socket);
+  EnableDeadPeerDetection(socket);
 }
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/net/socket_options.h
+++ b/dragonflyglade/net/socket_options.h
@@ -4,12 +4,12 @@
 namespace dragonflyglade {
 
 /// Makes the kernel close a connection whose other end no longer responds.
-void WatchForSilence(int socket);
+void EnableDeadPeerDetection(int socket);
 
 /// Sets the options of a listening socket: no other process can bind its port
 /// at the same time, and the port can be bound again right after a restart.
-/// Accepted connections get the options of WatchForSilence.
-void ListenAlone(int socket);
+/// Accepted connections get the options of EnableDeadPeerDetection.
+void ConfigureListenSocket(int socket);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/operator/audit_trail.cc
+++ b/dragonflyglade/operator/audit_trail.cc
@@ -45,7 +45,7 @@
       }
     }
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read audit trail", "kv",
+    return MakeFailure(Errc::kMalformedResponse, "read audit trail", "kv",
                        error.what());
   }
   std::stable_sort(
@@ -117,7 +117,7 @@
     writes.push_back({this->SegmentKey(this->first_kept), "", 0, true});
   // The whole segment is rewritten, so a write whose response was lost can be
   // repeated safely.
-  const Result<KvTxnReply> reply = this->kv.Txn({}, writes);
+  const Result<KvTxnResult> reply = this->kv.Txn({}, writes);
   if (!reply.Ok()) return reply.Error();
   this->segment = std::move(next_segment);
   if (drops_oldest) ++this->first_kept;
--- a/dragonflyglade/operator/audit_trail.h
+++ b/dragonflyglade/operator/audit_trail.h
@@ -29,7 +29,7 @@
 inline constexpr std::string_view kAuditPrefix = "audit/";
 
 /// Reads the entries of all writers, oldest first.
-/// Errors: those of KvClient; kBadAnswer for a malformed segment.
+/// Errors: those of KvClient; kMalformedResponse for a malformed segment.
 Result<std::vector<AuditEntry>> ReadAuditTrail(const KvClient& kv);
 
 /// Appends entries to one writer's own segments in the key-value service.
--- a/dragonflyglade/operator/caller_key.cc
+++ b/dragonflyglade/operator/caller_key.cc
@@ -77,10 +77,10 @@
 // a digest byte by byte, and one that is faster for an unknown id reveals which
 // ids exist. So the whole digest is always computed and compared; for an
 // unknown id, it is compared with a digest that no secret has.
-std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
-                                                   std::string_view text) {
+std::variant<KeyRecord, KeyError> FindKeyRecord(const Catalog& catalog,
+                                                std::string_view text) {
   const Result<CallerKey> key = ParseCallerKey(text);
-  if (!key.Ok()) return KeyProblem::kMalformed;
+  if (!key.Ok()) return KeyError::kMalformed;
   const KeyRecord* record = FindRecord(catalog.keys, key.Value().id);
   static const std::string kPlaceholderDigest(
       std::size_t{2} * SHA256_DIGEST_LENGTH, '0');
@@ -92,8 +92,8 @@
   const bool digests_match =
       expected.size() == digest.size() &&
       CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
-  if (record == nullptr || !digests_match) return KeyProblem::kUnknown;
-  if (record->withdrawn) return KeyProblem::kWithdrawn;
+  if (record == nullptr || !digests_match) return KeyError::kUnknown;
+  if (record->withdrawn) return KeyError::kWithdrawn;
   return *record;
 }
 
--- a/dragonflyglade/operator/caller_key.h
+++ b/dragonflyglade/operator/caller_key.h
@@ -38,11 +38,11 @@
 std::string RandomHex(std::size_t bytes);
 
 /// Why a caller's key is not accepted.
-enum class KeyProblem { kMalformed, kUnknown, kWithdrawn };
+enum class KeyError { kMalformed, kUnknown, kWithdrawn };
 
 /// Finds the record of a key that a caller presented, and checks the secret.
-std::variant<KeyRecord, KeyProblem> CheckCallerKey(const Catalog& catalog,
-                                                   std::string_view text);
+std::variant<KeyRecord, KeyError> FindKeyRecord(const Catalog& catalog,
+                                                std::string_view text);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/operator/commands.cc
+++ b/dragonflyglade/operator/commands.cc
@@ -314,7 +314,7 @@
     fmt::print(output.out, "{}", StatusText(status.Value()));
   } catch (const json::exception& error) {
     return ReportFailure(
-        output, MakeFailure(Errc::kBadAnswer, "show status",
+        output, MakeFailure(Errc::kMalformedResponse, "show status",
                             instance.Value().ToString(), error.what()));
   }
   return kExitDone;
--- a/dragonflyglade/operator/config_editor.cc
+++ b/dragonflyglade/operator/config_editor.cc
@@ -127,13 +127,13 @@
 // of its own and is written in the same transaction, so its presence shows
 // whether the change took effect.
 Result<std::int64_t> ConfigEditor::Commit(
-    const std::vector<KvExpect>& conditions, std::vector<KvWrite> writes,
+    const std::vector<KvCondition>& conditions, std::vector<KvWrite> writes,
     const std::string& audit_key) {
-  const Result<KvTxnReply> reply = this->kv.Txn(conditions, writes);
+  const Result<KvTxnResult> reply = this->kv.Txn(conditions, writes);
   if (reply.Ok()) {
     if (reply.Value().succeeded) return reply.Value().revision;
     std::vector<std::string> changed;
-    for (const KvExpect& condition : conditions) {
+    for (const KvCondition& condition : conditions) {
       const auto& found = reply.Value().found;
       const auto entry = std::find_if(
           found.begin(), found.end(),
@@ -164,7 +164,7 @@
 
 Result<std::int64_t> ConfigEditor::Apply(const std::vector<RecordDraft>& drafts,
                                          std::string_view action) {
-  std::vector<KvExpect> conditions;
+  std::vector<KvCondition> conditions;
   std::vector<KvWrite> writes;
   for (const RecordDraft& draft : drafts) {
     const std::string key = draft.key.ToString();
@@ -174,7 +174,7 @@
       if (!current.Ok()) return current;
       expected = current.Value();
     }
-    conditions.push_back(KvExpect{key, expected});
+    conditions.push_back(KvCondition{key, expected});
     writes.push_back(
         KvWrite{key, draft.value.dump(), 0, draft.value.is_null()});
   }
--- a/dragonflyglade/operator/config_editor.h
+++ b/dragonflyglade/operator/config_editor.h
@@ -68,7 +68,7 @@
 
  private:
   Result<std::int64_t> CurrentRevision(const std::string& key) const;
-  Result<std::int64_t> Commit(const std::vector<KvExpect>& conditions,
+  Result<std::int64_t> Commit(const std::vector<KvCondition>& conditions,
                               std::vector<KvWrite> writes,
                               const std::string& audit_key);
   std::string AuditSegment(const std::vector<RecordDraft>& drafts,
--- a/dragonflyglade/operator/records.cc
+++ b/dragonflyglade/operator/records.cc
@@ -125,7 +125,7 @@
   allotment.workspace = key.name;
   allotment.epoch = document.at("epoch");
   for (const json& item : document.at("holders")) {
-    allotment.holders.push_back(HolderShare{
+    allotment.holders.push_back(OwnerShare{
         item.at("instance"), item.at("incarnation"), item.at("share"),
         item.at("held"), item.value("listed_at", std::int64_t{0})});
   }
@@ -159,7 +159,7 @@
 
 std::string EncodeAllotment(const Allotment& allotment) {
   json holders = json::array();
-  for (const HolderShare& holder : allotment.holders) {
+  for (const OwnerShare& holder : allotment.holders) {
     holders.push_back({{"instance", holder.instance},
                        {"incarnation", holder.incarnation},
                        {"share", holder.share},
--- a/dragonflyglade/operator/records.h
+++ b/dragonflyglade/operator/records.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "dragonflyglade/decision/allotment.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/failure.h"
 #include "dragonflyglade/decision/record_store.h"
 #include "dragonflyglade/decision/request_class.h"
-#include "dragonflyglade/decision/share_book.h"
 
 namespace dragonflyglade {
 
--- a/dragonflyglade/operator/status_server.cc
+++ b/dragonflyglade/operator/status_server.cc
@@ -27,7 +27,7 @@
 
 StatusServer::StatusServer(Endpoint listen, Read read)
     : impl(std::make_unique<Impl>(std::move(listen), std::move(read))) {
-  this->impl->server.Library().Get(
+  this->impl->server.HttplibServer().Get(
       "/status", [this](const httplib::Request&, httplib::Response& response) {
         response.set_content(this->impl->read().dump(2), "application/json");
       });
@@ -45,11 +45,11 @@
   HttpCall call(instance, HttpOptions{}, "instance");
   HttpRequest request;
   request.path = "/status";
-  const Result<HttpReply> reply = call.Run(request);
+  const Result<HttpResponse> reply = call.Run(request);
   if (!reply.Ok()) return reply.Error();
   const json document = json::parse(reply.Value().body, nullptr, false);
   if (document.is_object()) return document;
-  return MakeFailure(Errc::kBadAnswer, "read status",
+  return MakeFailure(Errc::kMalformedResponse, "read status",
                      "instance " + instance.ToString(), "not a JSON object");
 }
 
--- a/dragonflyglade/operator/status_server.h
+++ b/dragonflyglade/operator/status_server.h
@@ -27,8 +27,8 @@
   std::unique_ptr<Impl> impl;
 };
 
-/// Fetches an instance's status. Errors: those of HttpCall; kBadAnswer for a
-/// malformed response.
+/// Fetches an instance's status. Errors: those of HttpCall; kMalformedResponse
+/// for a malformed response.
 Result<nlohmann::json> FetchStatus(const Endpoint& instance);
 
 /// Formats a status as lines of text.
--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -10,28 +10,27 @@
 
 namespace dragonflyglade {
 
-AdmissionGate::AdmissionGate(ShareBook& shares, Membership& membership,
-                             PeerClient& peers)
+AdmissionGate::AdmissionGate(DistributedRateLimiter& shares,
+                             Membership& membership, PeerClient& peers)
     : shares(shares), membership(membership), peers(peers) {}
 
-void AdmissionGate::RequestLoan(Admission& admission, const BorrowFrom& step) {
+void AdmissionGate::RequestLoan(Admission& admission,
+                                const BorrowFromPeer& step) {
   ++this->borrows;
   std::optional<Loan> loan;
-  const std::optional<MemberStatement> lender =
-      this->membership.Find(step.peer);
+  const std::optional<MemberStatus> lender = this->membership.Find(step.peer);
   if (lender.has_value() && lender->state != MemberState::kDead) {
     const Result<wire::LoanReply> reply = this->peers.Borrow(
         PeerEndpoint(*lender), admission.workspace, step.tokens, step.longest);
     if (reply.Ok()) loan = FromWire(reply.Value());
   }
-  this->shares.FinishLoan(admission, step.peer, loan);
+  this->shares.CompleteLoan(admission, step.peer, loan);
 }
 
 void AdmissionGate::ReturnLoans(std::string_view workspace,
                                 absl::Span<const LoanReturn> returns) {
   for (const LoanReturn& loan : returns) {
-    const std::optional<MemberStatement> lender =
-        this->membership.Find(loan.peer);
+    const std::optional<MemberStatus> lender = this->membership.Find(loan.peer);
     if (!lender.has_value()) continue;
     this->peers.GiveBack(PeerEndpoint(*lender), workspace, loan.tokens,
                          loan.stamp);
@@ -44,7 +43,7 @@
   while (true) {
     const AdmissionStep step = this->shares.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return admission;
-    if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
+    if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
       this->RequestLoan(admission, *borrow);
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
--- a/dragonflyglade/peer/admission_gate.h
+++ b/dragonflyglade/peer/admission_gate.h
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <variant>
 
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/refusal.h"
-#include "dragonflyglade/decision/share_book.h"
 #include "dragonflyglade/peer/peer_client.h"
 
 namespace dragonflyglade {
@@ -18,7 +18,8 @@
 /// Thread-safe; an admission blocks the calling thread.
 class AdmissionGate {
  public:
-  AdmissionGate(ShareBook& shares, Membership& membership, PeerClient& peers);
+  AdmissionGate(DistributedRateLimiter& shares, Membership& membership,
+                PeerClient& peers);
 
   /// @param cost in tokens
   /// @param max_wait the longest time to wait until enough tokens accrue
@@ -30,14 +31,14 @@
   void Settle(const Admission& admission, double used);
 
   /// The number of loans requested from peers since the start.
-  std::int64_t Borrows() const { return this->borrows; }
+  std::int64_t BorrowAttempts() const { return this->borrows; }
 
  private:
-  void RequestLoan(Admission& admission, const BorrowFrom& step);
+  void RequestLoan(Admission& admission, const BorrowFromPeer& step);
   void ReturnLoans(std::string_view workspace,
                    absl::Span<const LoanReturn> returns);
 
-  ShareBook& shares;
+  DistributedRateLimiter& shares;
   Membership& membership;
   PeerClient& peers;
   std::atomic<std::int64_t> borrows{0};
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -12,14 +12,16 @@
 
 }  // namespace
 
-Endpoint PeerEndpoint(const MemberStatement& member) {
+Endpoint PeerEndpoint(const MemberStatus& member) {
   return Endpoint{member.info.address, member.info.peer_port};
 }
 
-HeartbeatExchange::HeartbeatExchange(Membership& membership, ShareBook& shares,
-                                     RecordStore& records, Freshness& freshness,
-                                     TargetBook& targets, OnNewer on_newer,
-                                     Clock clock)
+HeartbeatExchange::HeartbeatExchange(Membership& membership,
+                                     DistributedRateLimiter& shares,
+                                     RecordStore& records,
+                                     ConfigFreshness& freshness,
+                                     TargetRegistry& targets,
+                                     OnNewerConfig on_newer, Clock clock)
     : membership(membership),
       shares(shares),
       records(records),
@@ -31,7 +33,7 @@
 wire::Heartbeat HeartbeatExchange::Make(std::string_view to) {
   wire::Heartbeat heartbeat;
   heartbeat.sender = ToWire(this->membership.Self());
-  for (const MemberStatement& update : this->membership.Updates(to)) {
+  for (const MemberStatus& update : this->membership.Updates(to)) {
     heartbeat.updates.push_back(ToWire(update));
   }
   // The age is read before the revision, so if a record arrives in between, the
@@ -45,7 +47,7 @@
        this->shares.Balances(kMaxBalancesPerHeartbeat)) {
     heartbeat.balances.push_back(ToWire(balance));
   }
-  for (const auto& [target, mark_age] : this->targets.LeavingMarks()) {
+  for (const auto& [target, mark_age] : this->targets.LeavingTargets()) {
     wire::TargetMark mark;
     mark.target = target;
     mark.age_ms =
@@ -57,8 +59,8 @@
 
 void HeartbeatExchange::Take(const wire::Heartbeat& heartbeat,
                              std::optional<Instant> asked_at) {
-  const MemberStatement sender = FromWire(heartbeat.sender);
-  std::vector<MemberStatement> updates;
+  const MemberStatus sender = FromWire(heartbeat.sender);
+  std::vector<MemberStatus> updates;
   updates.reserve(heartbeat.updates.size());
   for (const wire::MemberUpdate& update : heartbeat.updates) {
     updates.push_back(FromWire(update));
--- a/dragonflyglade/peer/heartbeat.h
+++ b/dragonflyglade/peer/heartbeat.h
@@ -5,29 +5,30 @@
 #include <optional>
 #include <string_view>
 
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/record_store.h"
-#include "dragonflyglade/decision/share_book.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/endpoint.h"
 #include "dragonflyglade/peer/generated/peer_types.h"
 
 namespace dragonflyglade {
 
 /// The endpoint at which an instance listens for other instances.
-Endpoint PeerEndpoint(const MemberStatement& member);
+Endpoint PeerEndpoint(const MemberStatus& member);
 
 /// Makes heartbeats from this instance's state, and applies those received
 /// from other instances to it. Thread-safe.
 class HeartbeatExchange {
  public:
   /// Called with an instance that has a newer configuration than this one.
-  using OnNewer = std::function<void(const MemberStatement&)>;
+  using OnNewerConfig = std::function<void(const MemberStatus&)>;
 
-  HeartbeatExchange(Membership& membership, ShareBook& shares,
-                    RecordStore& records, Freshness& freshness,
-                    TargetBook& targets, OnNewer on_newer, Clock clock);
+  HeartbeatExchange(Membership& membership, DistributedRateLimiter& shares,
+                    RecordStore& records, ConfigFreshness& freshness,
+                    TargetRegistry& targets, OnNewerConfig on_newer,
+                    Clock clock);
 
   /// Makes the heartbeat to send to an instance.
   wire::Heartbeat Make(std::string_view to);
@@ -39,11 +40,11 @@
 
  private:
   Membership& membership;
-  ShareBook& shares;
+  DistributedRateLimiter& shares;
   RecordStore& records;
-  Freshness& freshness;
-  TargetBook& targets;
-  const OnNewer on_newer;
+  ConfigFreshness& freshness;
+  TargetRegistry& targets;
+  const OnNewerConfig on_newer;
   const Clock clock;
 };
 
--- a/dragonflyglade/peer/heartbeat_loop.cc
+++ b/dragonflyglade/peer/heartbeat_loop.cc
@@ -20,9 +20,9 @@
       worker([this] { return this->ProbeNextMember(); }),
       update_worker([this] {
         if (this->update_pending.exchange(false)) {
-          for (const MemberStatement& member :
-               this->membership.RandomLive(kUpdateFanout, "")) {
-            this->ExchangeWith(member);
+          for (const MemberStatus& member :
+               this->membership.SampleAlive(kUpdateFanout, "")) {
+            this->ExchangeHeartbeats(member);
           }
         }
         return absl::InfiniteDuration();
@@ -38,12 +38,12 @@
   this->update_worker.Stop();
 }
 
-void HeartbeatLoop::SpreadNews() {
+void HeartbeatLoop::PropagateUpdates() {
   this->update_pending = true;
   this->update_worker.Wake();
 }
 
-bool HeartbeatLoop::ExchangeWith(const MemberStatement& member) {
+bool HeartbeatLoop::ExchangeHeartbeats(const MemberStatus& member) {
   const Instant asked_at = this->clock.Now();
   const Result<wire::Heartbeat> reply = this->peers.Exchange(
       PeerEndpoint(member), this->heartbeats.Make(member.info.name));
@@ -55,8 +55,8 @@
 }
 
 bool HeartbeatLoop::IsReachableThroughPeers(std::string_view name) {
-  for (const MemberStatement& prober :
-       this->membership.RandomLive(kIndirectProbes, name)) {
+  for (const MemberStatus& prober :
+       this->membership.SampleAlive(kIndirectProbes, name)) {
     const Result<bool> reachable =
         this->peers.Probe(PeerEndpoint(prober), name);
     if (reachable.Ok() && reachable.Value()) return true;
@@ -67,9 +67,9 @@
 absl::Duration HeartbeatLoop::ProbeNextMember() {
   this->membership.Tick();
   const absl::Duration period = this->membership.Period();
-  const std::optional<MemberStatement> next = this->membership.NextToProbe();
+  const std::optional<MemberStatus> next = this->membership.NextToProbe();
   if (!next.has_value()) return period;
-  if (this->ExchangeWith(*next)) return period;
+  if (this->ExchangeHeartbeats(*next)) return period;
   if (this->IsReachableThroughPeers(next->info.name)) return period;
   if (next->state == MemberState::kAlive) {
     LogFor(LogPart::kPeer)
@@ -78,7 +78,7 @@
             "instances.",
             next->info.name);
   }
-  this->membership.Missed(next->info.name);
+  this->membership.ReportProbeFailure(next->info.name);
   return period;
 }
 
--- a/dragonflyglade/peer/heartbeat_loop.h
+++ b/dragonflyglade/peer/heartbeat_loop.h
@@ -5,7 +5,7 @@
 
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/peer/heartbeat.h"
 #include "dragonflyglade/peer/peer_client.h"
 
@@ -24,11 +24,11 @@
 
   /// Exchanges heartbeats with an instance now.
   /// @return false if the instance did not respond
-  bool ExchangeWith(const MemberStatement& member);
+  bool ExchangeHeartbeats(const MemberStatus& member);
 
   /// Sends heartbeats to a few instances immediately, so that an update of this
   /// instance's state spreads without waiting for the next periods.
-  void SpreadNews();
+  void PropagateUpdates();
 
  private:
   absl::Duration ProbeNextMember();
@@ -38,8 +38,8 @@
   HeartbeatExchange& heartbeats;
   PeerClient& peers;
   const Clock clock;
-  Worker worker;
-  Worker update_worker;
+  PeriodicWorker worker;
+  PeriodicWorker update_worker;
   std::atomic<bool> update_pending{false};
 };
 
--- a/dragonflyglade/peer/peer_client.cc
+++ b/dragonflyglade/peer/peer_client.cc
@@ -23,7 +23,7 @@
     case TTransportException::TIMED_OUT:
       return Errc::kTimeout;
     case TTransportException::CORRUPTED_DATA:
-      return Errc::kBadAnswer;
+      return Errc::kMalformedResponse;
     default:
       return Errc::kConnectionLost;
   }
@@ -60,7 +60,7 @@
     return MakeFailure(Errc::kConnectFailed, step, "peer " + peer.ToString(),
                        error.what());
   }
-  WatchForSilence(static_cast<int>(connection->socket->getSocketFD()));
+  EnableDeadPeerDetection(static_cast<int>(connection->socket->getSocketFD()));
   return connection;
 }
 
@@ -69,7 +69,7 @@
   absl::MutexLock lock(&this->mutex);
   const auto found = this->idle.find(peer);
   if (found == this->idle.end()) return nullptr;
-  const Instant oldest_usable = this->clock.Now() - this->options.idle_limit;
+  const Instant oldest_usable = this->clock.Now() - this->options.max_idle_time;
   while (!found->second.empty()) {
     std::unique_ptr<Connection> connection = std::move(found->second.back());
     found->second.pop_back();
@@ -83,7 +83,7 @@
                              std::unique_ptr<Connection> connection) {
   absl::MutexLock lock(&this->mutex);
   std::vector<std::unique_ptr<Connection>>& idle_connections = this->idle[peer];
-  if (idle_connections.size() >= this->options.idle_per_peer) return;
+  if (idle_connections.size() >= this->options.max_idle_per_peer) return;
   connection->idle_since = this->clock.Now();
   idle_connections.push_back(std::move(connection));
 }
@@ -118,7 +118,8 @@
       if (is_reused && repeatable) continue;
       return MakeFailure(CodeOf(error), step, "peer " + name, error.what());
     } catch (const TException& error) {
-      return MakeFailure(Errc::kBadAnswer, step, "peer " + name, error.what());
+      return MakeFailure(Errc::kMalformedResponse, step, "peer " + name,
+                         error.what());
     }
   }
 }
--- a/dragonflyglade/peer/peer_client.h
+++ b/dragonflyglade/peer/peer_client.h
@@ -25,15 +25,15 @@
   absl::Duration call_timeout = absl::Milliseconds(300);
   absl::Duration borrow_timeout = absl::Milliseconds(50);
   /// Connections idle for longer than this are not reused.
-  absl::Duration idle_limit = absl::Seconds(5);
-  std::size_t idle_per_peer = 4;
+  absl::Duration max_idle_time = absl::Seconds(5);
+  std::size_t max_idle_per_peer = 4;
 };
 
 /// Client for calls to other instances, over Thrift's framed transport with
 /// the compact protocol. Idle connections are pooled by peer.
 ///
 /// Thread-safe. Errors: kConnectFailed, kTimeout, kConnectionLost,
-/// kBadAnswer.
+/// kMalformedResponse.
 class PeerClient {
  public:
   PeerClient(PeerOptions options, Clock clock);
--- a/dragonflyglade/peer/peer_codec.cc
+++ b/dragonflyglade/peer/peer_codec.cc
@@ -4,7 +4,7 @@
 
 namespace dragonflyglade {
 
-wire::MemberUpdate ToWire(const MemberStatement& statement) {
+wire::MemberUpdate ToWire(const MemberStatus& statement) {
   wire::MemberUpdate update;
   update.name = statement.info.name;
   update.address = statement.info.address;
@@ -19,8 +19,8 @@
   return update;
 }
 
-MemberStatement FromWire(const wire::MemberUpdate& update) {
-  MemberStatement statement;
+MemberStatus FromWire(const wire::MemberUpdate& update) {
+  MemberStatus statement;
   statement.info = MemberInfo{update.name, update.address, update.peer_port,
                               update.caller_port, update.zone};
   statement.incarnation = update.incarnation;
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -27,8 +27,9 @@
 class Handler : public wire::PeerServiceIf {
  public:
   Handler(HeartbeatExchange& heartbeats, Membership& membership,
-          ShareBook& shares, RecordStore& records, Freshness& freshness,
-          DemandBook& demand, PeerServer::Prober prober)
+          DistributedRateLimiter& shares, RecordStore& records,
+          ConfigFreshness& freshness, DemandTracker& demand,
+          PeerServer::Prober prober)
       : heartbeats(heartbeats),
         membership(membership),
         shares(shares),
@@ -61,13 +62,13 @@
   void borrow(wire::LoanReply& reply, const std::string& workspace,
               const std::int64_t tokens,
               const std::int64_t longest_wait_us) override {
-    reply = ToWire(this->shares.Lend(workspace, tokens,
-                                     absl::Microseconds(longest_wait_us)));
+    reply = ToWire(this->shares.LendTokens(
+        workspace, tokens, absl::Microseconds(longest_wait_us)));
   }
 
   void giveBack(const std::string& workspace, const std::int64_t tokens,
                 const std::int64_t stamp) override {
-    this->shares.TakeBack(workspace, tokens, stamp);
+    this->shares.ReceiveReturn(workspace, tokens, stamp);
   }
 
   void confirmEpochs(wire::EpochConfirmation& confirmation,
@@ -85,10 +86,10 @@
  private:
   HeartbeatExchange& heartbeats;
   Membership& membership;
-  ShareBook& shares;
+  DistributedRateLimiter& shares;
   RecordStore& records;
-  Freshness& freshness;
-  DemandBook& rates;
+  ConfigFreshness& freshness;
+  DemandTracker& rates;
   const PeerServer::Prober prober;
 };
 
@@ -111,9 +112,9 @@
 };
 
 PeerServer::PeerServer(Endpoint listen, HeartbeatExchange& heartbeats,
-                       Membership& membership, ShareBook& shares,
-                       RecordStore& records, Freshness& freshness,
-                       DemandBook& demand, Prober prober)
+                       Membership& membership, DistributedRateLimiter& shares,
+                       RecordStore& records, ConfigFreshness& freshness,
+                       DemandTracker& demand, Prober prober)
     : impl(std::make_unique<Impl>()) {
   this->impl->listen = std::move(listen);
   this->impl->handler =
--- a/dragonflyglade/peer/peer_server.h
+++ b/dragonflyglade/peer/peer_server.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "dragonflyglade/decision/demand_book.h"
+#include "dragonflyglade/decision/demand_tracker.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/record_store.h"
-#include "dragonflyglade/decision/share_book.h"
 #include "dragonflyglade/net/endpoint.h"
 #include "dragonflyglade/peer/heartbeat.h"
 
@@ -23,8 +23,9 @@
   using Prober = std::function<bool(std::string_view name)>;
 
   PeerServer(Endpoint listen, HeartbeatExchange& heartbeats,
-             Membership& membership, ShareBook& shares, RecordStore& records,
-             Freshness& freshness, DemandBook& demand, Prober prober);
+             Membership& membership, DistributedRateLimiter& shares,
+             RecordStore& records, ConfigFreshness& freshness,
+             DemandTracker& demand, Prober prober);
   ~PeerServer();
 
   /// Binds the address and starts to serve calls.
--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -26,8 +26,8 @@
 
 ClaimStore::~ClaimStore() { this->worker.Stop(); }
 
-std::string ClaimStore::KeyFor(std::string_view workspace,
-                               std::string_view idempotency_key) {
+std::string ClaimStore::ClaimKeyFor(std::string_view workspace,
+                                    std::string_view idempotency_key) {
   return fmt::format("claim/{}/{}", workspace, Sha256Hex(idempotency_key));
 }
 
@@ -48,12 +48,13 @@
   return this->lease;
 }
 
-ClaimWrite ClaimStore::Create(const std::string& key, const Claim& claim) {
+ClaimWriteResult ClaimStore::Create(const std::string& key,
+                                    const Claim& claim) {
   const Result<std::int64_t> lease = this->CurrentLease();
   if (!lease.Ok()) return ClaimNotWritten{};
-  const KvExpect absent{key, 0};
-  const KvWrite write{key, EncodeClaim(claim), lease.Value(), false};
-  const Result<KvTxnReply> reply = this->kv.Txn({absent}, {write});
+  const KvCondition absent{key, 0};
+  const KvWrite write{key, SerializeClaim(claim), lease.Value(), false};
+  const Result<KvTxnResult> reply = this->kv.Txn({absent}, {write});
   if (!reply.Ok()) {
     if (reply.Error().code == Errc::kOutcomeUnknown) {
       return ClaimOutcomeUnknown{};
@@ -76,13 +77,13 @@
   const Result<std::int64_t> granted = this->CurrentLease();
   const std::int64_t lease =
       granted.Ok() ? granted.Value() : this->LastGrantedLease();
-  KvWrite write{key, EncodeClaim(claim), lease, false};
-  this->Enqueue(PendingWrite{KvExpect{key, revision}, std::move(write)});
+  KvWrite write{key, SerializeClaim(claim), lease, false};
+  this->Enqueue(PendingWrite{KvCondition{key, revision}, std::move(write)});
 }
 
 void ClaimStore::Release(const std::string& key, std::int64_t revision) {
   this->Enqueue(
-      PendingWrite{KvExpect{key, revision}, KvWrite{key, "", 0, true}});
+      PendingWrite{KvCondition{key, revision}, KvWrite{key, "", 0, true}});
 }
 
 void ClaimStore::Enqueue(PendingWrite pending) {
@@ -96,7 +97,7 @@
 }
 
 bool ClaimStore::TryWrite(const PendingWrite& pending) {
-  const Result<KvTxnReply> reply =
+  const Result<KvTxnResult> reply =
       this->kv.Txn({pending.expect}, {pending.write});
   // Any response is final: if the comparison failed, an earlier attempt, whose
   // response was lost, has done the write.
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -10,7 +10,7 @@
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/claim.h"
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/store/kv_client.h"
 
 namespace dragonflyglade {
@@ -26,11 +26,11 @@
   ~ClaimStore();
 
   /// "claim/<workspace>/<hash of the idempotency key>".
-  static std::string KeyFor(std::string_view workspace,
-                            std::string_view idempotency_key);
+  static std::string ClaimKeyFor(std::string_view workspace,
+                                 std::string_view idempotency_key);
 
   /// Makes one attempt to create a claim.
-  ClaimWrite Create(const std::string& key, const Claim& claim);
+  ClaimWriteResult Create(const std::string& key, const Claim& claim);
 
   /// Replaces a claim by one with the outcome of its call. If the write fails,
   /// it is retried in the background.
@@ -51,7 +51,7 @@
 
  private:
   struct PendingWrite {
-    KvExpect expect;
+    KvCondition expect;
     KvWrite write;
   };
 
@@ -70,7 +70,7 @@
       -absl::InfiniteDuration();
   mutable absl::Mutex mutex;
   std::deque<PendingWrite> pending_writes ABSL_GUARDED_BY(mutex);
-  Worker worker;
+  PeriodicWorker worker;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/store/list_client.cc
+++ b/dragonflyglade/store/discovery_client.cc
@@ -1,4 +1,4 @@
-#include "dragonflyglade/store/list_client.h"
+#include "dragonflyglade/store/discovery_client.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -38,17 +38,17 @@
 
 }  // namespace
 
-ListClient::ListClient(Endpoint endpoint, absl::Duration timeout)
+DiscoveryClient::DiscoveryClient(Endpoint endpoint, absl::Duration timeout)
     : endpoint(std::move(endpoint)), timeout(timeout) {}
 
-Result<std::string> ListClient::Get(const std::string& path) const {
+Result<std::string> DiscoveryClient::Get(const std::string& path) const {
   HttpOptions options;
   options.connect_timeout = this->timeout;
   options.read_timeout = this->timeout;
   HttpCall call(this->endpoint, options, kDiscoveryPeer);
   HttpRequest request;
   request.path = path;
-  Result<HttpReply> reply = call.Run(request);
+  Result<HttpResponse> reply = call.Run(request);
   if (!reply.Ok()) {
     return MakeFailure(Errc::kUnavailable, "read " + path, kDiscoveryPeer,
                        reply.Error().ToString());
@@ -60,7 +60,7 @@
   return std::move(reply.Value().body);
 }
 
-Result<InstanceList> ListClient::Instances() const {
+Result<InstanceList> DiscoveryClient::Instances() const {
   const Result<std::string> text = this->Get("/instances");
   if (!text.Ok()) return text.Error();
   try {
@@ -72,24 +72,24 @@
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read instances", kDiscoveryPeer,
-                       error.what());
+    return MakeFailure(Errc::kMalformedResponse, "read instances",
+                       kDiscoveryPeer, error.what());
   }
 }
 
-Result<TargetList> ListClient::Targets() const {
+Result<DiscoveredTargets> DiscoveryClient::Targets() const {
   const Result<std::string> text = this->Get("/targets");
   if (!text.Ok()) return text.Error();
   try {
     const json document = json::parse(text.Value());
-    TargetList list;
+    DiscoveredTargets list;
     list.version = document.at("version").get<std::int64_t>();
     for (const json& item : document.at("targets")) {
       list.targets.push_back(DecodeTarget(item));
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read targets", kDiscoveryPeer,
+    return MakeFailure(Errc::kMalformedResponse, "read targets", kDiscoveryPeer,
                        error.what());
   }
 }
--- a/dragonflyglade/store/list_client.h
+++ b/dragonflyglade/store/discovery_client.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_STORE_LIST_CLIENT_H_
-#define DRAGONFLYGLADE_STORE_LIST_CLIENT_H_
+#ifndef DRAGONFLYGLADE_STORE_DISCOVERY_CLIENT_H_
+#define DRAGONFLYGLADE_STORE_DISCOVERY_CLIENT_H_
 
 #include <cstdint>
 #include <string>
@@ -8,13 +8,13 @@
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/failure.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/endpoint.h"
 
 namespace dragonflyglade {
 
 /// A version of the platform's list of targets.
-struct TargetList {
+struct DiscoveredTargets {
   std::int64_t version = 0;
   std::vector<ListedTarget> targets;
 };
@@ -24,13 +24,13 @@
 ///
 /// Both lists are JSON over HTTP: {"version": N, "instances": [...]} and
 /// {"version": N, "targets": [...]}, where the version only grows.
-/// Errors: kUnavailable, kBadAnswer.
-class ListClient {
+/// Errors: kUnavailable, kMalformedResponse.
+class DiscoveryClient {
  public:
-  ListClient(Endpoint endpoint, absl::Duration timeout);
+  DiscoveryClient(Endpoint endpoint, absl::Duration timeout);
 
   Result<InstanceList> Instances() const;
-  Result<TargetList> Targets() const;
+  Result<DiscoveredTargets> Targets() const;
 
  private:
   Result<std::string> Get(const std::string& path) const;
@@ -41,4 +41,4 @@
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_STORE_LIST_CLIENT_H_
+#endif  // DRAGONFLYGLADE_STORE_DISCOVERY_CLIENT_H_
--- a/dragonflyglade/store/kv_client.cc
+++ b/dragonflyglade/store/kv_client.cc
@@ -20,11 +20,12 @@
   try {
     return decode(json::parse(text.Value()));
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, step, kServicePeer, error.what());
+    return MakeFailure(Errc::kMalformedResponse, step, kServicePeer,
+                       error.what());
   }
 }
 
-class WatchHandle : public KvWatch {
+class WatchHandle : public KvWatchHandle {
  public:
   explicit WatchHandle(std::shared_ptr<HttpCall> call)
       : call(std::move(call)) {}
@@ -55,7 +56,7 @@
     const std::size_t index = (this->preferred + i) % count;
     ++this->calls;
     HttpCall call(this->options.endpoints[index], http, kServicePeer);
-    Result<HttpReply> reply = call.Run(request);
+    Result<HttpResponse> reply = call.Run(request);
     if (reply.Ok() && reply.Value().head.status == kHttpOk) {
       this->preferred = index;
       return std::move(reply.Value().body);
@@ -84,16 +85,16 @@
       DecodeRange);
 }
 
-Result<KvTxnReply> KvClient::Txn(absl::Span<const KvExpect> conditions,
-                                 absl::Span<const KvWrite> writes) const {
-  Result<KvTxnReply> reply =
+Result<KvTxnResult> KvClient::Txn(absl::Span<const KvCondition> conditions,
+                                  absl::Span<const KvWrite> writes) const {
+  Result<KvTxnResult> reply =
       DecodeResponse("txn",
                      this->Call("txn", "/v3/kv/txn",
                                 EncodeTxn(conditions, writes).dump(), true),
                      DecodeTxn);
   // After a malformed response it is not known whether the write took
   // effect.
-  if (!reply.Ok() && reply.Error().code == Errc::kBadAnswer) {
+  if (!reply.Ok() && reply.Error().code == Errc::kMalformedResponse) {
     return MakeFailure(Errc::kOutcomeUnknown, "txn", kServicePeer,
                        reply.Error().detail);
   }
@@ -132,14 +133,14 @@
 
 Failure KvClient::Watch(
     std::string_view prefix, std::int64_t from_revision,
-    const std::function<void(std::shared_ptr<KvWatch>)>& on_start,
+    const std::function<void(std::shared_ptr<KvWatchHandle>)>& on_start,
     const OnEvents& on_events) const {
   HttpOptions http;
   http.connect_timeout = this->options.connect_timeout;
   // The service sends progress notifications even when nothing changes. If
   // none arrives in this time, the connection is broken, although the socket
   // still looks open.
-  http.read_timeout = this->options.watch_silence;
+  http.read_timeout = this->options.watch_read_timeout;
   const std::size_t index = this->preferred % this->options.endpoints.size();
   auto call = std::make_shared<HttpCall>(this->options.endpoints[index], http,
                                          kServicePeer);
@@ -176,12 +177,13 @@
     }
     return true;
   };
-  const auto on_head = [](const HttpHead& head) {
+  const auto on_head = [](const HttpResponseHead& head) {
     return head.status == kHttpOk;
   };
   const Status status = call->Stream(request, on_head, on_data);
   if (!stream_error.empty()) {
-    return MakeFailure(Errc::kBadAnswer, "watch", kServicePeer, stream_error);
+    return MakeFailure(Errc::kMalformedResponse, "watch", kServicePeer,
+                       stream_error);
   }
   if (status.Ok()) {
     return MakeFailure(Errc::kConnectionLost, "watch", kServicePeer, "ended");
--- a/dragonflyglade/store/kv_client.h
+++ b/dragonflyglade/store/kv_client.h
@@ -42,7 +42,7 @@
 
 /// A condition of a transaction: the key's modification revision, where 0
 /// means that the key must not exist.
-struct KvExpect {
+struct KvCondition {
   std::string key;
   std::int64_t mod_revision = 0;
 };
@@ -56,7 +56,7 @@
 };
 
 /// The result of a transaction.
-struct KvTxnReply {
+struct KvTxnResult {
   bool succeeded = false;  ///< whether all conditions held
   std::int64_t revision = 0;
   /// If a condition failed: the existing entries of the conditions' keys.
@@ -75,13 +75,13 @@
   absl::Duration connect_timeout = absl::Milliseconds(300);
   absl::Duration call_timeout = absl::Seconds(1);
   /// A watch that receives nothing for this long fails.
-  absl::Duration watch_silence = absl::Seconds(10);
+  absl::Duration watch_read_timeout = absl::Seconds(10);
 };
 
 /// Lets another thread end a running watch.
-class KvWatch {
+class KvWatchHandle {
  public:
-  virtual ~KvWatch() = default;
+  virtual ~KvWatchHandle() = default;
   virtual void Stop() = 0;
 };
 
@@ -91,7 +91,7 @@
 /// be reached, the next one is tried.
 /// Errors of all calls: kUnavailable when nothing was changed;
 /// kOutcomeUnknown when a write may or may not have taken effect;
-/// kBadAnswer for a malformed response.
+/// kMalformedResponse for a malformed response.
 class KvClient {
  public:
   explicit KvClient(KvOptions options);
@@ -99,8 +99,8 @@
   Result<KvRange> Range(const KvQuery& query) const;
 
   /// Executes all writes if all conditions hold, else none.
-  Result<KvTxnReply> Txn(absl::Span<const KvExpect> conditions,
-                         absl::Span<const KvWrite> writes) const;
+  Result<KvTxnResult> Txn(absl::Span<const KvCondition> conditions,
+                          absl::Span<const KvWrite> writes) const;
 
   /// @return the lease's id
   Result<std::int64_t> GrantLease(absl::Duration ttl) const;
@@ -120,9 +120,10 @@
   /// @param on_events called for each message of the watch with its events,
   ///   of which there may be none, and the store's revision
   /// @return why the watch ended
-  Failure Watch(std::string_view prefix, std::int64_t from_revision,
-                const std::function<void(std::shared_ptr<KvWatch>)>& on_start,
-                const OnEvents& on_events) const;
+  Failure Watch(
+      std::string_view prefix, std::int64_t from_revision,
+      const std::function<void(std::shared_ptr<KvWatchHandle>)>& on_start,
+      const OnEvents& on_events) const;
 
   /// The number of calls made since the start, including watches.
   std::int64_t Calls() const { return this->calls; }
--- a/dragonflyglade/store/kv_codec.cc
+++ b/dragonflyglade/store/kv_codec.cc
@@ -41,11 +41,11 @@
   return message;
 }
 
-json EncodeTxn(absl::Span<const KvExpect> conditions,
+json EncodeTxn(absl::Span<const KvCondition> conditions,
                absl::Span<const KvWrite> writes) {
   json compare = json::array();
   json failure = json::array();
-  for (const KvExpect& condition : conditions) {
+  for (const KvCondition& condition : conditions) {
     compare.push_back(
         {{"key", EncodeBytes(condition.key)},
          {"target", "MOD"},
@@ -112,8 +112,8 @@
   return range;
 }
 
-KvTxnReply DecodeTxn(const json& object) {
-  KvTxnReply reply;
+KvTxnResult DecodeTxn(const json& object) {
+  KvTxnResult reply;
   reply.revision = DecodeNumber(object.at("header"), "revision");
   reply.succeeded = object.value("succeeded", false);
   if (reply.succeeded) return reply;
--- a/dragonflyglade/store/kv_codec.h
+++ b/dragonflyglade/store/kv_codec.h
@@ -16,7 +16,7 @@
 std::string PrefixEnd(std::string_view prefix);
 
 nlohmann::json EncodeRange(const KvQuery& query);
-nlohmann::json EncodeTxn(absl::Span<const KvExpect> conditions,
+nlohmann::json EncodeTxn(absl::Span<const KvCondition> conditions,
                          absl::Span<const KvWrite> writes);
 nlohmann::json EncodeWatch(std::string_view prefix, std::int64_t from_revision);
 
@@ -27,7 +27,7 @@
 // These throw nlohmann::json::exception for a malformed message.
 KvEntry DecodeEntry(const nlohmann::json& object);
 KvRange DecodeRange(const nlohmann::json& object);
-KvTxnReply DecodeTxn(const nlohmann::json& object);
+KvTxnResult DecodeTxn(const nlohmann::json& object);
 std::vector<KvEvent> DecodeEvents(const nlohmann::json& result);
 
 /// Encodes bytes as base64.
--- a/dragonflyglade/store/role_lease.cc
+++ b/dragonflyglade/store/role_lease.cc
@@ -46,8 +46,8 @@
   const Instant asked_at = this->clock.Now();
   const Result<std::int64_t> granted = this->kv.GrantLease(this->ttl);
   if (!granted.Ok()) return false;
-  const Result<KvTxnReply> reply =
-      this->kv.Txn({KvExpect{this->key, 0}},
+  const Result<KvTxnResult> reply =
+      this->kv.Txn({KvCondition{this->key, 0}},
                    {KvWrite{this->key, this->owner, granted.Value(), false}});
   if (!reply.Ok() || !reply.Value().succeeded) {
     // If the write took effect although its response was lost, revoking the
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -5,7 +5,7 @@
 
 namespace dragonflyglade {
 
-Dispatcher::Dispatcher(TargetBook& targets, DispatchOptions options,
+Dispatcher::Dispatcher(TargetRegistry& targets, DispatcherOptions options,
                        Clock clock)
     : targets(targets), options(options), clock(clock) {}
 
@@ -24,19 +24,21 @@
           ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex) {
             Waiter& waiter = *pool.waiters.at(entry.id);
             waiter.result = this->targets.Take(*waiter.need);
-            waiter.granted = std::holds_alternative<TargetPlace>(waiter.result);
+            waiter.granted =
+                std::holds_alternative<TargetReservation>(waiter.result);
             return waiter.granted;
           };
-  while (pool.queue.PopFirst(this->clock.Now(), try_reserve).has_value()) {
+  while (pool.queue.PopFirstDispatchable(this->clock.Now(), try_reserve)
+             .has_value()) {
   }
 }
 
-std::variant<TargetPlace, NoPlace, QueueIsFull> Dispatcher::Acquire(
-    const TargetNeed& need, std::string_view workspace,
-    RequestClass request_class, Instant deadline) {
+std::variant<TargetReservation, ReservationError, QueueFull>
+Dispatcher::Acquire(const TargetRequirements& need, std::string_view workspace,
+                    RequestClass request_class, Instant deadline) {
   PoolQueue& pool = this->QueueOf(need.pool);
   absl::MutexLock lock(&pool.mutex);
-  if (pool.queue.Size() >= this->options.queue_limit) return QueueIsFull{};
+  if (pool.queue.Size() >= this->options.queue_limit) return QueueFull{};
   Waiter waiter;
   waiter.need = &need;
   const std::uint64_t id = pool.next_id++;
@@ -49,19 +51,22 @@
     if (waiter.granted) break;
     const absl::Duration time_left = deadline - this->clock.Now();
     if (time_left <= absl::ZeroDuration()) break;
-    pool.mutex.AwaitWithTimeout(absl::Condition(&waiter.granted),
-                                std::min(time_left, this->options.recheck));
+    pool.mutex.AwaitWithTimeout(
+        absl::Condition(&waiter.granted),
+        std::min(time_left, this->options.recheck_interval));
     if (waiter.granted) break;
   }
   pool.waiters.erase(id);
   if (!waiter.granted) pool.queue.Remove(id);
-  if (const auto* reservation = std::get_if<TargetPlace>(&waiter.result)) {
+  if (const auto* reservation =
+          std::get_if<TargetReservation>(&waiter.result)) {
     return *reservation;
   }
-  return std::get<NoPlace>(waiter.result);
+  return std::get<ReservationError>(waiter.result);
 }
 
-void Dispatcher::Release(const TargetPlace& reservation, PlaceOutcome outcome) {
+void Dispatcher::Release(const TargetReservation& reservation,
+                         RequestOutcome outcome) {
   this->targets.Finish(reservation, outcome);
   PoolQueue& pool = this->QueueOf(reservation.pool);
   absl::MutexLock lock(&pool.mutex);
--- a/dragonflyglade/target/engine_client.cc
+++ b/dragonflyglade/target/engine_client.cc
@@ -74,7 +74,7 @@
   return std::make_shared<HttpCall>(this->endpoint, http, this->peer);
 }
 
-HttpRequest EngineClient::RequestFor(const EngineRequest& request) {
+HttpRequest EngineClient::MakeCompletionRequest(const EngineRequest& request) {
   HttpRequest http;
   http.method = "POST";
   http.path = request.path;
@@ -83,16 +83,16 @@
   return http;
 }
 
-HttpRequest EngineClient::ResumeFor(std::string_view request_id,
-                                    int after_events) {
+HttpRequest EngineClient::MakeResumeRequest(std::string_view request_id,
+                                            int after_events) {
   HttpRequest http;
   http.path = fmt::format("/v1/streams/{}?after={}", request_id, after_events);
   http.headers = {{"X-Request-Id", std::string(request_id)}};
   return http;
 }
 
-Result<HttpReply> EngineClient::Run(const HttpRequest& request,
-                                    absl::Duration timeout) const {
+Result<HttpResponse> EngineClient::Run(const HttpRequest& request,
+                                       absl::Duration timeout) const {
   HttpOptions http;
   http.connect_timeout = this->options.connect_timeout;
   http.read_timeout = timeout;
@@ -104,22 +104,22 @@
 Result<EngineReport> EngineClient::Report() const {
   HttpRequest request;
   request.path = "/load";
-  const Result<HttpReply> reply =
+  const Result<HttpResponse> reply =
       this->Run(request, this->options.report_timeout);
   if (!reply.Ok()) return reply.Error();
   try {
     return DecodeReport(json::parse(reply.Value().body));
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read load report", this->peer,
+    return MakeFailure(Errc::kMalformedResponse, "read load report", this->peer,
                        error.what());
   }
 }
 
-Result<std::vector<CacheEvent>> EngineClient::CacheEvents(
+Result<std::vector<CacheEvent>> EngineClient::FetchCacheEvents(
     std::int64_t after) const {
   HttpRequest request;
   request.path = fmt::format("/cache_events?after={}", after);
-  const Result<HttpReply> reply =
+  const Result<HttpResponse> reply =
       this->Run(request, this->options.report_timeout);
   if (!reply.Ok()) return reply.Error();
   try {
@@ -130,19 +130,19 @@
     }
     return events;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kBadAnswer, "read cache events", this->peer,
-                       error.what());
+    return MakeFailure(Errc::kMalformedResponse, "read cache events",
+                       this->peer, error.what());
   }
 }
 
-Result<OrderReply> EngineClient::Order(const EngineOrder& order) const {
+Result<OrderResult> EngineClient::Order(const EngineOrder& order) const {
   HttpRequest request;
   request.method = "POST";
   request.path = OrderPath(order.kind);
   request.body = OrderBody(order).dump();
   request.headers = {{"X-Order-Id", order.id},
                      {"X-Fence", std::to_string(order.fence)}};
-  const Result<HttpReply> reply =
+  const Result<HttpResponse> reply =
       this->Run(request, this->options.order_timeout);
   if (!reply.Ok()) {
     if (reply.Error().code == Errc::kConnectFailed) return reply.Error();
@@ -151,7 +151,7 @@
   }
   try {
     const json document = json::parse(reply.Value().body);
-    OrderReply result;
+    OrderResult result;
     result.done = reply.Value().head.status == kHttpOk;
     result.boot_id = document.value("boot_id", std::string());
     result.explanation = document.value("error", std::string());
--- a/dragonflyglade/target/engine_client.h
+++ b/dragonflyglade/target/engine_client.h
@@ -9,7 +9,7 @@
 
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/failure.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/http_call.h"
 
 namespace dragonflyglade {
@@ -51,7 +51,7 @@
 };
 
 /// An engine's response to an order.
-struct OrderReply {
+struct OrderResult {
   bool done = false;        ///< executed now or by an earlier attempt
   std::string boot_id;      ///< of the engine process that responded
   std::string explanation;  ///< why the engine refused; empty otherwise
@@ -84,25 +84,26 @@
   std::shared_ptr<HttpCall> NewCall() const;
 
   /// Makes the HTTP request of a completion.
-  static HttpRequest RequestFor(const EngineRequest& request);
+  static HttpRequest MakeCompletionRequest(const EngineRequest& request);
 
   /// Makes the HTTP request that resumes a stream.
   /// @param after_events the number of events already received
-  static HttpRequest ResumeFor(std::string_view request_id, int after_events);
+  static HttpRequest MakeResumeRequest(std::string_view request_id,
+                                       int after_events);
 
   /// Fetches the engine's load report.
   Result<EngineReport> Report() const;
 
   /// Fetches the cache events after a sequence number. Some may be missing.
-  Result<std::vector<CacheEvent>> CacheEvents(std::int64_t after) const;
+  Result<std::vector<CacheEvent>> FetchCacheEvents(std::int64_t after) const;
 
   /// Sends an order. Errors: kConnectFailed if the engine certainly did not
   /// receive it; kOutcomeUnknown if the engine may have executed it.
-  Result<OrderReply> Order(const EngineOrder& order) const;
+  Result<OrderResult> Order(const EngineOrder& order) const;
 
  private:
-  Result<HttpReply> Run(const HttpRequest& request,
-                        absl::Duration timeout) const;
+  Result<HttpResponse> Run(const HttpRequest& request,
+                           absl::Duration timeout) const;
 
   const Endpoint endpoint;
   const std::string peer;
--- a/dragonflyglade/target/target_poller.cc
+++ b/dragonflyglade/target/target_poller.cc
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-TargetPoller::TargetPoller(const ListClient& lists, TargetBook& targets,
+TargetPoller::TargetPoller(const DiscoveryClient& lists,
+                           TargetRegistry& targets,
                            const CatalogHolder& catalog,
                            TargetCallOptions options,
                            absl::Duration list_period,
@@ -28,7 +29,7 @@
       list_period(list_period),
       report_period(report_period),
       list_worker([this] { return this->PollTargetList(); }),
-      report_worker([this] { return this->ReportRound(); }) {}
+      report_worker([this] { return this->PollLoadReports(); }) {}
 
 TargetPoller::~TargetPoller() { this->Stop(); }
 
@@ -43,7 +44,7 @@
 }
 
 absl::Duration TargetPoller::PollTargetList() {
-  const Result<TargetList> list = this->lists.Targets();
+  const Result<DiscoveredTargets> list = this->lists.Targets();
   if (list.Ok()) {
     this->targets.TakeList(list.Value().version, list.Value().targets);
     this->report_worker.Wake();
@@ -70,13 +71,13 @@
     absl::MutexLock lock(&this->mutex);
     after = this->cache_sequence[target.name];
   }
-  const Result<std::vector<CacheEvent>> events = engine.CacheEvents(after);
+  const Result<std::vector<CacheEvent>> events = engine.FetchCacheEvents(after);
   if (!events.Ok()) return;
   for (const CacheEvent& event : events.Value()) {
     if (event.stored) {
-      this->targets.NotePrefix(target.pool, target.name, event.prefix);
+      this->targets.RecordCachedPrefix(target.pool, target.name, event.prefix);
     } else {
-      this->targets.DropPrefix(target.pool, target.name, event.prefix);
+      this->targets.ForgetCachedPrefix(target.pool, target.name, event.prefix);
     }
     after = std::max(after, event.sequence);
   }
@@ -84,7 +85,7 @@
   this->cache_sequence[target.name] = after;
 }
 
-absl::Duration TargetPoller::ReportRound() {
+absl::Duration TargetPoller::PollLoadReports() {
   std::vector<ListedTarget> engines;
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const TargetStatus& status : this->targets.Status()) {
--- a/dragonflyglade/target/target_poller.h
+++ b/dragonflyglade/target/target_poller.h
@@ -4,10 +4,10 @@
 #include <map>
 #include <string>
 
-#include "dragonflyglade/decision/target_book.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/decision/target_registry.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/operator/catalog.h"
-#include "dragonflyglade/store/list_client.h"
+#include "dragonflyglade/store/discovery_client.h"
 #include "dragonflyglade/target/engine_client.h"
 
 namespace dragonflyglade {
@@ -16,7 +16,7 @@
 /// and the load reports and cache events of engines.
 class TargetPoller {
  public:
-  TargetPoller(const ListClient& lists, TargetBook& targets,
+  TargetPoller(const DiscoveryClient& lists, TargetRegistry& targets,
                const CatalogHolder& catalog, TargetCallOptions options,
                absl::Duration list_period, absl::Duration report_period);
   ~TargetPoller();
@@ -26,20 +26,20 @@
 
  private:
   absl::Duration PollTargetList();
-  absl::Duration ReportRound();
+  absl::Duration PollLoadReports();
   void PollEngine(const ListedTarget& target);
   void PollCacheEvents(const EngineClient& engine, const ListedTarget& target);
 
-  const ListClient& lists;
-  TargetBook& targets;
+  const DiscoveryClient& lists;
+  TargetRegistry& targets;
   const CatalogHolder& catalog;
   const TargetCallOptions options;
   const absl::Duration list_period;
   const absl::Duration report_period;
   absl::Mutex mutex;
   std::map<std::string, std::int64_t> cache_sequence ABSL_GUARDED_BY(mutex);
-  Worker list_worker;
-  Worker report_worker;
+  PeriodicWorker list_worker;
+  PeriodicWorker report_worker;
 };
 
 }  // namespace dragonflyglade
--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -22,13 +22,13 @@
 using dragonflyglade::Admission;
 using dragonflyglade::Admitted;
 using dragonflyglade::Allotment;
-using dragonflyglade::BorrowFrom;
+using dragonflyglade::BorrowFromPeer;
 using dragonflyglade::Clock;
-using dragonflyglade::HolderShare;
-using dragonflyglade::kWholeShare;
+using dragonflyglade::DistributedRateLimiter;
+using dragonflyglade::kFullShareMillionths;
+using dragonflyglade::OwnerShare;
 using dragonflyglade::RateLimit;
-using dragonflyglade::ShareBook;
-using dragonflyglade::ShareOptions;
+using dragonflyglade::RateLimiterOptions;
 using dragonflyglade::SteadyClock;
 using dragonflyglade::WaitFor;
 
@@ -39,18 +39,19 @@
 constexpr absl::Duration kPatience = absl::Milliseconds(100);
 constexpr absl::Duration kRunTime = absl::Seconds(1);
 
-using Books = std::map<std::string, std::unique_ptr<ShareBook>>;
+using Books = std::map<std::string, std::unique_ptr<DistributedRateLimiter>>;
 
 // Takes one request's tokens; a loan is a call to the other book.
-bool Admit(Books& books, ShareBook& own) {
+bool Admit(Books& books, DistributedRateLimiter& own) {
   Admission admission = own.Begin(kWorkspace, kCost, kPatience);
   while (true) {
     const auto step = own.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return true;
-    if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
-      own.FinishLoan(admission, borrow->peer,
-                     books.at(borrow->peer)
-                         ->Lend(kWorkspace, borrow->tokens, borrow->longest));
+    if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
+      own.CompleteLoan(
+          admission, borrow->peer,
+          books.at(borrow->peer)
+              ->LendTokens(kWorkspace, borrow->tokens, borrow->longest));
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
     } else {
@@ -68,12 +69,13 @@
   allotment.workspace = kWorkspace;
   allotment.epoch = 1;
   for (const char* name : {"one", "two", "three"}) {
-    books[name] = std::make_unique<ShareBook>(name, 1, ShareOptions{}, clock);
+    books[name] = std::make_unique<DistributedRateLimiter>(
+        name, 1, RateLimiterOptions{}, clock);
     books[name]->SetRate(kWorkspace, RateLimit{kRate, kBurst});
-    allotment.holders.push_back(
-        HolderShare{name, 1, kWholeShare / 3, kWholeShare / 3, 0});
+    allotment.holders.push_back(OwnerShare{name, 1, kFullShareMillionths / 3,
+                                           kFullShareMillionths / 3, 0});
   }
-  for (auto& [name, book] : books) book->Adopt(allotment);
+  for (auto& [name, book] : books) book->ApplyAllotment(allotment);
 
   const absl::Time start = absl::Now();
   std::atomic<int> admitted{0};
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -7,11 +7,11 @@
 #include <memory>
 #include <vector>
 
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "dragonflyglade/decision/fair_queue.h"
 #include "dragonflyglade/decision/membership.h"
 #include "dragonflyglade/decision/rendezvous.h"
-#include "dragonflyglade/decision/share_book.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/operator/caller_key.h"
 #include "dragonflyglade/operator/catalog.h"
 #include "measure/topics.h"
@@ -90,30 +90,31 @@
   catalog.keys[key.id] =
       KeyRecord{key.id, "w", salt, DigestOf(salt, key.secret), false};
   const std::string shown = key.ToString();
-  PrintCost("key.check", 20'000, [&](int) { CheckCallerKey(catalog, shown); });
+  PrintCost("key.check", 20'000, [&](int) { FindKeyRecord(catalog, shown); });
 
   ManualClock manual;
-  ShareBook shares("i0", 1, ShareOptions{}, Clock(&manual));
+  DistributedRateLimiter shares("i0", 1, RateLimiterOptions{}, Clock(&manual));
   Allotment allotment{"w", 1, {}};
   for (int i = 0; i < 4; ++i) {
-    allotment.holders.push_back(HolderShare{
-        fmt::format("i{}", i), 1, kWholeShare / 4, kWholeShare / 4, 0});
+    allotment.holders.push_back(OwnerShare{fmt::format("i{}", i), 1,
+                                           kFullShareMillionths / 4,
+                                           kFullShareMillionths / 4, 0});
   }
   shares.SetRate("w", RateLimit{1e9, 1e9});
-  shares.Adopt(allotment);
+  shares.ApplyAllotment(allotment);
   manual.Advance(absl::Seconds(10));
   PrintCost("shares.admit_and_settle", 100'000, [&](int) {
     manual.Advance(absl::Microseconds(10));
     Admission admission = shares.Begin("w", 10, absl::ZeroDuration());
     for (int step = 0; step < 4; ++step) {
       if (std::holds_alternative<Admitted>(shares.Next(admission))) break;
-      shares.FinishLoan(admission, "i1", std::nullopt);
+      shares.CompleteLoan(admission, "i1", std::nullopt);
     }
     shares.Settle(admission, 5);
   });
   PrintCost("shares.lend", 100'000, [&](int) {
     manual.Advance(absl::Milliseconds(1));
-    shares.Lend("w", 10, absl::ZeroDuration());
+    shares.LendTokens("w", 10, absl::ZeroDuration());
   });
   const double before = ResidentBytes();
   constexpr int kWorkspaces = 2000;
@@ -121,7 +122,7 @@
     Allotment each = allotment;
     each.workspace = fmt::format("workspace-{:04}", i);
     shares.SetRate(each.workspace, RateLimit{1000, 1000});
-    shares.Adopt(each);
+    shares.ApplyAllotment(each);
   }
   PrintFigure("capacity.shares.memory_per_workspace",
               (ResidentBytes() - before) / kWorkspaces, "bytes");
@@ -131,7 +132,7 @@
   for (const int count : {24, 100, 475}) {
     ManualClock manual;
     manual.Advance(absl::Hours(1));
-    TargetBook book(TargetOptions{}, Clock(&manual), 1);
+    TargetRegistry book(TargetOptions{}, Clock(&manual), 1);
     std::vector<ListedTarget> list;
     list.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
@@ -146,7 +147,7 @@
       report.resident = {"m0", "m1", "m2", "m3"};
       book.TakeReport(kPool, target.name, report);
     }
-    TargetNeed need;
+    TargetRequirements need;
     need.pool = kPool;
     need.model = "m1";
     need.zone = "a";
@@ -154,8 +155,8 @@
     need.tokens = 1000;
     PrintCost(fmt::format("targets.{}.take_and_finish", count), 2000, [&](int) {
       const auto place = book.Take(need);
-      if (const auto* found = std::get_if<TargetPlace>(&place)) {
-        book.Finish(*found, PlaceOutcome::kGood);
+      if (const auto* found = std::get_if<TargetReservation>(&place)) {
+        book.Finish(*found, RequestOutcome::kSucceeded);
       }
     });
   }
@@ -164,7 +165,7 @@
 void MeasureMembers() {
   for (const int count : {6, 400}) {
     ManualClock manual;
-    MemberStatement self;
+    MemberStatus self;
     self.info.name = "self";
     self.incarnation = 1;
     const double before = ResidentBytes();
@@ -181,7 +182,7 @@
     PrintCost(fmt::format("members.{}.round", count), 2000, [&](int i) {
       membership.Tick();
       const auto next = membership.NextToProbe();
-      MemberStatement sender = *next;
+      MemberStatus sender = *next;
       sender.incarnation = 1;
       sender.sequence = i / count;
       membership.Receive(sender, membership.Updates(next->info.name));
--- a/measure/measure_membership.cc
+++ b/measure/measure_membership.cc
@@ -26,7 +26,7 @@
 }
 
 wire::Heartbeat Sample(int updates, int balances) {
-  MemberStatement member;
+  MemberStatus member;
   member.info =
       MemberInfo{"entry-dar-es-salaam-101", "10.20.30.40", 7001, 8001, "dar-1"};
   member.incarnation = 1'796'257'596'784'056;
--- a/measure/measure_once.cc
+++ b/measure/measure_once.cc
@@ -59,16 +59,17 @@
   }
 
   // One write; an answer may be lost after it took effect.
-  ClaimWrite Create(const std::string& key, const Claim& claim) {
+  ClaimWriteResult Create(const std::string& key, const Claim& claim) {
     ++this->counts.kv_calls;
     const auto found = this->store.find(key);
-    ClaimWrite write = ClaimCreated{1};
+    ClaimWriteResult write = ClaimCreated{1};
     if (found != this->store.end()) {
       write = ClaimExists{found->second, 1};
     } else {
-      this->store[key] = EncodeClaim(claim);
+      this->store[key] = SerializeClaim(claim);
     }
-    return this->Chance(this->loss) ? ClaimWrite(ClaimOutcomeUnknown{}) : write;
+    return this->Chance(this->loss) ? ClaimWriteResult(ClaimOutcomeUnknown{})
+                                    : write;
   }
 
   // True when the caller knows that its payout ran.
@@ -79,12 +80,12 @@
     claim.nonce = fmt::format("n{}", ++this->nonces);
     claim.digest = key;
     if (this->claims) {
-      ClaimStep step = TryAgain{};
-      for (int i = 0; std::holds_alternative<TryAgain>(step); ++i) {
-        step = AfterClaimWrite(claim, this->Create(key, claim), i < 3);
+      ClaimStep step = RetryClaimWrite{};
+      for (int i = 0; std::holds_alternative<RetryClaimWrite>(step); ++i) {
+        step = DecideClaimStep(claim, this->Create(key, claim), i < 3);
       }
-      if (std::holds_alternative<Replay>(step)) return true;
-      if (!std::holds_alternative<Dispatch>(step)) return false;
+      if (std::holds_alternative<ReplayResponse>(step)) return true;
+      if (!std::holds_alternative<DispatchCall>(step)) return false;
     }
     if (death == Death::kAfterClaim) return false;
     ++this->runs[key];
@@ -92,7 +93,7 @@
     if (death == Death::kAfterDispatch || answer_lost) return false;
     if (this->claims) {
       claim.state = ClaimState::kDone;
-      this->store[key] = EncodeClaim(claim);
+      this->store[key] = SerializeClaim(claim);
       ++this->counts.kv_calls;
     }
     // The caller's own connection may break as well.
--- a/measure/measure_placement.cc
+++ b/measure/measure_placement.cc
@@ -45,14 +45,14 @@
 void PrintPlannerTime(int targets, int models) {
   ManualClock manual;
   manual.Advance(absl::Hours(1));
-  PlacementPlanner planner(PlanOptions{}, Clock(&manual));
-  PlanInput input;
+  PlacementPlanner planner(PlannerOptions{}, Clock(&manual));
+  PlannerInput input;
   for (int i = 0; i < models; ++i) {
-    input.models.push_back(PlannedModel{fmt::format("m{:04}", i), "1", 220, 1});
+    input.models.push_back(PlannerModel{fmt::format("m{:04}", i), "1", 220, 1});
     input.demand[input.models.back().name] = 100.0 + i;
   }
   for (int i = 0; i < targets; ++i) {
-    PlannedTarget target;
+    PlannerTarget target;
     target.ledger.target = fmt::format("t{:04}", i);
     target.ledger.capacity = 1000;
     target.resident.emplace();
--- a/measure/measure_residency.cc
+++ b/measure/measure_residency.cc
@@ -19,9 +19,9 @@
 };
 
 struct Placed {
-  std::vector<WantedModel> models;
-  std::vector<WantedAdapter> adapters;
-  std::vector<EngineHoldings> engines;
+  std::vector<DemandedModel> models;
+  std::vector<DemandedAdapter> adapters;
+  std::vector<EngineResidency> engines;
 };
 
 Placed Place(const Size& size, std::mt19937& random) {
@@ -29,7 +29,7 @@
   std::uniform_real_distribution<double> load(0, 0.4);
   Placed placed;
   for (int i = 0; i < size.models; ++i) {
-    WantedModel model;
+    DemandedModel model;
     model.name = fmt::format("model-{}", i);
     model.memory_mb = 60000;
     model.adapter_mb = 40;
@@ -37,7 +37,7 @@
     placed.models.push_back(model);
   }
   for (int i = 0; i < size.engines; ++i) {
-    EngineHoldings engine;
+    EngineResidency engine;
     engine.id = fmt::format("i-{:010x}", random());
     engine.memory_mb = 200000;
     engine.adapter_slots = 5;
--- a/measure/model/limits_fleet.cc
+++ b/measure/model/limits_fleet.cc
@@ -42,7 +42,8 @@
     : run(run),
       clock(&this->manual),
       random(run.seed),
-      gone(ShareOptions{}.longest_promise + ShareOptions{}.hold_limit,
+      gone(RateLimiterOptions{}.max_reservation_wait +
+               RateLimiterOptions{}.min_hold,
            this->clock),
       ideal(Instant()) {
   this->allotment.workspace = kWorkspace;
@@ -61,11 +62,11 @@
   if (at.book != nullptr) ++at.incarnation;
   at.alive = true;
   at.paused_until = Instant();
-  at.book = std::make_unique<ShareBook>(NameOf(node), at.incarnation,
-                                        ShareOptions{}, this->clock);
+  at.book = std::make_unique<DistributedRateLimiter>(
+      NameOf(node), at.incarnation, RateLimiterOptions{}, this->clock);
   at.book->SetRate(kWorkspace, RateLimit{this->run.rate, this->run.burst});
   // The configuration, allotment included, comes from the service or a peer.
-  if (this->allotment.epoch > 0) at.book->Adopt(this->allotment);
+  if (this->allotment.epoch > 0) at.book->ApplyAllotment(this->allotment);
 }
 
 void LimitsFleet::At(Instant when, std::function<void()> action) {
@@ -161,7 +162,7 @@
       if (this->run.naive_refund) settled.charged = this->manual.Now();
       later.book->Settle(settled, this->run.cost - unused);
     });
-  } else if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
+  } else if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
     this->Borrow(node, incarnation, admission, *borrow);
   } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
     this->At(this->manual.Now() + wait->delay,
@@ -185,7 +186,7 @@
       this->At(this->Awake(lender), [=, this] {
         Node& at = this->nodes[lender];
         if (!at.alive || at.incarnation != incarnation) return;
-        at.book->TakeBack(kWorkspace, part.tokens, part.stamp);
+        at.book->ReceiveReturn(kWorkspace, part.tokens, part.stamp);
       });
     });
   }
@@ -193,9 +194,9 @@
 
 void LimitsFleet::Borrow(std::size_t node, std::int64_t incarnation,
                          const std::shared_ptr<Admission>& admission,
-                         const BorrowFrom& step) {
+                         const BorrowFromPeer& step) {
   if (this->run.way == SharingWay::kStaticSplit) {
-    this->nodes[node].book->FinishLoan(*admission, step.peer, std::nullopt);
+    this->nodes[node].book->CompleteLoan(*admission, step.peer, std::nullopt);
     this->Step(node, incarnation, admission);
     return;
   }
@@ -207,7 +208,7 @@
     *answered = true;
     Node& at = this->nodes[node];
     if (!at.alive || at.incarnation != incarnation) return;
-    at.book->FinishLoan(*admission, step.peer, loan);
+    at.book->CompleteLoan(*admission, step.peer, loan);
     this->Step(node, incarnation, admission);
   };
   // The timer of a paused process fires when it wakes.
@@ -220,8 +221,8 @@
   this->At(sent + this->Delay(), [=, this] {
     this->At(this->Awake(lender), [=, this] {
       if (!this->nodes[lender].alive) return;
-      const Loan loan =
-          this->nodes[lender].book->Lend(kWorkspace, step.tokens, step.longest);
+      const Loan loan = this->nodes[lender].book->LendTokens(
+          kWorkspace, step.tokens, step.longest);
       ++this->result.messages;
       const bool answer_lost =
           absl::Bernoulli(this->random, this->run.message_loss);
@@ -239,7 +240,7 @@
   this->At(this->manual.Now() + kKeepEvery, [this] { this->Keep(); });
   const bool out = this->run.kv_out && this->manual.Now() > kWarmUp;
   if (out) return;
-  AllotmentView view;
+  AllotmentInputs view;
   const Instant visible = this->manual.Now() - this->run.list_lag;
   for (std::size_t i = 0; i < this->lists.size(); ++i) {
     if (i > 0 && this->lists[i].first > visible) break;
@@ -262,10 +263,11 @@
                             : kHoldersInLargeFleet;
   if (this->run.way == SharingWay::kOneOwner) holders = 1;
   for (const std::string& name : RendezvousOwners(kWorkspace, names, holders)) {
-    view.wanted.push_back(HolderCandidate{name, view.answering[name]});
+    view.wanted.push_back(OwnerCandidate{name, view.answering[name]});
   }
-  view.settled = this->gone.Settled(this->allotment, view);
-  const std::optional<Allotment> next = NextAllotment(this->allotment, view);
+  view.settled = this->gone.UpdateReclaimable(this->allotment, view);
+  const std::optional<Allotment> next =
+      PlanNextAllotment(this->allotment, view);
   if (!next.has_value()) return;
   this->allotment = *next;
   for (std::size_t i = 0; i < this->nodes.size(); ++i) {
@@ -273,7 +275,7 @@
     this->At(this->manual.Now() + 10 * this->Delay(), [=, this] {
       this->At(this->Awake(i), [=, this] {
         if (this->nodes[i].alive && this->Reaches(i, i)) {
-          this->nodes[i].book->Adopt(copy);
+          this->nodes[i].book->ApplyAllotment(copy);
         }
       });
     });
@@ -297,7 +299,7 @@
       sender.book->Learn(NameOf(to), balance);
     }
     // A cut instance catches up with the allotment when it is back.
-    if (this->allotment.epoch > 0) sender.book->Adopt(this->allotment);
+    if (this->allotment.epoch > 0) sender.book->ApplyAllotment(this->allotment);
   }
 }
 
--- a/measure/model/limits_fleet.h
+++ b/measure/model/limits_fleet.h
@@ -12,7 +12,7 @@
 
 #include "dragonflyglade/decision/allotment.h"
 #include "dragonflyglade/decision/clock.h"
-#include "dragonflyglade/decision/share_book.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 #include "measure/history/history.h"
 
 namespace dragonflyglade {
@@ -86,7 +86,7 @@
  private:
   struct Node {
     std::int64_t incarnation = 1;
-    std::unique_ptr<ShareBook> book;
+    std::unique_ptr<DistributedRateLimiter> book;
     bool alive = true;
     Instant paused_until;
     Instant cut_until;
@@ -99,7 +99,7 @@
             std::shared_ptr<Admission> admission);
   void Borrow(std::size_t node, std::int64_t incarnation,
               const std::shared_ptr<Admission>& admission,
-              const BorrowFrom& step);
+              const BorrowFromPeer& step);
   void GiveBack(std::size_t node, const OverRate& over);
   void Keep();
   void Gossip();
@@ -118,7 +118,7 @@
   std::multimap<Instant, std::function<void()>> queue;
   std::vector<Node> nodes;
   Allotment allotment;
-  GoneHolders gone;
+  TerminatedOwners gone;
   std::vector<std::pair<Instant, std::set<std::string>>> lists;
   TokenBucket ideal;
   std::size_t favourite = 0;
--- a/measure/model/membership_fleet.cc
+++ b/measure/model/membership_fleet.cc
@@ -31,7 +31,7 @@
   }
   this->nodes.resize(run.instances);
   for (std::size_t i = 0; i < run.instances; ++i) {
-    MemberStatement self;
+    MemberStatus self;
     self.info = list.instances[i].info;
     self.incarnation = 1;
     this->nodes[i].membership = std::make_unique<Membership>(
@@ -50,7 +50,7 @@
   Node& sender = this->nodes[from];
   Node& receiver = this->nodes[to];
   const auto carry = [this](Node& a, Node& b, std::size_t b_index) {
-    const std::vector<MemberStatement> updates =
+    const std::vector<MemberStatus> updates =
         a.membership->Updates(NameOf(b_index));
     ++this->messages;
     this->updates += static_cast<std::int64_t>(updates.size());
@@ -70,14 +70,14 @@
   const std::size_t target = std::stoul(next->info.name.substr(1));
   // The real exchange repeats on a new connection.
   if (this->Exchange(node, target) || this->Exchange(node, target)) return;
-  for (const MemberStatement& helper :
-       own.membership->RandomLive(kHelpers, next->info.name)) {
+  for (const MemberStatus& helper :
+       own.membership->SampleAlive(kHelpers, next->info.name)) {
     const std::size_t through = std::stoul(helper.info.name.substr(1));
     if (this->Exchange(node, through) && this->Exchange(through, target)) {
       return;
     }
   }
-  own.membership->Missed(next->info.name);
+  own.membership->ReportProbeFailure(next->info.name);
 }
 
 void MembershipFleet::Judge() {
@@ -127,8 +127,8 @@
     if (this->nodes[node].alive) this->Round(node);
     // Whoever hears of something new passes it on at once.
     if (!had_news && this->nodes[node].has_news) {
-      for (const MemberStatement& other :
-           this->nodes[node].membership->RandomLive(kNewsFanout, "")) {
+      for (const MemberStatus& other :
+           this->nodes[node].membership->SampleAlive(kNewsFanout, "")) {
         this->Exchange(node, std::stoul(other.info.name.substr(1)));
       }
     }
--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -79,17 +79,17 @@
          this->weights[static_cast<std::size_t>(model)] * factor;
 }
 
-PlanInput PlacementFleet::InputFor(Planner& planner,
-                                   std::map<std::string, Stored>& picture) {
-  PlanInput input;
+PlannerInput PlacementFleet::InputFor(Planner& planner,
+                                      std::map<std::string, Stored>& picture) {
+  PlannerInput input;
   for (int i = 0; i < this->run.models; ++i) {
     input.models.push_back(
-        PlannedModel{ModelName(i), "1", this->run.model_bytes, 1});
+        PlannerModel{ModelName(i), "1", this->run.model_bytes, 1});
     input.demand[ModelName(i)] =
         this->run.static_placement ? 0 : this->Demand(i);
   }
   for (int i = 0; i < this->run.adapters; ++i) {
-    input.adapters.push_back(PlannedAdapter{fmt::format("a{}", i),
+    input.adapters.push_back(PlannerAdapter{fmt::format("a{}", i),
                                             ModelName(i % this->run.models),
                                             this->run.adapter_bytes});
   }
@@ -112,13 +112,13 @@
     }
     if (EncodeLedger(stored.ledger) != before) this->Write(stored, {});
     stored = this->store.at(name);
-    PlannedTarget planned;
+    PlannerTarget planned;
     planned.ledger = stored.ledger;
     if (made_at > since + kSettle) planned.resident = resident;
     input.targets.push_back(std::move(planned));
   }
-  input.model_loads_open = planner.model_loads_open;
-  input.adapter_loads_open = planner.adapter_loads_open;
+  input.open_model_loads = planner.open_model_loads;
+  input.open_adapter_loads = planner.open_adapter_loads;
   return input;
 }
 
@@ -186,9 +186,9 @@
     if (!BeginUnload(stored.ledger, unload.name, fence).Ok()) return;
     const std::string id = FindCopy(stored.ledger, unload.name)->order_id;
     std::vector<std::pair<std::string, std::int64_t>> also;
-    if (!unload.relies_on.empty()) {
-      also.emplace_back(unload.relies_on,
-                        picture.at(unload.relies_on).revision);
+    if (!unload.retained_copy_target.empty()) {
+      also.emplace_back(unload.retained_copy_target,
+                        picture.at(unload.retained_copy_target).revision);
     }
     if (!this->Write(stored, also)) return;
     CopySpec spec;
@@ -228,8 +228,8 @@
     return absl::Uniform(this->random, 0.0, 1.0) * this->run.latest;
   };
   const int boot = this->targets.at(name).boot;
-  int& open = is_model ? this->planners[index].model_loads_open
-                       : this->planners[index].adapter_loads_open;
+  int& open = is_model ? this->planners[index].open_model_loads
+                       : this->planners[index].open_adapter_loads;
   if (is_load) ++open;
   if (is_doubled) {
     this->At(this->manual.Now() + late(), [=, this] {
@@ -251,7 +251,7 @@
   if (is_load) {
     this->At(this->manual.Now() + takes, [=, this] {
       Planner& planner = this->planners[index];
-      --(is_model ? planner.model_loads_open : planner.adapter_loads_open);
+      --(is_model ? planner.open_model_loads : planner.open_adapter_loads);
     });
   }
 }
--- a/measure/model/placement_fleet.h
+++ b/measure/model/placement_fleet.h
@@ -40,7 +40,7 @@
   double swing = 1;
   double tokens_per_second = 6000;  ///< of all models together
   bool static_placement = false;
-  PlanOptions plan;
+  PlannerOptions plan;
   /// A planner that gives bytes back as soon as an unload is confirmed.
   bool forget_open_loads = false;
   std::uint64_t seed = 1;
@@ -80,8 +80,8 @@
     std::int64_t fence = 0;
     Instant paused_until;
     std::map<std::string, std::pair<std::int64_t, Instant>> seen;
-    int model_loads_open = 0;
-    int adapter_loads_open = 0;
+    int open_model_loads = 0;
+    int open_adapter_loads = 0;
   };
 
   void At(Instant when, std::function<void()> action);
@@ -102,7 +102,8 @@
   bool KvOut() const;
   bool Chance(double part);
   std::string BootId(const Target& target) const;
-  PlanInput InputFor(Planner& planner, std::map<std::string, Stored>& picture);
+  PlannerInput InputFor(Planner& planner,
+                        std::map<std::string, Stored>& picture);
 
   const PlacementRun run;
   ManualClock manual;
--- a/measure/model/serving_fleet.cc
+++ b/measure/model/serving_fleet.cc
@@ -84,9 +84,9 @@
     Entry& entry = this->entries[i];
     TargetOptions options;
     entry.book =
-        std::make_unique<TargetBook>(options, this->clock, run.seed + i);
+        std::make_unique<TargetRegistry>(options, this->clock, run.seed + i);
     entry.book->TakeList(1, list);
-    entry.book->SetSharers(static_cast<int>(run.instances));
+    entry.book->SetInstanceCount(static_cast<int>(run.instances));
     // Waiting in the order of arrival is a fair queue with one line.
     entry.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
     entry.retries = std::make_unique<RetryBudget>(0.1, 10);
@@ -131,7 +131,7 @@
   ++this->result.by_class[static_cast<int>(request->request_class)].second;
   const auto instance =
       absl::Uniform<std::size_t>(this->random, 0, this->entries.size());
-  this->entries[instance].retries->RequestMade();
+  this->entries[instance].retries->RecordRequest();
   this->Enqueue(instance, request);
 }
 
@@ -152,7 +152,8 @@
     return this->TryPlace(instance, entry.waiting.at(waiting.id));
   };
   while (true) {
-    const auto placed = entry.queue->PopFirst(this->manual.Now(), can_place);
+    const auto placed =
+        entry.queue->PopFirstDispatchable(this->manual.Now(), can_place);
     if (!placed.has_value()) return;
     entry.waiting.erase(placed->id);
   }
@@ -198,10 +199,10 @@
     const std::string name = this->ChooseSimply(instance, *request);
     if (name.empty()) return false;
     ++entry.own[name];
-    this->Send(instance, request, TargetPlace{name, kPool, "", 0, 0});
+    this->Send(instance, request, TargetReservation{name, kPool, "", 0, 0});
     return true;
   }
-  TargetNeed need;
+  TargetRequirements need;
   need.pool = kPool;
   need.model = kModel;
   need.zone = instance % 2 == 0 ? "a" : "b";
@@ -209,13 +210,13 @@
   need.tokens = request->prompt + request->output;
   need.avoid = request->avoid;
   const auto place = entry.book->Take(need);
-  if (!std::holds_alternative<TargetPlace>(place)) return false;
-  this->Send(instance, request, std::get<TargetPlace>(place));
+  if (!std::holds_alternative<TargetReservation>(place)) return false;
+  this->Send(instance, request, std::get<TargetReservation>(place));
   return true;
 }
 
 void ServingFleet::Send(std::size_t instance, const RequestPtr& request,
-                        const TargetPlace& place) {
+                        const TargetReservation& place) {
   Target& target = this->targets.at(place.target);
   ++this->result.attempts;
   ++request->attempts;
@@ -280,17 +281,17 @@
       --at.running;
       at.queued_tokens -= waiting.request->prompt + waiting.request->output;
       if (this->run.routing == RoutingWay::kBook) {
-        this->entries[waiting.instance].book->NotePrefix(
+        this->entries[waiting.instance].book->RecordCachedPrefix(
             kPool, name, waiting.request->prefix);
       }
-      this->Finish(waiting.instance, waiting.place, PlaceOutcome::kGood);
+      this->Finish(waiting.instance, waiting.place, RequestOutcome::kSucceeded);
       this->Start(at);
     });
   }
 }
 
-void ServingFleet::Finish(std::size_t instance, const TargetPlace& place,
-                          PlaceOutcome outcome) {
+void ServingFleet::Finish(std::size_t instance, const TargetReservation& place,
+                          RequestOutcome outcome) {
   Entry& entry = this->entries[instance];
   if (this->run.routing == RoutingWay::kBook) {
     entry.book->Finish(place, outcome);
@@ -301,11 +302,11 @@
 }
 
 void ServingFleet::Fail(std::size_t instance, const RequestPtr& request,
-                        const TargetPlace& place) {
+                        const TargetReservation& place) {
   request->avoid.insert(place.target);
   const bool again = request->attempts < kMostAttempts &&
-                     this->entries[instance].retries->TakeRetry();
-  this->Finish(instance, place, PlaceOutcome::kTargetFault);
+                     this->entries[instance].retries->TryConsumeRetry();
+  this->Finish(instance, place, RequestOutcome::kTargetFault);
   if (again) {
     this->Enqueue(instance, request);
   } else {
--- a/measure/model/serving_fleet.h
+++ b/measure/model/serving_fleet.h
@@ -14,7 +14,7 @@
 #include "dragonflyglade/decision/clock.h"
 #include "dragonflyglade/decision/fair_queue.h"
 #include "dragonflyglade/decision/retry_budget.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/decision/token_bucket.h"
 
 namespace dragonflyglade {
@@ -100,7 +100,7 @@
   struct Waiting {
     RequestPtr request;
     std::size_t instance = 0;
-    TargetPlace place;
+    TargetReservation place;
   };
   struct Reported {
     Instant at;
@@ -121,7 +121,7 @@
     std::deque<Reported> reports;
   };
   struct Entry {
-    std::unique_ptr<TargetBook> book;
+    std::unique_ptr<TargetRegistry> book;
     std::unique_ptr<FairQueue> queue;
     std::unique_ptr<RetryBudget> retries;
     std::map<std::uint64_t, RequestPtr> waiting;
@@ -136,12 +136,12 @@
   bool TryPlace(std::size_t instance, const RequestPtr& request);
   std::string ChooseSimply(std::size_t instance, const Request& request);
   void Send(std::size_t instance, const RequestPtr& request,
-            const TargetPlace& place);
+            const TargetReservation& place);
   void Start(Target& target);
-  void Finish(std::size_t instance, const TargetPlace& place,
-              PlaceOutcome outcome);
+  void Finish(std::size_t instance, const TargetReservation& place,
+              RequestOutcome outcome);
   void Fail(std::size_t instance, const RequestPtr& request,
-            const TargetPlace& place);
+            const TargetReservation& place);
   void Report();
   void Recheck();
   bool Hit(Target& target, std::uint64_t prefix);
--- a/tests/fleet/caller.cc
+++ b/tests/fleet/caller.cc
@@ -39,7 +39,7 @@
   if (!key.empty()) {
     request.headers.emplace_back("Authorization", "Bearer " + key);
   }
-  const Result<HttpReply> reply = call.Run(request);
+  const Result<HttpResponse> reply = call.Run(request);
   CallResult result;
   if (!reply.Ok()) {
     // Nothing was sent if there was no connection.
--- a/tests/fleet/fleet.cc
+++ b/tests/fleet/fleet.cc
@@ -119,7 +119,7 @@
 
 void Fleet::AddTarget(const std::string& name, const std::string& pool,
                       const Endpoint& at) {
-  auto relay = std::make_unique<RelayStandIn>(at);
+  auto relay = std::make_unique<FaultyTcpProxy>(at);
   const Endpoint through = relay->Start();
   this->target_links[name] = std::move(relay);
   this->list.PutTarget(
@@ -165,7 +165,7 @@
 }
 
 void Fleet::StartInstance(int number) {
-  auto relay = std::make_unique<RelayStandIn>(this->kv_at);
+  auto relay = std::make_unique<FaultyTcpProxy>(this->kv_at);
   const Endpoint through = relay->Start();
   this->kv_links[number] = std::move(relay);
   auto process = std::make_unique<Process>(
@@ -285,7 +285,7 @@
 void Fleet::AddMemory(std::vector<HistoryEvent>& events) const {
   for (std::size_t i = 0; i < this->engines.size(); ++i) {
     events.emplace_back(MemoryEvent{fmt::format("engine-{}", i + 1),
-                                    this->engines[i]->PeakBytes(),
+                                    this->engines[i]->PeakMemoryBytes(),
                                     this->options.engine.memory_bytes});
   }
 }
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -13,11 +13,11 @@
 #include "dragonflyglade/store/kv_client.h"
 #include "measure/history/history.h"
 #include "tests/fleet/process.h"
+#include "tests/standins/discovery_stand_in.h"
 #include "tests/standins/engine_stand_in.h"
+#include "tests/standins/faulty_tcp_proxy.h"
 #include "tests/standins/kv_stand_in.h"
 #include "tests/standins/ledger_stand_in.h"
-#include "tests/standins/list_stand_in.h"
-#include "tests/standins/relay_stand_in.h"
 
 namespace dragonflyglade {
 
@@ -66,11 +66,11 @@
   void Apply(const std::string& records);
 
   KvStandIn& Kv() { return this->kv; }
-  ListStandIn& List() { return this->list; }
+  DiscoveryStandIn& List() { return this->list; }
   EngineStandIn& Engine(int number) { return *this->engines.at(number - 1); }
   LedgerStandIn& Ledger() { return *this->ledgers.front(); }
-  RelayStandIn& KvLink(int instance) { return *this->kv_links.at(instance); }
-  RelayStandIn& TargetLink(const std::string& name) {
+  FaultyTcpProxy& KvLink(int instance) { return *this->kv_links.at(instance); }
+  FaultyTcpProxy& TargetLink(const std::string& name) {
     return *this->target_links.at(name);
   }
   Endpoint KvEndpoint() const { return this->kv_at; }
@@ -98,13 +98,13 @@
   const FleetOptions options;
   std::string folder;
   KvStandIn kv;
-  ListStandIn list;
+  DiscoveryStandIn list;
   Endpoint kv_at;
   Endpoint list_at;
   std::vector<std::unique_ptr<EngineStandIn>> engines;
   std::vector<std::unique_ptr<LedgerStandIn>> ledgers;
-  std::map<int, std::unique_ptr<RelayStandIn>> kv_links;
-  std::map<std::string, std::unique_ptr<RelayStandIn>> target_links;
+  std::map<int, std::unique_ptr<FaultyTcpProxy>> kv_links;
+  std::map<std::string, std::unique_ptr<FaultyTcpProxy>> target_links;
   std::unique_ptr<KvClient> kv_client;
   std::map<int, std::unique_ptr<Process>> processes;
   std::map<int, Ports> ports;
--- a/tests/integration/integration-callers.cc
+++ b/tests/integration/integration-callers.cc
@@ -200,7 +200,7 @@
     FleetOptions options;
     options.instances = 1;
     options.engines = 1;
-    options.engine.odd_model = true;
+    options.engine.reports_numeric_model = true;
     Fleet fleet(options);
     fleet.WaitReady();
     const CallerKey key = fleet.Grant("gallery");
@@ -249,7 +249,7 @@
       HttpCall call(fleet.CallerEndpoint(1), HttpOptions{}, "instance");
       call.Stream(
           request,
-          [&status](const HttpHead& head) {
+          [&status](const HttpResponseHead& head) {
             status = head.status;
             return status == 200;
           },
--- a/tests/integration/integration-commands.cc
+++ b/tests/integration/integration-commands.cc
@@ -197,7 +197,7 @@
     const std::string at = kv.Start().ToString();
     const std::string workspace = this->File(
         "w.json", R"({"kind":"workspace","schema":1,"name":"w","value":{}})");
-    kv.LoseAnswers(1);
+    kv.DropResponses(1);
     const Ran ran = Run(RunConfigCommand, {"apply", "--kv", at, workspace});
     CPPUNIT_ASSERT_EQUAL_MESSAGE(ran.err, kExitDone, ran.code);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, kv.Writes());
--- a/tests/integration/integration-refusals.cc
+++ b/tests/integration/integration-refusals.cc
@@ -30,7 +30,7 @@
   const auto nothing = [](Fleet&) {};
   return {
       {"the answer is lost", "p-lost", "",
-       [](Fleet& fleet) { fleet.Ledger().LoseAnswers(1); }, nothing, 502,
+       [](Fleet& fleet) { fleet.Ledger().DropResponses(1); }, nothing, 502,
        "answer_truncated", "unknown", 1},
       {"the answer is late", "p-late", "",
        [](Fleet& fleet) { fleet.Ledger().SetDelay(absl::Seconds(3)); },
@@ -41,20 +41,20 @@
        [](Fleet& fleet) { fleet.Ledger().SetEchoedId(""); }, 502,
        "answer_mismatch", "unknown", 1},
       {"a keyed call's answer is lost", "p-keyed", "k-keyed",
-       [](Fleet& fleet) { fleet.Ledger().LoseAnswers(1); }, nothing, 502,
+       [](Fleet& fleet) { fleet.Ledger().DropResponses(1); }, nothing, 502,
        "answer_truncated", "unknown", 1},
       {"the same key again", "p-keyed", "k-keyed", nothing, nothing, 409,
        "claim_in_doubt", "unknown", 1},
       {"the key of another request", "p-reused", "k-keyed", nothing, nothing,
        422, "idempotency_key_reused", "no", 0},
       {"the key-value service is out", "p-out", "k-out",
-       [](Fleet& fleet) { fleet.Kv().SetOut(true); },
-       [](Fleet& fleet) { fleet.Kv().SetOut(false); }, 503,
+       [](Fleet& fleet) { fleet.Kv().SetUnavailable(true); },
+       [](Fleet& fleet) { fleet.Kv().SetUnavailable(false); }, 503,
        "claim_service_unavailable", "no", 0},
       {"the connection is lost", "p-cut", "k-cut",
-       [](Fleet& fleet) { fleet.TargetLink("ledger-1").SetCut(true); },
-       [](Fleet& fleet) { fleet.TargetLink("ledger-1").SetCut(false); }, 502,
-       "target_lost", "unknown", 0},
+       [](Fleet& fleet) { fleet.TargetLink("ledger-1").SetPartitioned(true); },
+       [](Fleet& fleet) { fleet.TargetLink("ledger-1").SetPartitioned(false); },
+       502, "target_lost", "unknown", 0},
   };
 }
 
--- a/tests/platform/gateway_stage.cc
+++ b/tests/platform/gateway_harness.cc
@@ -1,4 +1,4 @@
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -57,25 +57,25 @@
 
 }  // namespace
 
-std::string AnswerBytes(const RawRequest& request, const std::string& status,
-                        const std::string& body, const std::string& more) {
+std::string ResponseBytes(const RawRequest& request, const std::string& status,
+                          const std::string& body, const std::string& more) {
   return absl::StrCat("HTTP/1.1 ", status, "\r\nX-Dragonflyglade-Attempt-Id: ",
                       request.Field("X-Dragonflyglade-Attempt-Id"), "\r\n",
                       more, "Content-Length: ", body.size(), "\r\n\r\n", body);
 }
 
-PlatformTargetStandIn::Script Sound(const RawRequest& request) {
-  return {AnswerBytes(request, "200 OK", "done", kSigned)};
+PlatformTargetStandIn::Script SuccessfulResponse(const RawRequest& request) {
+  return {ResponseBytes(request, "200 OK", "done", kSigned)};
 }
 
-GatewayStage::Options GatewayStage::WithAnswer(
+GatewayHarness::Options GatewayHarness::WithAnswer(
     PlatformTargetStandIn::Answer answer) {
   Options options;
   options.answer = std::move(answer);
   return options;
 }
 
-GatewayStage::GatewayStage(Options options)
+GatewayHarness::GatewayHarness(Options options)
     : options(std::move(options)),
       first(this->options.answer),
       second(this->options.answer) {
@@ -88,12 +88,12 @@
   this->WaitFor([this] { return this->Call("GET", "/once/").status != 503; });
 }
 
-GatewayStage::~GatewayStage() {
+GatewayHarness::~GatewayHarness() {
   this->gateway->Context().stop();
   this->thread.join();
 }
 
-void GatewayStage::AddSecond() {
+void GatewayHarness::AddSecond() {
   this->PutTarget("i-2", this->second, "ready");
   this->WaitFor([this] {
     return this->Read<std::size_t>([this] {
@@ -102,8 +102,8 @@
   });
 }
 
-void GatewayStage::NextAnywhere(PlatformTargetStandIn::Answer once,
-                                PlatformTargetStandIn::Answer later) {
+void GatewayHarness::ScriptNextRequest(PlatformTargetStandIn::Answer once,
+                                       PlatformTargetStandIn::Answer later) {
   const auto used = std::make_shared<std::atomic<bool>>(false);
   const auto answer = [=](const RawRequest& request) {
     return used->exchange(true) ? later(request) : once(request);
@@ -112,26 +112,27 @@
   this->second.Next(answer);
 }
 
-std::size_t GatewayStage::Arrivals() const {
+std::size_t GatewayHarness::RequestCount() const {
   return this->first.Requests().size() + this->second.Requests().size();
 }
 
-GatewayStage::Reply GatewayStage::Call(const std::string& method,
-                                       const std::string& path,
-                                       const std::string& key,
-                                       const std::string& more) {
+GatewayHarness::Reply GatewayHarness::Call(const std::string& method,
+                                           const std::string& path,
+                                           const std::string& key,
+                                           const std::string& more) {
   return this->Send(this->Text(method, path, key, more));
 }
 
-GatewayStage::Reply GatewayStage::CallModel(const std::string& model) {
+GatewayHarness::Reply GatewayHarness::CallModel(const std::string& model) {
   return this->Call("POST", "/once/", "k1",
                     "X-Dragonflyglade-Model: " + model +
                         "\r\nX-Dragonflyglade-Token-Usage: 10,10\r\n");
 }
 
-std::string GatewayStage::Text(const std::string& method,
-                               const std::string& path, const std::string& key,
-                               const std::string& more) {
+std::string GatewayHarness::Text(const std::string& method,
+                                 const std::string& path,
+                                 const std::string& key,
+                                 const std::string& more) {
   this->calls += 1;
   return absl::StrCat(method, " ", path,
                       " HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n"
@@ -142,9 +143,9 @@
                       key, "\r\n", more, "\r\n");
 }
 
-std::string GatewayStage::KeptText(const std::string& method,
-                                   const std::string& path,
-                                   const std::string& more) {
+std::string GatewayHarness::KeepAliveRequestText(const std::string& method,
+                                                 const std::string& path,
+                                                 const std::string& more) {
   this->calls += 1;
   return absl::StrCat(method, " ", path,
                       " HTTP/1.1\r\nHost: h.example\r\n"
@@ -153,12 +154,12 @@
                       "\r\n");
 }
 
-GatewayStage::Reply GatewayStage::Send(const std::string& text) {
+GatewayHarness::Reply GatewayHarness::Send(const std::string& text) {
   return this->SendTo(this->gateway->Settings().callers, text);
 }
 
-GatewayStage::Reply GatewayStage::SendTo(const Endpoint& endpoint,
-                                         const std::string& text) {
+GatewayHarness::Reply GatewayHarness::SendTo(const Endpoint& endpoint,
+                                             const std::string& text) {
   const auto socket = this->Connect(endpoint);
   error_code error;
   boost::asio::write(*socket, boost::asio::buffer(text), error);
@@ -175,21 +176,21 @@
   return reply;
 }
 
-GatewayStage::Reply GatewayStage::Ask(const Endpoint& endpoint,
-                                      const std::string& path) {
+GatewayHarness::Reply GatewayHarness::Ask(const Endpoint& endpoint,
+                                          const std::string& path) {
   return this->SendTo(endpoint, "GET " + path +
                                     " HTTP/1.1\r\nHost: x\r\n"
                                     "Connection: close\r\n\r\n");
 }
 
-std::unique_ptr<tcp::socket> GatewayStage::Connect(const Endpoint& endpoint) {
+std::unique_ptr<tcp::socket> GatewayHarness::Connect(const Endpoint& endpoint) {
   auto socket = std::make_unique<tcp::socket>(this->client);
   socket->connect(tcp::endpoint(boost::asio::ip::address_v4::loopback(),
                                 static_cast<unsigned short>(endpoint.port)));
   return socket;
 }
 
-void GatewayStage::WaitFor(const std::function<bool()>& holds) {
+void GatewayHarness::WaitFor(const std::function<bool()>& holds) {
   const absl::Time end = absl::Now() + kPatience;
   while (!holds()) {
     CPPUNIT_ASSERT_MESSAGE("waited in vain", absl::Now() < end);
@@ -197,13 +198,13 @@
   }
 }
 
-bool GatewayStage::HoldsDuty() {
-  return this->Read<bool>([this] { return this->gateway->HoldsDuty(); });
+bool GatewayHarness::HoldsLeaderLease() {
+  return this->Read<bool>([this] { return this->gateway->HoldsLeaderLease(); });
 }
 
-void GatewayStage::PutTarget(const std::string& id,
-                             const PlatformTargetStandIn& target,
-                             const std::string& state, json models) {
+void GatewayHarness::PutTarget(const std::string& id,
+                               const PlatformTargetStandIn& target,
+                               const std::string& state, json models) {
   this->store.Put("servers/" + id, json{{"service", "s"},
                                         {"address", target.Address()},
                                         {"zone", "z"},
@@ -214,7 +215,7 @@
                                        .dump());
 }
 
-json GatewayStage::Config(int version, const std::string& last_route) const {
+json GatewayHarness::Config(int version, const std::string& last_route) const {
   json config = {{"version", version},
                  {"routes",
                   {RouteTo("/once/", "non_idempotent", 1, false),
@@ -231,7 +232,7 @@
   return config;
 }
 
-void GatewayStage::PutConfig(const json& config) {
+void GatewayHarness::PutConfig(const json& config) {
   this->store.Put("op/config", config.dump());
   const auto version = config.at("version").get<std::uint64_t>();
   this->WaitFor([&] {
@@ -240,7 +241,7 @@
   });
 }
 
-GatewaySettings GatewayStage::Settings() const {
+GatewaySettings GatewayHarness::Settings() const {
   GatewaySettings settings;
   settings.instance = "one";
   settings.zone = "z";
@@ -250,13 +251,13 @@
     *endpoint = {"127.0.0.1", 0};
   }
   settings.store = this->store.Address();
-  settings.quiet_between_holders = absl::Milliseconds(10);
+  settings.leader_handover_delay = absl::Milliseconds(10);
   settings.retry_share = 1;
   settings.retry_slack = 100;
   return settings;
 }
 
-LoopBlocker::LoopBlocker(GatewayStage& stage) {
+LoopBlocker::LoopBlocker(GatewayHarness& stage) {
   const auto held = std::make_shared<absl::Notification>();
   boost::asio::post(stage.gateway->Context(), [held, release = this->release] {
     held->Notify();
--- a/tests/platform/gateway_stage.h
+++ b/tests/platform/gateway_harness.h
@@ -23,18 +23,19 @@
 
 /// An answer of a target, as bytes.
 /// @param more further header lines, each with its end
-std::string AnswerBytes(const RawRequest& request, const std::string& status,
-                        const std::string& body, const std::string& more = "");
+std::string ResponseBytes(const RawRequest& request, const std::string& status,
+                          const std::string& body,
+                          const std::string& more = "");
 
 /// A target that answers each request as it should.
-PlatformTargetStandIn::Script Sound(const RawRequest& request);
+PlatformTargetStandIn::Script SuccessfulResponse(const RawRequest& request);
 
 /// One gateway before two targets of one service, in this process.
-class GatewayStage {
+class GatewayHarness {
  public:
   /// What differs from stage to stage.
   struct Options {
-    PlatformTargetStandIn::Answer answer = Sound;
+    PlatformTargetStandIn::Answer answer = SuccessfulResponse;
     gateway::WireFormat wire = platform::MakeWireFormat();
     /// What the configuration says of callers' requests.
     nlohmann::json limits = nlohmann::json::object();
@@ -53,22 +54,23 @@
     }
   };
 
-  explicit GatewayStage(PlatformTargetStandIn::Answer answer = Sound)
-      : GatewayStage(WithAnswer(std::move(answer))) {}
-  explicit GatewayStage(Options options);
-  ~GatewayStage();
-  GatewayStage(const GatewayStage&) = delete;
-  GatewayStage& operator=(const GatewayStage&) = delete;
+  explicit GatewayHarness(
+      PlatformTargetStandIn::Answer answer = SuccessfulResponse)
+      : GatewayHarness(WithAnswer(std::move(answer))) {}
+  explicit GatewayHarness(Options options);
+  ~GatewayHarness();
+  GatewayHarness(const GatewayHarness&) = delete;
+  GatewayHarness& operator=(const GatewayHarness&) = delete;
 
   /// Makes the second target known.
   void AddSecond();
 
   /// The next request of all is answered like this, whichever target gets it.
-  void NextAnywhere(PlatformTargetStandIn::Answer once,
-                    PlatformTargetStandIn::Answer later);
+  void ScriptNextRequest(PlatformTargetStandIn::Answer once,
+                         PlatformTargetStandIn::Answer later);
 
   /// Requests that reached the targets.
-  std::size_t Arrivals() const;
+  std::size_t RequestCount() const;
 
   /// Sends a request on a connection of its own and reads to its end.
   Reply Call(const std::string& method, const std::string& path,
@@ -83,8 +85,9 @@
                    const std::string& key = "k1", const std::string& more = "");
 
   /// The same, without an end of the connection.
-  std::string KeptText(const std::string& method, const std::string& path,
-                       const std::string& more = "");
+  std::string KeepAliveRequestText(const std::string& method,
+                                   const std::string& path,
+                                   const std::string& more = "");
 
   std::unique_ptr<boost::asio::ip::tcp::socket> Connect(
       const Endpoint& endpoint);
@@ -105,7 +108,7 @@
     return *value;
   }
 
-  bool HoldsDuty();
+  bool HoldsLeaderLease();
 
   /// Writes a target's entry into the store.
   void PutTarget(const std::string& id, const PlatformTargetStandIn& target,
@@ -139,7 +142,7 @@
 class LoopBlocker {
  public:
   /// Returns once the loop does nothing else.
-  explicit LoopBlocker(GatewayStage& stage);
+  explicit LoopBlocker(GatewayHarness& stage);
   ~LoopBlocker();
   LoopBlocker(const LoopBlocker&) = delete;
   LoopBlocker& operator=(const LoopBlocker&) = delete;
--- a/tests/platform/platform-codecs.cc
+++ b/tests/platform/platform-codecs.cc
@@ -51,7 +51,7 @@
   const char* description;
   int status;
   HeaderFields fields;
-  std::function<bool(const AnswerHead&)> is_expected;
+  std::function<bool(const ResponseHead&)> is_expected;
 };
 
 struct CallCase {
@@ -67,7 +67,7 @@
   StoreCall call;
   int status;
   const char* body;
-  std::function<bool(const StoreReply&)> is_expected;
+  std::function<bool(const StoreResponse&)> is_expected;
 };
 
 std::string ValueOf(const HeaderFields& fields, std::string_view name) {
@@ -78,7 +78,7 @@
 }
 
 CallerRequest DecodeWithHost(HeaderFields fields) {
-  HttpHeadText head;
+  HttpMessageHead head;
   head.method = "POST";
   head.path_and_query = "/a/x?y=1";
   fields.emplace_back("Host", "h.example");
@@ -120,7 +120,7 @@
     CPPUNIT_ASSERT_EQUAL(200000.0, engines.engine->memory_mb);
     CPPUNIT_ASSERT_EQUAL(34300.0, engines.engine->models[0].memory_mb);
     CPPUNIT_ASSERT(!config.services.find("s2")->second.engine.has_value());
-    CPPUNIT_ASSERT(config.wants_keys);
+    CPPUNIT_ASSERT(config.requires_keys);
     CPPUNIT_ASSERT_EQUAL(std::string("t1"),
                          config.workspace_of_key.find("k2")->second);
     const WorkspaceSpec& workspace = config.workspaces.find("t1")->second;
@@ -193,7 +193,7 @@
         {"the key, with the scheme in any case",
          {{"authorization", "bearer  k1 "}},
          [](const auto& r) {
-           return r.key == "k1" && r.passed_on.size() == 1;
+           return r.key == "k1" && r.forwarded_fields.size() == 1;
          }},
         {"no key with a scheme other than Bearer",
          {{"Authorization", "Basic x"}},
@@ -203,7 +203,7 @@
           {"X-Dragonflyglade-Token-Usage", "1460,80"}},
          [](const auto& r) {
            return r.use.model == "m1" && r.use.adapter == "a2" &&
-                  r.use.Tokens() == 1540 && r.passed_on.size() == 3;
+                  r.use.Tokens() == 1540 && r.forwarded_fields.size() == 3;
          }},
         {"parts of the prompt",
          {{"X-Dragonflyglade-Prompt-Prefix", "5c:800,91:410"}},
@@ -217,7 +217,8 @@
         {"the deadline, which is not passed on",
          {{"X-Dragonflyglade-Deadline-Ms", "1500"}},
          [](const auto& r) {
-           return r.deadline == absl::Seconds(1.5) && r.passed_on.size() == 1;
+           return r.deadline == absl::Seconds(1.5) &&
+                  r.forwarded_fields.size() == 1;
          }},
         {"a malformed deadline",
          {{"X-Dragonflyglade-Deadline-Ms", "soon"}},
@@ -228,7 +229,7 @@
           {"Keep-Alive", "timeout=5"},
           {"Transfer-Encoding", "chunked"},
           {"Content-Length", "5"}},
-         [](const auto& r) { return r.passed_on.size() == 1; }},
+         [](const auto& r) { return r.forwarded_fields.size() == 1; }},
         {"fields that only the gateway may set",
          {{"X-Dragonflyglade-Tenant", "other"},
           {"X-Dragonflyglade-Hold", "h"},
@@ -237,16 +238,16 @@
           {"Kv-From", "1.2.3.4:5/x"},
           {"X-Dragonflyglade-Target-Instance", "i"},
           {"X-Dragonflyglade-Request-Priority", "0"}},
-         [](const auto& r) { return r.passed_on.size() == 1; }},
+         [](const auto& r) { return r.forwarded_fields.size() == 1; }},
         {"other fields are passed on",
          {{"X-Other", "1"}, {"Accept", "*/*"}},
-         [](const auto& r) { return r.passed_on.size() == 3; }},
+         [](const auto& r) { return r.forwarded_fields.size() == 3; }},
     };
     for (const FieldCase& item : cases) {
       CPPUNIT_ASSERT_MESSAGE(item.description,
                              item.is_expected(DecodeWithHost(item.fields)));
     }
-    HttpHeadText no_host;
+    HttpMessageHead no_host;
     CPPUNIT_ASSERT(!DecodeRequest(no_host).Ok());
   }
 
@@ -255,13 +256,13 @@
         DecodeWithHost({{"X-Dragonflyglade-Attempt-Id", "r1"},
                         {"Last-Event-Id", "3"},
                         {"Authorization", "Bearer secret"}});
-    TargetStamp stamp;
+    ForwardingContext stamp;
     stamp.target = "i-1";
     stamp.workspace = "t1";
     stamp.time_left = absl::Milliseconds(1234.9);
     stamp.priority = 4;
     stamp.resume_after = "8";
-    const HeaderFields fields = TargetFields(request, stamp);
+    const HeaderFields fields = TargetRequestFields(request, stamp);
     const auto value = [&](const char* name) { return ValueOf(fields, name); };
     CPPUNIT_ASSERT_EQUAL(std::string("r1"),
                          value("X-Dragonflyglade-Attempt-Id"));
@@ -289,14 +290,15 @@
           {"Keep-Alive", "max=9, timeout=5"}},
          [](const auto& a) {
            return a.is_signed && a.request_id == "r1" && !a.not_executed &&
-                  a.keep_alive == absl::Seconds(5) && a.passed_on.size() == 2;
+                  a.keep_alive == absl::Seconds(5) &&
+                  a.forwarded_fields.size() == 2;
          }},
         {"the load, which is not passed on",
          200,
          {{"X-Dragonflyglade-Server-Load", "3,1,8"}},
          [](const auto& a) {
            return a.load->running == 3 && a.load->waiting == 1 &&
-                  a.load->slots == 8 && a.passed_on.empty();
+                  a.load->slots == 8 && a.forwarded_fields.empty();
          }},
         {"a malformed load",
          200,
@@ -324,11 +326,11 @@
          [](const auto& a) { return a.encoded; }},
     };
     for (const ResponseCase& item : cases) {
-      HttpHeadText head;
+      HttpMessageHead head;
       head.status = item.status;
       head.fields = item.fields;
       CPPUNIT_ASSERT_MESSAGE(item.description,
-                             item.is_expected(DecodeAnswer(head)));
+                             item.is_expected(DecodeResponseHead(head)));
     }
   }
 
@@ -347,14 +349,14 @@
         {"a transaction", transaction, "POST", "/-/kv-txn",
          R"({"deletes":["b"],"expected":[{"key":"a","revision":3}],)"
          R"("puts":[{"key":"a","lease":9,"value":"aGk="}]})"},
-        {"a lease grant", StoreGrant{absl::Seconds(2)}, "POST", "/-/kv-lease",
-         R"({"ttl_ms":2000})"},
-        {"a lease renewal", StoreRenewal{7}, "POST", "/-/kv-keep/7", ""},
-        {"a lease revocation", StoreLeaseEnd{7}, "DELETE", "/-/kv-lease-end/7",
-         ""},
+        {"a lease grant", StoreLeaseGrant{absl::Seconds(2)}, "POST",
+         "/-/kv-lease", R"({"ttl_ms":2000})"},
+        {"a lease renewal", StoreLeaseRenewal{7}, "POST", "/-/kv-keep/7", ""},
+        {"a lease revocation", StoreLeaseRevoke{7}, "DELETE",
+         "/-/kv-lease-end/7", ""},
     };
     for (const CallCase& item : cases) {
-      const HttpCallText text = EncodeStoreCall(item.call);
+      const OutgoingHttpRequest text = EncodeStoreCall(item.call);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, std::string(item.method),
                                    text.method);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, std::string(item.path),
@@ -393,7 +395,9 @@
            return std::holds_alternative<StoreConflict>(r);
          }},
         {"an unknown lease", write, 404, "",
-         [](const auto& r) { return std::holds_alternative<StoreNoLease>(r); }},
+         [](const auto& r) {
+           return std::holds_alternative<StoreLeaseNotFound>(r);
+         }},
         {"a compacted history", watch, 410, "",
          [](const auto& r) {
            return std::holds_alternative<StoreCompacted>(r);
@@ -401,14 +405,18 @@
         {"a refused call", watch, 429, "",
          [](const auto& r) { return std::get<StoreRefused>(r).status == 429; }},
         {"a malformed body", write, 200, "{",
-         [](const auto& r) { return std::holds_alternative<StoreUnknown>(r); }},
+         [](const auto& r) {
+           return std::holds_alternative<StoreOutcomeUnknown>(r);
+         }},
         {"a value that is not base64", list, 200,
          R"({"items": [{"key": "a", "value": "%", "revision": 2}],
              "current_rev": 9})",
-         [](const auto& r) { return std::holds_alternative<StoreUnknown>(r); }},
+         [](const auto& r) {
+           return std::holds_alternative<StoreOutcomeUnknown>(r);
+         }},
     };
     for (const ReplyCase& item : cases) {
-      const StoreReply reply =
+      const StoreResponse reply =
           DecodeStoreReply(item.call, item.status, item.body);
       CPPUNIT_ASSERT_MESSAGE(item.description, item.is_expected(reply));
     }
@@ -421,7 +429,7 @@
     order.orders_taken = 2;
     order.holder = "node";
     order.fence = 41;
-    const HttpCallText call = EncodeOrder("i-1", order);
+    const OutgoingHttpRequest call = EncodeOrder("i-1", order);
     CPPUNIT_ASSERT_EQUAL(
         std::string(R"({"adapter":"a3","expected":2,"fencing_token":41,)"
                     R"("holder":"node","model":"m","operation":"load"})"),
@@ -429,9 +437,9 @@
     CPPUNIT_ASSERT_EQUAL(
         std::string("i-1"),
         ValueOf(call.fields, "X-Dragonflyglade-Target-Instance"));
-    CPPUNIT_ASSERT(DecodeOrderAnswer(202) == OrderAnswer::kAccepted);
-    CPPUNIT_ASSERT(DecodeOrderAnswer(409) == OrderAnswer::kConflict);
-    CPPUNIT_ASSERT(!DecodeOrderAnswer(500).has_value());
+    CPPUNIT_ASSERT(DecodeOrderResponse(202) == OrderResponse::kAccepted);
+    CPPUNIT_ASSERT(DecodeOrderResponse(409) == OrderResponse::kConflict);
+    CPPUNIT_ASSERT(!DecodeOrderResponse(500).has_value());
     const EngineReport report =
         DecodeReport(R"({"sequence": 5, "busy": true, "born": 9,
                          "models": [{"name": "m", "adapters": ["a1"]}],
@@ -456,17 +464,17 @@
   }
 
   void HandlesDirectoryQueries() {
-    const auto question = DecodeDirectoryQuestion(
+    const auto question = DecodeDirectoryQuery(
         "/-/resolve?name=h.example&region=r&zone=z&more=1");
     CPPUNIT_ASSERT_EQUAL(std::string("h.example"), question->host);
     CPPUNIT_ASSERT_EQUAL(std::string("z"), question->zone);
-    CPPUNIT_ASSERT(!DecodeDirectoryQuestion("/other").has_value());
+    CPPUNIT_ASSERT(!DecodeDirectoryQuery("/other").has_value());
     const std::vector<std::string> addresses = {"127.0.0.1:1"};
     CPPUNIT_ASSERT_EQUAL(
         std::string(R"({"addresses":["127.0.0.1:1"],"ttl_s":2})"),
-        EncodeDirectoryAnswer(addresses, absl::Seconds(2)));
-    CPPUNIT_ASSERT(IsReadinessQuestion("/-/readyz"));
-    CPPUNIT_ASSERT(!IsReadinessQuestion("/-/readyz/x"));
+        EncodeDirectoryResponse(addresses, absl::Seconds(2)));
+    CPPUNIT_ASSERT(IsReadinessCheck("/-/readyz"));
+    CPPUNIT_ASSERT(!IsReadinessCheck("/-/readyz/x"));
   }
 };
 
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -8,7 +8,7 @@
 
 #include "absl/synchronization/notification.h"
 #include "absl/time/clock.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
@@ -28,7 +28,7 @@
 // A caller that keeps its connection.
 class KeepAliveClient {
  public:
-  explicit KeepAliveClient(GatewayStage& stage)
+  explicit KeepAliveClient(GatewayHarness& stage)
       : stage(stage),
         socket(stage.Connect(stage.gateway->Settings().callers)) {}
 
@@ -40,7 +40,7 @@
   /// The next answer; empty if the connection ended without one.
   RawRequest Read() {
     RawRequest answer;
-    if (!ReadRaw(*this->socket, this->buffer, answer)) return {};
+    if (!ReadRawRequest(*this->socket, this->buffer, answer)) return {};
     return answer;
   }
 
@@ -51,12 +51,12 @@
   }
 
   int Call() {
-    this->Write(this->stage.KeptText("GET", "/any/"));
+    this->Write(this->stage.KeepAliveRequestText("GET", "/any/"));
     return this->ReadStatus();
   }
 
  private:
-  GatewayStage& stage;
+  GatewayHarness& stage;
   std::unique_ptr<tcp::socket> socket;
   std::string buffer;
 };
@@ -97,12 +97,12 @@
         {"within a long head", {{"header_timeout_ms", kHeadLimitMs}}, 10, 5000},
     };
     for (const HeldLoopCase& item : cases) {
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       options.limits = item.limits;
-      GatewayStage stage(std::move(options));
+      GatewayHarness stage(std::move(options));
       KeepAliveClient caller(stage);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
-      const std::string text = stage.KeptText(
+      const std::string text = stage.KeepAliveRequestText(
           "GET", "/any/",
           "X-Padding: " + std::string(item.padding, 'x') + "\r\n");
       caller.Write(text.substr(0, item.bytes_before));
@@ -119,18 +119,18 @@
   // A whole answer that waited in the socket was given up as "not in time".
   void AnAnswerThatCameInTimeIsDeliveredAlthoughTheLoopIsLate() {
     constexpr std::size_t kManyReads = 50000;
-    GatewayStage stage;
+    GatewayHarness stage;
     std::unique_ptr<LoopBlocker> hold;
     absl::Notification held;
     stage.first.Next([&](const RawRequest& request) {
       hold = std::make_unique<LoopBlocker>(stage);
       held.Notify();
-      return Script{AnswerBytes(request, "200 OK", std::string(kManyReads, 'x'),
-                                kSigned)};
+      return Script{ResponseBytes(request, "200 OK",
+                                  std::string(kManyReads, 'x'), kSigned)};
     });
     KeepAliveClient caller(stage);
-    caller.Write(stage.KeptText("GET", "/any/",
-                                "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
+    caller.Write(stage.KeepAliveRequestText(
+        "GET", "/any/", "X-Dragonflyglade-Deadline-Ms: 500\r\n"));
     held.WaitForNotification();
     absl::SleepFor(2 * kShortLimit);
     hold.reset();
@@ -140,11 +140,11 @@
   // Callers were not told the time, and those that used all of it lost
   // requests.
   void ARequestWithinTheStatedIdleTimeDoesNotCrossTheClose() {
-    GatewayStage::Options options;
+    GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", 2 * kShortLimitMs}};
-    GatewayStage stage(std::move(options));
+    GatewayHarness stage(std::move(options));
     KeepAliveClient caller(stage);
-    caller.Write(stage.KeptText("GET", "/any/"));
+    caller.Write(stage.KeepAliveRequestText("GET", "/any/"));
     const RawRequest answer = caller.Read();
     CPPUNIT_ASSERT_EQUAL(std::string("timeout=1"), answer.Field("Keep-Alive"));
     absl::SleepFor(2 * kShortLimit + kOnItsWay);
@@ -159,9 +159,9 @@
         {"lowered", kLongLimitMs, kShortLimitMs},
     };
     for (const ChangedLimitCase& item : cases) {
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       options.limits = {{"idle_timeout_ms", item.before_ms}};
-      GatewayStage stage(std::move(options));
+      GatewayHarness stage(std::move(options));
       KeepAliveClient caller(stage);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, 200, caller.Call());
       json newer = stage.Config(2, "plain");
@@ -173,9 +173,9 @@
   }
 
   void AnIdleConnectionIsClosedInTheEnd() {
-    GatewayStage::Options options;
+    GatewayHarness::Options options;
     options.limits = {{"idle_timeout_ms", kShortLimitMs}};
-    GatewayStage stage(std::move(options));
+    GatewayHarness stage(std::move(options));
     KeepAliveClient caller(stage);
     CPPUNIT_ASSERT_EQUAL(200, caller.Call());
     CPPUNIT_ASSERT_EQUAL(0, caller.ReadStatus());
--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "absl/strings/match.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
@@ -57,31 +57,32 @@
     const std::vector<RequestFaultCase> cases = {
         {"before it is sent",
          [](const Fault& fault, WireFormat& wire) {
-           wire.target_fields = fault.In(wire.target_fields);
+           wire.target_request_fields = fault.In(wire.target_request_fields);
          },
          500},
         {"at its answer",
          [](const Fault& fault, WireFormat& wire) {
-           wire.decode_answer = fault.In(wire.decode_answer);
+           wire.decode_response_head = fault.In(wire.decode_response_head);
          },
          500},
     };
     for (const RequestFaultCase& item : cases) {
       Fault fault;
-      GatewayStage::Options options;
+      GatewayHarness::Options options;
       item.put(fault, options.wire);
-      GatewayStage stage(std::move(options));
-      stage.first.Next(
-          [&](const RawRequest& request) { return Sound(request); });
+      GatewayHarness stage(std::move(options));
+      stage.first.Next([&](const RawRequest& request) {
+        return SuccessfulResponse(request);
+      });
       fault.Arm();
-      GatewayStage::Reply reply;
+      GatewayHarness::Reply reply;
       // Answers of the store are decoded, too, and may meet the fault first.
       do {
         if (fault.Happened()) fault.Arm();
         reply = stage.Call("GET", "/any/");
       } while (reply.status == 200);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
-      const GatewayStage::Reply metrics =
+      const GatewayHarness::Reply metrics =
           stage.Ask(stage.gateway->Settings().metrics, "/metrics");
       CPPUNIT_ASSERT_MESSAGE(
           item.what, absl::StrContains(metrics.text, "requests_in_flight 0\n"));
@@ -91,9 +92,10 @@
   // The process went on and looked healthy, with the configuration of before.
   void AStoreAnswerThatThrowsDoesNotEndTheFollowing() {
     Fault fault;
-    GatewayStage::Options options;
-    options.wire.decode_store_reply = fault.In(options.wire.decode_store_reply);
-    GatewayStage stage(std::move(options));
+    GatewayHarness::Options options;
+    options.wire.decode_store_response =
+        fault.In(options.wire.decode_store_response);
+    GatewayHarness stage(std::move(options));
     constexpr int kTimes = 20;
     for (int i = 0; i < kTimes; ++i) {
       fault.Arm();
--- a/tests/platform/platform-follower.cc
+++ b/tests/platform/platform-follower.cc
@@ -9,9 +9,9 @@
 #include "dragonflyglade/gateway/event_log.h"
 #include "dragonflyglade/gateway/fleet_state.h"
 #include "dragonflyglade/gateway/instance_record.h"
-#include "dragonflyglade/gateway/store_follower.h"
-#include "dragonflyglade/gateway/store_link.h"
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_client.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
+#include "dragonflyglade/gateway/store_watcher.h"
 #include "dragonflyglade/operator/metrics.h"
 #include "platform/wire.h"
 #include "tests/platform/store_stand_in.h"
@@ -24,8 +24,8 @@
 
 namespace asio = boost::asio;
 using gateway::FleetState;
-using gateway::StoreFollower;
-using gateway::StoreNews;
+using gateway::StoreSyncState;
+using gateway::StoreWatcher;
 
 std::string TargetEntry() {
   return nlohmann::json{{"service", "letters"}, {"address", "127.0.0.1:1"},
@@ -71,10 +71,10 @@
   Metrics metrics;
   gateway::EventLog log{"follower", this->clock};
   FleetState fleet{this->context, this->wire, this->clock, this->log};
-  StoreNews news{this->context, this->clock};
-  gateway::StoreLink link{this->context, this->store.Address(), this->wire,
-                          this->metrics, this->clock};
-  StoreFollower following;
+  StoreSyncState news{this->context, this->clock};
+  gateway::StoreClient link{this->context, this->store.Address(), this->wire,
+                            this->metrics, this->clock};
+  StoreWatcher following;
   bool holder_in_contact = true;
   /// The revision through which the holder brought all urgent changes.
   std::uint64_t told_through = 0;
@@ -96,7 +96,7 @@
     Following stage;
     CPPUNIT_ASSERT(
         stage.Until([&] { return stage.Knows("i-1"); }, absl::Seconds(10)));
-    stage.fleet.StoreReturned();
+    stage.fleet.HandleStoreRecovery();
     constexpr std::uint64_t kLater = 1000;
     stage.fleet.ApplyDeleted("servers/i-1", kLater);
     CPPUNIT_ASSERT(stage.Knows("i-1"));
@@ -128,7 +128,7 @@
     constexpr std::uint64_t kLater = 2000;
     stage.fleet.Apply({FleetState::InstanceKey("i"), record, kLater, 1});
     stage.fleet.Apply(
-        {std::string(FleetState::kDutyKey), record, kLater + 1, 1});
+        {std::string(FleetState::kLeaderKey), record, kLater + 1, 1});
     CPPUNIT_ASSERT(listings(2));
     stage.holder_in_contact = true;
     stage.told_through = kLater + 2;
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -17,51 +17,51 @@
 #include "absl/synchronization/notification.h"
 #include "absl/time/clock.h"
 #include "dragonflyglade/gateway/gateway.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
 
 using gateway::GatewaySettings;
-using Stage = GatewayStage;
+using Stage = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
 Script Refusing(const RawRequest& request) {
-  return {AnswerBytes(request, "503 Busy", "",
-                      "X-Dragonflyglade-Not-Executed: 1\r\n")};
+  return {ResponseBytes(request, "503 Busy", "",
+                        "X-Dragonflyglade-Not-Executed: 1\r\n")};
 }
 
 Script Closing(const RawRequest&) { return {"", true}; }
 
 Script Truncated(const RawRequest& request) {
-  std::string bytes = AnswerBytes(request, "200 OK", "done", kSigned);
+  std::string bytes = ResponseBytes(request, "200 OK", "done", kSigned);
   bytes.resize(bytes.size() - 2);
   return {bytes, true};
 }
 
 Script Unsigned(const RawRequest& request) {
-  return {AnswerBytes(request, "200 OK", "done")};
+  return {ResponseBytes(request, "200 OK", "done")};
 }
 
 Script Encoded(const RawRequest& request) {
-  return {AnswerBytes(request, "200 OK", "done",
-                      kSigned + "Content-Encoding: gzip\r\n")};
+  return {ResponseBytes(request, "200 OK", "done",
+                        kSigned + "Content-Encoding: gzip\r\n")};
 }
 
 Script Failing(const RawRequest& request) {
-  return {AnswerBytes(request, "500 Oops", "why", kSigned)};
+  return {ResponseBytes(request, "500 Oops", "why", kSigned)};
 }
 
 Script Unmarked(const RawRequest& request) {
-  return {AnswerBytes(request, "503 Busy", "", kSigned)};
+  return {ResponseBytes(request, "503 Busy", "", kSigned)};
 }
 
 Script LateSecond(const RawRequest& request) {
   RawRequest other = request;
   other.head = "GET / HTTP/1.1\r\nX-Dragonflyglade-Attempt-Id: other\r\n\r\n";
-  return {AnswerBytes(other, "200 OK", "not yours", kSigned) +
-          AnswerBytes(request, "200 OK", "done", kSigned)};
+  return {ResponseBytes(other, "200 OK", "not yours", kSigned) +
+          ResponseBytes(request, "200 OK", "done", kSigned)};
 }
 
 std::string Chunk(const std::string& text) {
@@ -142,7 +142,7 @@
   // may run again is tried at the other target.
   void AnswersByWhatIsKnownOfTheRun() {
     const std::vector<ExchangeCase> cases = {
-        {"a sound answer", "/once/", Sound, 200, 1},
+        {"a sound answer", "/once/", SuccessfulResponse, 200, 1},
         {"declined, so another may run it", "/once/", Refusing, 200, 2},
         {"closed without an answer", "/once/", Closing, 502, 1},
         {"a truncated answer", "/once/", Truncated, 502, 1},
@@ -159,12 +159,12 @@
     for (const ExchangeCase& item : cases) {
       Stage stage;
       stage.AddSecond();
-      stage.NextAnywhere(item.first_answer, Sound);
-      const std::size_t before = stage.Arrivals();
+      stage.ScriptNextRequest(item.first_answer, SuccessfulResponse);
+      const std::size_t before = stage.RequestCount();
       const Stage::Reply reply = stage.Call("POST", item.path);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.status, reply.status);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.arrivals,
-                                   stage.Arrivals() - before);
+                                   stage.RequestCount() - before);
       const bool has_signature =
           !reply.Field("X-Dragonflyglade-Server-Signature").empty();
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
@@ -223,7 +223,7 @@
   void GoesOnWithAStreamAtAnotherTarget() {
     Stage stage(Streaming);
     stage.AddSecond();
-    stage.NextAnywhere(CutStream, Streaming);
+    stage.ScriptNextRequest(CutStream, Streaming);
     const Stage::Reply reply = stage.Call("POST", "/resumed/");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(reply.ended_whole);
@@ -269,13 +269,13 @@
   void KeepsInTheStoreWhatWasSpent() {
     Stage stage;
     const std::string key(gateway::FleetState::kSpendsKey);
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT_EQUAL(200, stage.Call("GET", "/any/", "k3").status);
     stage.WaitFor([&] { return !stage.store.Get(key).empty(); });
     const Result<gateway::SpendRecord> record =
         gateway::DecodeSpendRecord(stage.store.Get(key));
     CPPUNIT_ASSERT(record.Ok());
-    const auto spent = gateway::FleetSpent(record.Value());
+    const auto spent = gateway::SpendingByWorkspace(record.Value());
     CPPUNIT_ASSERT(spent.at("large") >= 100);
     CPPUNIT_ASSERT(gateway::WasListed(record.Value(), "one"));
   }
@@ -285,13 +285,13 @@
   // on trying to take them back while it serves its last callers.
   void LetsGoOfTheDutyWhenTheStoreIsBack() {
     Stage stage;
-    const std::string key(gateway::FleetState::kDutyKey);
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
-    stage.store.TurnAwayWrites(true);
+    const std::string key(gateway::FleetState::kLeaderKey);
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
+    stage.store.RejectWrites(true);
     boost::asio::post(stage.gateway->Context(), [&] { stage.gateway->Stop(); });
-    stage.WaitFor([&] { return !stage.HoldsDuty(); });
+    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT(!stage.store.Get(key).empty());
-    stage.store.TurnAwayWrites(false);
+    stage.store.RejectWrites(false);
     stage.WaitFor([&] { return stage.store.Get(key).empty(); });
   }
 
@@ -306,7 +306,7 @@
     boost::asio::write(*socket, boost::asio::buffer(text));
     stage.WaitFor([&] { return stage.first.Requests().size() == before + 1; });
     socket->close();
-    stage.WaitFor([&] { return stage.first.Hangups() == 1; });
+    stage.WaitFor([&] { return stage.first.ConnectionsClosedByPeer() == 1; });
   }
 
   void FollowsTheConfiguration() {
--- a/tests/platform/platform-placement.cc
+++ b/tests/platform/platform-placement.cc
@@ -11,24 +11,25 @@
 #include "absl/strings/match.h"
 #include "absl/synchronization/mutex.h"
 #include "dragonflyglade/gateway/gateway.h"
-#include "tests/platform/gateway_stage.h"
+#include "tests/platform/gateway_harness.h"
 
 namespace dragonflyglade {
 namespace {
 
-using Stage = GatewayStage;
+using Stage = GatewayHarness;
 using nlohmann::json;
 using Script = PlatformTargetStandIn::Script;
 
 // Takes all orders and holds the model "m".
 Script Engine(const RawRequest& request) {
   if (absl::StrContains(request.Line(), "/-/report")) {
-    return {AnswerBytes(request, "200 OK",
-                        R"({"sequence": 3, "busy": false,
+    return {ResponseBytes(request, "200 OK",
+                          R"({"sequence": 3, "busy": false,
                             "models": [{"name": "m"}]})")};
   }
-  if (!absl::StrContains(request.Line(), "/-/order")) return Sound(request);
-  return {AnswerBytes(request, "202 Accepted", "")};
+  if (!absl::StrContains(request.Line(), "/-/order"))
+    return SuccessfulResponse(request);
+  return {ResponseBytes(request, "202 Accepted", "")};
 }
 
 class PlatformPlacementTest : public CppUnit::TestFixture {
@@ -71,8 +72,9 @@
     std::atomic<bool> ordered = false;
     Stage stage([&](const RawRequest& request) -> Script {
       if (absl::StrContains(request.Line(), "/-/report")) {
-        return {AnswerBytes(request, "200 OK",
-                            R"({"sequence": 0, "busy": false, "models": []})")};
+        return {
+            ResponseBytes(request, "200 OK",
+                          R"({"sequence": 0, "busy": false, "models": []})")};
       }
       const bool loads = absl::StrContains(request.Line(), "/-/order") &&
                          absl::StrContains(request.body, "\"load\"");
@@ -87,7 +89,7 @@
                                            {"born", 1},
                                            {"models", {{{"name", "m"}}}}}
                                           .dump());
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     stage.WaitFor([&] {
       return stage.Read<bool>(
           [&] { return stage.gateway->Fleet().Target("i-dead") != nullptr; });
@@ -128,7 +130,7 @@
       Stage stage(std::move(options));
       stage.PutTarget("i-1", stage.first, "ready",
                       {{{"name", "m"}, {"adapters", json::array()}}});
-      stage.WaitFor([&] { return stage.HoldsDuty(); });
+      stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
       stage.CallModel(item.first_model);
       stage.WaitFor([&] { return stage.CallModel("m/a7").status == 200; });
     }
@@ -139,19 +141,19 @@
   // it still saw its own old entry as holder and went on with the old fence.
   void DoesNotTakeUpADutyOfAnEndedLease() {
     Stage stage;
-    const std::string key(gateway::FleetState::kDutyKey);
+    const std::string key(gateway::FleetState::kLeaderKey);
     const std::string own = gateway::FleetState::InstanceKey("one");
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     const std::uint64_t lease = stage.store.LeaseOf(key);
-    stage.store.EndLeases();
+    stage.store.RejectRenewals();
     stage.WaitFor([&] { return stage.store.LeaseOf(own) > lease; });
     const int renewals = stage.store.Renewals();
     stage.WaitFor([&] { return stage.store.Renewals() > renewals; });
     CPPUNIT_ASSERT_EQUAL(lease, stage.store.LeaseOf(key));
-    CPPUNIT_ASSERT(!stage.HoldsDuty());
+    CPPUNIT_ASSERT(!stage.HoldsLeaderLease());
     // The store lets the old entry go, and the duty can be taken anew.
     stage.store.Delete(key);
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     CPPUNIT_ASSERT(stage.store.LeaseOf(key) > lease);
   }
 
@@ -159,13 +161,13 @@
   // lease: it must not send one more order.
   void GivesUpADutyThatAnotherHolds() {
     Stage stage;
-    stage.WaitFor([&] { return stage.HoldsDuty(); });
+    stage.WaitFor([&] { return stage.HoldsLeaderLease(); });
     gateway::InstanceRecord other;
     other.name = "two";
     other.incarnation = "x";
-    stage.store.Put(std::string(gateway::FleetState::kDutyKey),
+    stage.store.Put(std::string(gateway::FleetState::kLeaderKey),
                     gateway::EncodeInstanceRecord(other));
-    stage.WaitFor([&] { return !stage.HoldsDuty(); });
+    stage.WaitFor([&] { return !stage.HoldsLeaderLease(); });
   }
 };
 
--- a/tests/platform/store_stand_in.cc
+++ b/tests/platform/store_stand_in.cc
@@ -68,7 +68,7 @@
     response.set_content(json{{"ttl_ms", ttl_ms}}.dump(), kJson);
   });
   this->port = this->server->bind_to_any_port("127.0.0.1");
-  this->worker = std::make_unique<Worker>([this] {
+  this->worker = std::make_unique<PeriodicWorker>([this] {
     this->server->listen_after_bind();
     return absl::InfiniteDuration();
   });
@@ -125,7 +125,7 @@
   for (const std::string& key : expired_keys) this->DeleteLocked(key);
 }
 
-void PlatformStoreStandIn::EndLeases() {
+void PlatformStoreStandIn::RejectRenewals() {
   absl::MutexLock lock(&this->mutex);
   this->last_ended_lease = this->last_lease;
 }
@@ -146,7 +146,7 @@
   return found == this->items.end() ? 0 : found->second.lease;
 }
 
-void PlatformStoreStandIn::TurnAwayWrites(bool reject) {
+void PlatformStoreStandIn::RejectWrites(bool reject) {
   absl::MutexLock lock(&this->mutex);
   this->rejects_writes = reject;
 }
