--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -11,7 +11,7 @@
 #include "absl/time/clock.h"
 #include "absl/time/time.h"
 #include "dragonflyglade/net/endpoint.h"
-#include "dragonflyglade/net/worker.h"
+#include "dragonflyglade/net/periodic_worker.h"
 
 namespace httplib {
 class Server;
@@ -21,7 +21,7 @@
 
 /// An in-memory stand-in for the store of the users' platform, with listings,
 /// long-polling watches, transactions and leases. A lease ends only when a
-/// test calls ExpireLeases or EndLeases. Thread-safe.
+/// test calls ExpireLeases or RejectRenewals. Thread-safe.
 class PlatformStoreStandIn {
  public:
   PlatformStoreStandIn();
@@ -34,14 +34,14 @@
   void Delete(const std::string& key);
 
   /// While set, every transaction fails with status 503 and changes nothing.
-  void TurnAwayWrites(bool reject);
+  void RejectWrites(bool reject);
 
   /// Ends the leases whose TTL has passed since their last renewal, and
   /// deletes their keys.
   void ExpireLeases();
   /// Makes renewals of all present leases fail with status 404; their keys
   /// stay until ExpireLeases is called.
-  void EndLeases();
+  void RejectRenewals();
   /// The number of listings served.
   int Listings() const;
   /// The number of successful lease renewals.
@@ -91,7 +91,7 @@
   bool stopping ABSL_GUARDED_BY(mutex) = false;
   std::unique_ptr<httplib::Server> server;
   int port = 0;
-  std::unique_ptr<Worker> worker;
+  std::unique_ptr<PeriodicWorker> worker;
 };
 
 }  // namespace dragonflyglade
--- a/tests/platform/target_stand_in.cc
+++ b/tests/platform/target_stand_in.cc
@@ -20,7 +20,8 @@
   return this->head.substr(begin, this->head.find("\r\n", begin) - begin);
 }
 
-bool ReadRaw(tcp::socket& socket, std::string& buffer, RawRequest& request) {
+bool ReadRawRequest(tcp::socket& socket, std::string& buffer,
+                    RawRequest& request) {
   const auto receive_more = [&] {
     char chunk[4096];
     error_code error;
@@ -86,7 +87,7 @@
 void PlatformTargetStandIn::Serve(std::shared_ptr<Socket> socket) {
   std::string buffer;
   RawRequest request;
-  while (ReadRaw(*socket, buffer, request)) {
+  while (ReadRawRequest(*socket, buffer, request)) {
     const Script script = this->ScriptFor(request);
     error_code error;
     boost::asio::write(*socket, boost::asio::buffer(script.bytes), error);
@@ -128,7 +129,7 @@
   return this->requests;
 }
 
-int PlatformTargetStandIn::Hangups() const {
+int PlatformTargetStandIn::ConnectionsClosedByPeer() const {
   absl::MutexLock lock(&this->mutex);
   return this->hangups;
 }
--- a/tests/platform/target_stand_in.h
+++ b/tests/platform/target_stand_in.h
@@ -52,7 +52,7 @@
   std::vector<RawRequest> Requests() const;
   /// The number of connections that the client closed while the target was
   /// hanging.
-  int Hangups() const;
+  int ConnectionsClosedByPeer() const;
 
  private:
   using Socket = boost::asio::ip::tcp::socket;
@@ -76,8 +76,8 @@
 /// Reads one HTTP request, with a Content-Length body or none.
 /// @param buffer bytes received beyond the previous request
 /// @return false if the connection ended before the request was complete
-bool ReadRaw(boost::asio::ip::tcp::socket& socket, std::string& buffer,
-             RawRequest& request);
+bool ReadRawRequest(boost::asio::ip::tcp::socket& socket, std::string& buffer,
+                    RawRequest& request);
 
 }  // namespace dragonflyglade
 
--- a/tests/scenario/runner.cc
+++ b/tests/scenario/runner.cc
@@ -218,58 +218,58 @@
   void DoKv(const ScenarioCommand& command) {
     KvStandIn& kv = this->Instances().Kv();
     const std::string& what = command.words[0];
-    if (what == "out") kv.SetOut(true);
-    if (what == "back") kv.SetOut(false);
+    if (what == "out") kv.SetUnavailable(true);
+    if (what == "back") kv.SetUnavailable(false);
     if (what == "slow")
       kv.SetDelay(absl::Milliseconds(command.Number("ms", 0)));
     if (what == "lose") {
-      kv.LoseAnswers(static_cast<int>(command.Number("count", 1)));
+      kv.DropResponses(static_cast<int>(command.Number("count", 1)));
     }
-    if (what == "silence") kv.SilenceWatches();
-    if (what == "lapse") kv.LapseLeases();
+    if (what == "silence") kv.StallWatches();
+    if (what == "lapse") kv.ExpireAllLeases();
   }
 
   void DoList(const ScenarioCommand& command) {
-    ListStandIn& list = this->Instances().List();
+    DiscoveryStandIn& list = this->Instances().List();
     const std::string& what = command.words[0];
     if (what == "lag") {
       list.SetLag(absl::Milliseconds(command.Number("ms", 0)));
     } else {
-      list.SetOut(what == "out");
+      list.SetUnavailable(what == "out");
     }
   }
 
   void DoLink(const ScenarioCommand& command) {
-    RelayStandIn& link = this->Instances().KvLink(this->Number(command));
-    if (command.words[1] == "silence") return link.SilenceOpen();
-    link.SetCut(command.words[1] == "cut");
+    FaultyTcpProxy& link = this->Instances().KvLink(this->Number(command));
+    if (command.words[1] == "silence") return link.StallOpenConnections();
+    link.SetPartitioned(command.words[1] == "cut");
   }
 
   void DoTarget(const ScenarioCommand& command) {
     const std::string& name = command.words[0];
     const std::string& what = command.words[1];
-    RelayStandIn& link = this->Instances().TargetLink(name);
-    if (what == "cut") return link.SetCut(true);
-    if (what == "heal") return link.SetCut(false);
-    if (what == "silence") return link.SilenceOpen();
+    FaultyTcpProxy& link = this->Instances().TargetLink(name);
+    if (what == "cut") return link.SetPartitioned(true);
+    if (what == "heal") return link.SetPartitioned(false);
+    if (what == "silence") return link.StallOpenConnections();
     EngineStandIn& engine =
         this->Instances().Engine(std::stoi(name.substr(name.find('-') + 1)));
-    if (what == "mute") engine.SetSilent(true);
-    if (what == "speak") engine.SetSilent(false);
+    if (what == "mute") engine.SetUnresponsive(true);
+    if (what == "speak") engine.SetUnresponsive(false);
     if (what == "refuse") engine.SetRefusing(true);
     if (what == "accept") engine.SetRefusing(false);
     if (what == "leaving") engine.SetLeaving(true);
     if (what == "restart") engine.Restart();
     if (what == "break") {
-      engine.CutStreamsAfter(static_cast<int>(command.Number("after", 3)),
-                             static_cast<int>(command.Number("times", 1)));
+      engine.BreakStreamsAfter(static_cast<int>(command.Number("after", 3)),
+                               static_cast<int>(command.Number("times", 1)));
     }
   }
 
   void DoLedger(const ScenarioCommand& command) {
     LedgerStandIn& ledger = this->Instances().Ledger();
     if (command.words[0] == "lose") {
-      ledger.LoseAnswers(static_cast<int>(command.Number("count", 1)));
+      ledger.DropResponses(static_cast<int>(command.Number("count", 1)));
     } else {
       ledger.SetDelay(absl::Milliseconds(command.Number("ms", 0)));
     }
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -118,15 +118,15 @@
         this->world.Reload(index);
         break;
       case 4:
-        this->world.StoreRelay(index).SetCut(true);
+        this->world.StoreRelay(index).SetPartitioned(true);
         this->Pause(2500);
-        this->world.StoreRelay(index).SetCut(false);
+        this->world.StoreRelay(index).SetPartitioned(false);
         break;
       case 5:
         this->Hinder(index);
         break;
       default:
-        this->world.StoreRelay(index).SilenceOpen();
+        this->world.StoreRelay(index).StallOpenConnections();
         break;
     }
     mutex.Unlock();
@@ -141,10 +141,10 @@
       this->Pause(1500);
       this->world.SetFaults(index, 0);
     } else if (what == 8) {
-      this->world.TargetRelay(index).SetCut(true);
+      this->world.TargetRelay(index).SetPartitioned(true);
       this->Pause(600);
-      this->world.TargetRelay(index).SetCut(false);
-      this->world.TargetRelay(index).SilenceOpen();
+      this->world.TargetRelay(index).SetPartitioned(false);
+      this->world.TargetRelay(index).StallOpenConnections();
     } else {
       this->world.PutTarget(index, "draining");
       this->Pause(800);
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -113,7 +113,7 @@
           return this->Answer(*raw, request);
         });
     const Result<Endpoint> real = ParseEndpoint(target->stand_in->Address());
-    target->relay = std::make_unique<RelayStandIn>(real.Value());
+    target->relay = std::make_unique<FaultyTcpProxy>(real.Value());
     target->address = target->relay->Start();
     this->targets.push_back(std::move(target));
     this->PutTarget(i, "ready");
@@ -129,7 +129,7 @@
     instance->settings_file = this->directory + "/" + instance->name + ".json";
     instance->log_file = this->directory + "/" + instance->name + ".log";
     instance->store_relay =
-        std::make_unique<RelayStandIn>(this->store.Address());
+        std::make_unique<FaultyTcpProxy>(this->store.Address());
     instance->store = instance->store_relay->Start();
     this->instances.push_back(std::move(instance));
     this->Start(i, true);
@@ -308,7 +308,7 @@
   if (request.Field("X-Dragonflyglade-Target-Instance") != target.id) {
     return {Whole(request, "421 Other", "", "")};
   }
-  const bool sound = fate >= target.fault_share;
+  const bool sound = fate >= target.failure_rate;
   if (!sound && kind < 0.25) {
     return {
         Whole(request, "503 Full", "", "X-Dragonflyglade-Not-Executed: 1\r\n")};
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -12,7 +12,7 @@
 #include "tests/platform/store_stand_in.h"
 #include "tests/platform/target_stand_in.h"
 #include "tests/soak/promises.h"
-#include "tests/standins/relay_stand_in.h"
+#include "tests/standins/faulty_tcp_proxy.h"
 
 namespace dragonflyglade::soak {
 
@@ -22,7 +22,7 @@
   int first_port = 0;  ///< callers; the other four follow
   std::string settings_file;
   std::string log_file;
-  std::unique_ptr<RelayStandIn> store_relay;
+  std::unique_ptr<FaultyTcpProxy> store_relay;
   Endpoint store;
   std::unique_ptr<Process> process;
   // Odd while it does not run, or not for sure; odd while it is paused.
@@ -36,9 +36,9 @@
 struct Target {
   std::string id;
   std::unique_ptr<PlatformTargetStandIn> stand_in;
-  std::unique_ptr<RelayStandIn> relay;
+  std::unique_ptr<FaultyTcpProxy> relay;
   Endpoint address;
-  std::atomic<double> fault_share = 0;
+  std::atomic<double> failure_rate = 0;
 };
 
 /// How often an instance ended, and was paused, by a moment.
@@ -69,13 +69,15 @@
   void Reload(int index);
   void Pause(int index);
   void Resume(int index);
-  RelayStandIn& StoreRelay(int index) {
+  FaultyTcpProxy& StoreRelay(int index) {
     return *this->instances[index]->store_relay;
   }
-  RelayStandIn& TargetRelay(int index) { return *this->targets[index]->relay; }
+  FaultyTcpProxy& TargetRelay(int index) {
+    return *this->targets[index]->relay;
+  }
   int Targets() const { return static_cast<int>(this->targets.size()); }
   void SetFaults(int index, double share) {
-    this->targets[index]->fault_share = share;
+    this->targets[index]->failure_rate = share;
   }
   void PutTarget(int index, const std::string& state);
   void RemoveTarget(int index);
--- a/tests/standins/list_stand_in.cc
+++ b/tests/standins/discovery_stand_in.cc
@@ -1,9 +1,9 @@
-#include "tests/standins/list_stand_in.h"
+#include "tests/standins/discovery_stand_in.h"
 
 #include <httplib.h>
 
 #include "absl/time/clock.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -17,69 +17,70 @@
 
 }  // namespace
 
-ListStandIn::ListStandIn() : server(Endpoint{"127.0.0.1", 0}, kThreads) {
+DiscoveryStandIn::DiscoveryStandIn()
+    : server(Endpoint{"127.0.0.1", 0}, kThreads) {
   {
     absl::MutexLock lock(&this->mutex);
     this->RecordSnapshot();
   }
   const auto respond = [this](bool targets, httplib::Response& response) {
     absl::MutexLock lock(&this->mutex);
-    if (this->unavailable) return LoseAnswer(response);
+    if (this->unavailable) return DropResponse(response);
     const Snapshot& visible = this->VisibleSnapshot();
     response.set_content(targets ? visible.targets : visible.instances,
                          "application/json");
   };
-  this->server.Library().Get(
+  this->server.HttplibServer().Get(
       "/instances", [respond](const httplib::Request&, httplib::Response& r) {
         respond(false, r);
       });
-  this->server.Library().Get(
+  this->server.HttplibServer().Get(
       "/targets", [respond](const httplib::Request&, httplib::Response& r) {
         respond(true, r);
       });
 }
 
-ListStandIn::~ListStandIn() { this->server.Stop(); }
+DiscoveryStandIn::~DiscoveryStandIn() { this->server.Stop(); }
 
-Endpoint ListStandIn::Start() {
+Endpoint DiscoveryStandIn::Start() {
   return Endpoint{"127.0.0.1", this->server.Start("listen").Value()};
 }
 
-void ListStandIn::SetLag(absl::Duration lag) {
+void DiscoveryStandIn::SetLag(absl::Duration lag) {
   absl::MutexLock lock(&this->mutex);
   this->lag = lag;
 }
 
-void ListStandIn::SetOut(bool unavailable) {
+void DiscoveryStandIn::SetUnavailable(bool unavailable) {
   absl::MutexLock lock(&this->mutex);
   this->unavailable = unavailable;
 }
 
-void ListStandIn::PutInstance(const ListedInstance& instance) {
+void DiscoveryStandIn::PutInstance(const ListedInstance& instance) {
   absl::MutexLock lock(&this->mutex);
   this->instances[instance.info.name] = instance;
   this->RecordSnapshot();
 }
 
-void ListStandIn::RemoveInstance(const std::string& name) {
+void DiscoveryStandIn::RemoveInstance(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->instances.erase(name);
   this->RecordSnapshot();
 }
 
-void ListStandIn::PutTarget(const ListedTarget& target) {
+void DiscoveryStandIn::PutTarget(const ListedTarget& target) {
   absl::MutexLock lock(&this->mutex);
   this->targets[target.name] = target;
   this->RecordSnapshot();
 }
 
-void ListStandIn::RemoveTarget(const std::string& name) {
+void DiscoveryStandIn::RemoveTarget(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->targets.erase(name);
   this->RecordSnapshot();
 }
 
-void ListStandIn::RecordSnapshot() {
+void DiscoveryStandIn::RecordSnapshot() {
   ++this->version;
   json instances = json::array();
   for (const auto& [name, listed] : this->instances) {
@@ -109,7 +110,7 @@
   if (this->snapshots.size() > kMaxSnapshots) this->snapshots.pop_front();
 }
 
-const ListStandIn::Snapshot& ListStandIn::VisibleSnapshot() {
+const DiscoveryStandIn::Snapshot& DiscoveryStandIn::VisibleSnapshot() {
   const absl::Time visible_until = absl::Now() - this->lag;
   const Snapshot* visible = &this->snapshots.front();
   for (const Snapshot& snapshot : this->snapshots) {
--- a/tests/standins/list_stand_in.h
+++ b/tests/standins/discovery_stand_in.h
@@ -9,24 +9,24 @@
 #include "absl/synchronization/mutex.h"
 #include "absl/time/time.h"
 #include "dragonflyglade/decision/membership.h"
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 #include "dragonflyglade/net/http_server.h"
 
 namespace dragonflyglade {
 
 /// The platform's service discovery, with lists of instances and targets that
 /// lag behind or are unavailable when a test says so.
-class ListStandIn {
+class DiscoveryStandIn {
  public:
-  ListStandIn();
-  ~ListStandIn();
+  DiscoveryStandIn();
+  ~DiscoveryStandIn();
 
   Endpoint Start();
 
   /// Makes changes of the lists visible only after this time.
   void SetLag(absl::Duration lag);
   /// While unavailable, every response is cut short.
-  void SetOut(bool unavailable);
+  void SetUnavailable(bool unavailable);
   void PutInstance(const ListedInstance& instance);
   void RemoveInstance(const std::string& name);
   void PutTarget(const ListedTarget& target);
--- a/tests/standins/faulty_answer.cc
+++ b/tests/standins/drop_response.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 #include <httplib.h>
 
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void LoseAnswer(httplib::Response& response) {
+void DropResponse(httplib::Response& response) {
   response.set_content_provider(
       kAnnouncedBytes, "application/json",
       [](std::size_t, std::size_t, httplib::DataSink&) { return false; });
--- a/tests/standins/faulty_answer.h
+++ b/tests/standins/drop_response.h
@@ -9,7 +9,7 @@
 
 /// Makes the server close the connection after the response's head, so that the
 /// client never receives a complete response.
-void LoseAnswer(httplib::Response& response);
+void DropResponse(httplib::Response& response);
 
 }  // namespace dragonflyglade
 
--- a/tests/standins/engine_stand_in.cc
+++ b/tests/standins/engine_stand_in.cc
@@ -8,7 +8,7 @@
 
 #include "absl/time/clock.h"
 #include "dragonflyglade/decision/rendezvous.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -48,7 +48,7 @@
 }
 
 void EngineStandIn::SetRoutes() {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   using httplib::Request;
   using httplib::Response;
   const auto complete = [this](const Request& request, Response& response) {
@@ -123,7 +123,8 @@
         {{"sequence", this->cache_events.size() + 1}, {"prefix", prefix}});
   }
   const bool is_chat = body.contains("messages");
-  const json reported_model = this->behaviour.odd_model ? json(7) : json(model);
+  const json reported_model =
+      this->behaviour.reports_numeric_model ? json(7) : json(model);
   for (int i = 0; i < tokens; ++i) {
     // Each token names the prompt, so that a response sent to the wrong request
     // is noticed.
@@ -306,7 +307,7 @@
     if (this->orders_to_hold > 0) {
       --this->orders_to_hold;
       this->held_orders.push_back(HeldOrder{kind, body});
-      return LoseAnswer(response);
+      return DropResponse(response);
     }
   }
   if (kind == "load_model") absl::SleepFor(this->behaviour.load_delay);
@@ -315,7 +316,7 @@
     absl::MutexLock lock(&this->mutex);
     if (this->order_responses_to_drop > 0) {
       --this->order_responses_to_drop;
-      return LoseAnswer(response);
+      return DropResponse(response);
     }
   }
   json response_body = {{"boot_id", boot_id}};
@@ -326,13 +327,13 @@
   response.set_content(response_body.dump(), kJson);
 }
 
-void EngineStandIn::CutStreamsAfter(int events, int times) {
+void EngineStandIn::BreakStreamsAfter(int events, int times) {
   absl::MutexLock lock(&this->mutex);
   this->break_after = events;
   this->remaining_breaks = times;
 }
 
-void EngineStandIn::SetSilent(bool unresponsive) {
+void EngineStandIn::SetUnresponsive(bool unresponsive) {
   absl::MutexLock lock(&this->mutex);
   this->unresponsive = unresponsive;
 }
@@ -352,7 +353,7 @@
   this->echoed_id = id;
 }
 
-void EngineStandIn::LoseOrderAnswers(int count) {
+void EngineStandIn::DropOrderResponses(int count) {
   absl::MutexLock lock(&this->mutex);
   this->order_responses_to_drop = count;
 }
@@ -384,7 +385,7 @@
   this->report_history.clear();
 }
 
-std::int64_t EngineStandIn::PeakBytes() const {
+std::int64_t EngineStandIn::PeakMemoryBytes() const {
   absl::MutexLock lock(&this->mutex);
   return this->peak_bytes;
 }
--- a/tests/standins/engine_stand_in.h
+++ b/tests/standins/engine_stand_in.h
@@ -30,7 +30,7 @@
   absl::Duration token_delay;
   absl::Duration load_delay;  ///< time that loading a model takes
   absl::Duration report_lag;  ///< age of the load reports that it sends
-  bool odd_model = false;     ///< events name the model by a number
+  bool reports_numeric_model = false;  ///< events name the model by a number
 };
 
 /// A model engine with finite memory, batches, orders and a boot id, which
@@ -44,9 +44,9 @@
 
   /// Breaks the next streams, as many as times, after a number of events. No
   /// stream breaks if events is 0.
-  void CutStreamsAfter(int events, int times);
+  void BreakStreamsAfter(int events, int times);
   /// While set, streams stall: no event is sent.
-  void SetSilent(bool unresponsive);
+  void SetUnresponsive(bool unresponsive);
   /// While set, completions fail with status 503.
   void SetRefusing(bool refusing);
   void SetLeaving(bool leaving);
@@ -54,7 +54,7 @@
   /// restores the request's own.
   void SetEchoedId(const std::string& id);
   /// Drops the responses to the next orders after executing them.
-  void LoseOrderAnswers(int count);
+  void DropOrderResponses(int count);
   /// Delays the next orders until ReleaseOrders is called and drops their
   /// responses.
   void HoldOrders(int count);
@@ -66,7 +66,7 @@
 
   /// The largest amount of memory that orders ever required at the same time,
   /// including those refused for lack of memory.
-  std::int64_t PeakBytes() const;
+  std::int64_t PeakMemoryBytes() const;
   std::set<std::string> Resident() const;
   /// The number of completion streams that ended.
   int Served() const;
--- a/tests/standins/relay_stand_in.cc
+++ b/tests/standins/faulty_tcp_proxy.cc
@@ -1,4 +1,4 @@
-#include "tests/standins/relay_stand_in.h"
+#include "tests/standins/faulty_tcp_proxy.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -34,7 +34,7 @@
 
 // Both sockets of one forwarded connection. They are closed when neither
 // direction uses them any more.
-struct RelayStandIn::Connection {
+struct FaultyTcpProxy::Connection {
   Connection(int client_socket, int target_socket)
       : client_socket(client_socket), target_socket(target_socket) {}
   ~Connection() {
@@ -56,9 +56,9 @@
   std::atomic<bool> broken{false};
 };
 
-RelayStandIn::RelayStandIn(Endpoint to) : to(std::move(to)) {}
+FaultyTcpProxy::FaultyTcpProxy(Endpoint to) : to(std::move(to)) {}
 
-RelayStandIn::~RelayStandIn() {
+FaultyTcpProxy::~FaultyTcpProxy() {
   {
     absl::MutexLock lock(&this->mutex);
     this->stopping = true;
@@ -73,7 +73,7 @@
   if (this->listener >= 0) close(this->listener);
 }
 
-Endpoint RelayStandIn::Start() {
+Endpoint FaultyTcpProxy::Start() {
   this->listener = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address = AddressOf(Endpoint{"127.0.0.1", 0});
   socklen_t size = sizeof(address);
@@ -86,7 +86,7 @@
   return Endpoint{"127.0.0.1", ntohs(address.sin_port)};
 }
 
-void RelayStandIn::Accept() {
+void FaultyTcpProxy::Accept() {
   while (true) {
     {
       absl::MutexLock lock(&this->mutex);
@@ -118,8 +118,8 @@
   }
 }
 
-void RelayStandIn::Forward(const std::shared_ptr<Connection>& connection,
-                           int from, int to) {
+void FaultyTcpProxy::Forward(const std::shared_ptr<Connection>& connection,
+                             int from, int to) {
   std::array<char, kBufferBytes> buffer;
   while (!connection->broken) {
     if (connection->stalled) {
@@ -141,14 +141,14 @@
   --this->running_forwarders;
 }
 
-void RelayStandIn::SetCut(bool partitioned) {
+void FaultyTcpProxy::SetPartitioned(bool partitioned) {
   absl::MutexLock lock(&this->mutex);
   this->partitioned = partitioned;
   if (!partitioned) return;
   for (const auto& connection : this->connections) connection->Break();
 }
 
-void RelayStandIn::SilenceOpen() {
+void FaultyTcpProxy::StallOpenConnections() {
   absl::MutexLock lock(&this->mutex);
   for (const auto& connection : this->connections) connection->stalled = true;
 }
--- a/tests/standins/relay_stand_in.h
+++ b/tests/standins/faulty_tcp_proxy.h
@@ -12,22 +12,22 @@
 
 /// A TCP proxy in front of one endpoint, which simulates a network partition or
 /// a network that silently drops all traffic.
-class RelayStandIn {
+class FaultyTcpProxy {
  public:
   /// @param to the endpoint to which connections are forwarded
-  explicit RelayStandIn(Endpoint to);
-  ~RelayStandIn();
+  explicit FaultyTcpProxy(Endpoint to);
+  ~FaultyTcpProxy();
 
   /// @return the endpoint at which the proxy accepts connections
   Endpoint Start();
 
   /// Simulates a partition: closes all connections and every new one. With
   /// false, forwards new connections again.
-  void SetCut(bool partitioned);
+  void SetPartitioned(bool partitioned);
 
   /// Stops forwarding on the connections open now, which stay open. New
   /// connections work.
-  void SilenceOpen();
+  void StallOpenConnections();
 
  private:
   struct Connection;
--- a/tests/standins/kv_stand_in.cc
+++ b/tests/standins/kv_stand_in.cc
@@ -7,7 +7,7 @@
 
 #include "absl/time/clock.h"
 #include "dragonflyglade/store/kv_codec.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -34,7 +34,7 @@
 }  // namespace
 
 KvStandIn::KvStandIn() : server(Endpoint{"127.0.0.1", 0}, kThreads) {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   http.Post("/v3/watch", [this](const httplib::Request& request,
                                 httplib::Response& response) {
     const json create = json::parse(request.body).at("create_request");
@@ -44,7 +44,7 @@
     watch->next_revision = DecodeNumber(create, "start_revision");
     {
       absl::MutexLock lock(&this->mutex);
-      if (this->unavailable) return LoseAnswer(response);
+      if (this->unavailable) return DropResponse(response);
       watch->number = this->next_watch++;
       ++this->open_watches;
     }
@@ -71,11 +71,11 @@
     absl::SleepFor(wait);
     {
       absl::MutexLock lock(&this->mutex);
-      if (this->unavailable) return LoseAnswer(response);
+      if (this->unavailable) return DropResponse(response);
     }
     const std::string response_body =
         this->Handle(request.path, json::parse(request.body));
-    if (response_body.empty()) return LoseAnswer(response);
+    if (response_body.empty()) return DropResponse(response);
     response.set_content(response_body, "application/json");
   });
 }
@@ -93,7 +93,7 @@
   return Endpoint{"127.0.0.1", port.Value()};
 }
 
-void KvStandIn::SetOut(bool unavailable) {
+void KvStandIn::SetUnavailable(bool unavailable) {
   absl::MutexLock lock(&this->mutex);
   this->unavailable = unavailable;
 }
@@ -103,17 +103,17 @@
   this->delay = delay;
 }
 
-void KvStandIn::LoseAnswers(int count) {
+void KvStandIn::DropResponses(int count) {
   absl::MutexLock lock(&this->mutex);
   this->responses_to_drop = count;
 }
 
-void KvStandIn::SilenceWatches() {
+void KvStandIn::StallWatches() {
   absl::MutexLock lock(&this->mutex);
   this->first_unstalled_watch = this->next_watch;
 }
 
-void KvStandIn::LapseLeases() {
+void KvStandIn::ExpireAllLeases() {
   absl::MutexLock lock(&this->mutex);
   for (auto& [id, until] : this->leases) until = absl::InfinitePast();
   this->ExpireLeases();
--- a/tests/standins/kv_stand_in.h
+++ b/tests/standins/kv_stand_in.h
@@ -26,15 +26,15 @@
   Endpoint Start();
 
   /// While unavailable, no call is executed and every response is cut short.
-  void SetOut(bool unavailable);
+  void SetUnavailable(bool unavailable);
   /// Delays the execution of every call except watches.
   void SetDelay(absl::Duration delay);
   /// Drops the responses to the next transactions after they took effect.
-  void LoseAnswers(int count);
+  void DropResponses(int count);
   /// Makes the watches open now deliver nothing more, although they stay open.
-  void SilenceWatches();
+  void StallWatches();
   /// Ends all leases, as if their TTL had passed, and removes their keys.
-  void LapseLeases();
+  void ExpireAllLeases();
 
   /// Writes a key without a lease, as an operator may.
   std::int64_t Put(const std::string& key, const std::string& value);
--- a/tests/standins/ledger_stand_in.cc
+++ b/tests/standins/ledger_stand_in.cc
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "absl/time/clock.h"
-#include "tests/standins/faulty_answer.h"
+#include "tests/standins/drop_response.h"
 
 namespace dragonflyglade {
 namespace {
@@ -19,7 +19,7 @@
 }  // namespace
 
 LedgerStandIn::LedgerStandIn() : server(Endpoint{"127.0.0.1", 0}, kThreads) {
-  httplib::Server& http = this->server.Library();
+  httplib::Server& http = this->server.HttplibServer();
   using httplib::Request;
   using httplib::Response;
   const auto record_request = [this](const Request& request,
@@ -57,7 +57,7 @@
                 if (drop_response) --this->responses_to_drop;
               }
               absl::SleepFor(wait);
-              if (drop_response) return LoseAnswer(response);
+              if (drop_response) return DropResponse(response);
               response.status = 201;
               response.set_content(
                   json({{"payout", payout}, {"run", run}}).dump(), kJson);
@@ -70,7 +70,7 @@
   return Endpoint{"127.0.0.1", this->server.Start("listen").Value()};
 }
 
-void LedgerStandIn::LoseAnswers(int count) {
+void LedgerStandIn::DropResponses(int count) {
   absl::MutexLock lock(&this->mutex);
   this->responses_to_drop = count;
 }
--- a/tests/standins/ledger_stand_in.h
+++ b/tests/standins/ledger_stand_in.h
@@ -24,7 +24,7 @@
   Endpoint Start();
 
   /// Drops the responses to the next payouts after executing them.
-  void LoseAnswers(int count);
+  void DropResponses(int count);
   /// Delays the responses to payouts after executing them.
   void SetDelay(absl::Duration delay);
   /// Makes responses carry this id in place of the request's own; an empty one
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -12,10 +12,10 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
+#include "tests/standins/discovery_stand_in.h"
 #include "tests/standins/engine_stand_in.h"
 #include "tests/standins/kv_stand_in.h"
 #include "tests/standins/ledger_stand_in.h"
-#include "tests/standins/list_stand_in.h"
 
 namespace dragonflyglade {
 namespace {
@@ -61,13 +61,13 @@
                                             this->engines[i]->Start(),
                                             kEnginePool));
     }
-    this->control.Library().Post(
+    this->control.HttplibServer().Post(
         "/instances",
         [this](const httplib::Request& request, httplib::Response& response) {
           this->list.PutInstance(DecodeInstance(json::parse(request.body)));
           response.set_content("{}", "application/json");
         });
-    this->control.Library().Get(
+    this->control.HttplibServer().Get(
         "/received",
         [this](const httplib::Request&, httplib::Response& response) {
           response.set_content(this->Received(), "text/plain");
@@ -89,7 +89,7 @@
   }
 
   KvStandIn kv;
-  ListStandIn list;
+  DiscoveryStandIn list;
   LedgerStandIn ledger;
   std::vector<std::unique_ptr<EngineStandIn>> engines;
   HttpServer control;
--- a/tests/unit/unit-allotment.cc
+++ b/tests/unit/unit-allotment.cc
@@ -6,24 +6,24 @@
 namespace dragonflyglade {
 namespace {
 
-AllotmentView ViewOf(const std::vector<std::string>& names,
-                     std::int64_t version) {
-  AllotmentView view;
+AllotmentInputs ViewOf(const std::vector<std::string>& names,
+                       std::int64_t version) {
+  AllotmentInputs view;
   view.list_version = version;
   for (const std::string& name : names) {
     view.listed.insert(name);
     view.answering[name] = 1;
-    view.wanted.push_back(HolderCandidate{name, 1});
+    view.wanted.push_back(OwnerCandidate{name, 1});
   }
   return view;
 }
 
-Allotment Settle(Allotment allotment, AllotmentView view) {
+Allotment Settle(Allotment allotment, AllotmentInputs view) {
   for (int i = 0; i < 10; ++i) {
-    for (const HolderShare& holder : allotment.holders) {
+    for (const OwnerShare& holder : allotment.holders) {
       view.confirmed[holder.instance] = allotment.epoch;
     }
-    const auto next = NextAllotment(allotment, view);
+    const auto next = PlanNextAllotment(allotment, view);
     if (!next.has_value()) return allotment;
     allotment = *next;
   }
@@ -55,7 +55,7 @@
       }
       const Allotment settled = Settle(Allotment{"w", 0, {}}, ViewOf(names, 1));
       CPPUNIT_ASSERT_EQUAL(count, settled.holders.size());
-      CPPUNIT_ASSERT_EQUAL(kWholeShare, AssumedTotal(settled));
+      CPPUNIT_ASSERT_EQUAL(kFullShareMillionths, MaxTotalInUse(settled));
     }
   }
 
@@ -64,13 +64,13 @@
   // the larger ones.
   void AGrowingHolderWaitsForTheShrinkingOne() {
     const Allotment two = Settle(Allotment{"w", 0, {}}, ViewOf({"a", "b"}, 1));
-    AllotmentView view = ViewOf({"a", "b", "c"}, 2);
-    const Allotment shrunk = *NextAllotment(two, view);
+    AllotmentInputs view = ViewOf({"a", "b", "c"}, 2);
+    const Allotment shrunk = *PlanNextAllotment(two, view);
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, ShareOf(shrunk, "c", 1));
-    CPPUNIT_ASSERT(!NextAllotment(shrunk, view).has_value());
+    CPPUNIT_ASSERT(!PlanNextAllotment(shrunk, view).has_value());
     view.confirmed["a"] = shrunk.epoch;
     view.confirmed["b"] = shrunk.epoch;
-    CPPUNIT_ASSERT(ShareOf(*NextAllotment(shrunk, view), "c", 1) > 0);
+    CPPUNIT_ASSERT(ShareOf(*PlanNextAllotment(shrunk, view), "c", 1) > 0);
   }
 
   void OnlyProofEndsAHolder() {
@@ -82,12 +82,14 @@
         {"the same process answers", 4, true, 7, false},
     };
     for (const GoneCase& item : cases) {
-      const HolderShare holder{"a", 7, kWholeShare, kWholeShare, 5};
-      AllotmentView view;
+      const OwnerShare holder{"a", 7, kFullShareMillionths,
+                              kFullShareMillionths, 5};
+      AllotmentInputs view;
       view.list_version = item.list_version;
       if (item.listed) view.listed.insert("a");
       if (item.answering != 0) view.answering["a"] = item.answering;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.gone, IsGone(holder, view));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.gone,
+                                   HasTerminated(holder, view));
     }
   }
 
@@ -99,27 +101,27 @@
       Allotment allotment{"w", 0, {}};
       const int steps = *rc::gen::inRange(1, 40);
       for (int i = 0; i < steps; ++i) {
-        AllotmentView view;
+        AllotmentInputs view;
         view.list_version = i;
         for (const char* name : {"a", "b", "c", "d"}) {
           const auto incarnation = *rc::gen::inRange<std::int64_t>(1, 4);
           if (*rc::gen::arbitrary<bool>()) view.listed.insert(name);
           if (*rc::gen::arbitrary<bool>()) {
             view.answering[name] = incarnation;
-            view.wanted.push_back(HolderCandidate{name, incarnation});
+            view.wanted.push_back(OwnerCandidate{name, incarnation});
           }
           if (*rc::gen::arbitrary<bool>()) {
             view.confirmed[name] = allotment.epoch - *rc::gen::inRange(0, 2);
           }
         }
-        for (const HolderShare& holder : allotment.holders) {
+        for (const OwnerShare& holder : allotment.holders) {
           if (*rc::gen::arbitrary<bool>()) {
             view.settled.insert({holder.instance, holder.incarnation});
           }
         }
-        const auto next = NextAllotment(allotment, view);
+        const auto next = PlanNextAllotment(allotment, view);
         if (next.has_value()) allotment = *next;
-        RC_ASSERT(AssumedTotal(allotment) <= kWholeShare);
+        RC_ASSERT(MaxTotalInUse(allotment) <= kFullShareMillionths);
       }
     });
     CPPUNIT_ASSERT(holds);
--- a/tests/unit/unit-callers.cc
+++ b/tests/unit/unit-callers.cc
@@ -4,7 +4,7 @@
 
 #include "dragonflyglade/caller/completion_request.h"
 #include "dragonflyglade/caller/event_stream.h"
-#include "dragonflyglade/caller/instance_answer.h"
+#include "dragonflyglade/caller/instance_selection.h"
 #include "dragonflyglade/caller/sse.h"
 #include "dragonflyglade/operator/caller_key.h"
 #include "measure/history/history.h"
@@ -32,7 +32,7 @@
 struct KeyCase {
   const char* name;
   std::string presented_key;
-  int expected;  ///< a KeyProblem, or -1 for accepted
+  int expected;  ///< a KeyError, or -1 for accepted
 };
 
 class CallersTest : public CppUnit::TestFixture {
@@ -118,26 +118,26 @@
     add(good, false);
     add(withdrawn, true);
     const std::string text = good.ToString();
-    const auto problem = [](KeyProblem p) { return static_cast<int>(p); };
+    const auto problem = [](KeyError p) { return static_cast<int>(p); };
     const std::vector<KeyCase> cases = {
         {"good", text, -1},
-        {"withdrawn", withdrawn.ToString(), problem(KeyProblem::kWithdrawn)},
+        {"withdrawn", withdrawn.ToString(), problem(KeyError::kWithdrawn)},
         {"a withdrawn id with a wrong secret",
          CallerKey{withdrawn.id, good.secret}.ToString(),
-         problem(KeyProblem::kUnknown)},
-        {"unknown", other.ToString(), problem(KeyProblem::kUnknown)},
+         problem(KeyError::kUnknown)},
+        {"unknown", other.ToString(), problem(KeyError::kUnknown)},
         {"another's secret", CallerKey{good.id, other.secret}.ToString(),
-         problem(KeyProblem::kUnknown)},
+         problem(KeyError::kUnknown)},
         {"truncated", text.substr(0, text.size() - 1),
-         problem(KeyProblem::kMalformed)},
-        {"lengthened", text + "0", problem(KeyProblem::kMalformed)},
-        {"upper case", "DG" + text.substr(2), problem(KeyProblem::kMalformed)},
-        {"empty", "", problem(KeyProblem::kMalformed)},
-        {"only the id", "dg_" + good.id, problem(KeyProblem::kMalformed)},
+         problem(KeyError::kMalformed)},
+        {"lengthened", text + "0", problem(KeyError::kMalformed)},
+        {"upper case", "DG" + text.substr(2), problem(KeyError::kMalformed)},
+        {"empty", "", problem(KeyError::kMalformed)},
+        {"only the id", "dg_" + good.id, problem(KeyError::kMalformed)},
     };
     for (const KeyCase& item : cases) {
-      const auto checked = CheckCallerKey(catalog, item.presented_key);
-      const auto* found = std::get_if<KeyProblem>(&checked);
+      const auto checked = FindKeyRecord(catalog, item.presented_key);
+      const auto* found = std::get_if<KeyError>(&checked);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
           found == nullptr ? -1 : static_cast<int>(*found));
@@ -179,9 +179,9 @@
   }
 
   void ChoosesInstancesByZoneLoadAndShare() {
-    std::vector<MemberStatement> members;
+    std::vector<MemberStatus> members;
     for (const char* name : {"far", "near", "busy", "leaving", "dead", "new"}) {
-      MemberStatement member;
+      MemberStatus member;
       member.info.name = name;
       member.info.zone = "far-zone";
       member.incarnation = 1;
@@ -194,7 +194,7 @@
     members[5].incarnation = 0;
     const std::vector<std::string> share_owners = {"far"};
     const auto choices =
-        ChooseInstances(members, InstanceQuestion{"z", "", "w"}, share_owners);
+        ChooseInstances(members, InstanceQuery{"z", "", "w"}, share_owners);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, choices.size());
     CPPUNIT_ASSERT_EQUAL(std::string("busy"), choices.back().name);
     double total = 0;
--- a/tests/unit/unit-claim.cc
+++ b/tests/unit/unit-claim.cc
@@ -11,13 +11,13 @@
 
 ClaimExists Existing(const char* nonce, const char* digest, ClaimState state) {
   Claim claim{nonce, digest, state, {}};
-  claim.answer = StoredAnswer{201, "text/plain", std::string("\0\xff ok", 5)};
-  return ClaimExists{EncodeClaim(claim), 7};
+  claim.answer = StoredResponse{201, "text/plain", std::string("\0\xff ok", 5)};
+  return ClaimExists{SerializeClaim(claim), 7};
 }
 
 struct StepCase {
   const char* name;
-  ClaimWrite write;
+  ClaimWriteResult write;
   bool may_retry;
   std::size_t expected;  ///< index in ClaimStep
 };
@@ -39,41 +39,42 @@
   // nothing was dispatched before it was known.
   void DecidesWhatFollowsAWrite() {
     const std::vector<StepCase> cases = {
-        {"created", ClaimCreated{3}, true, IndexOf<Dispatch>()},
+        {"created", ClaimCreated{3}, true, IndexOf<DispatchCall>()},
         {"lost answer, found again",
          Existing("nonce-1", "digest-1", ClaimState::kRunning), true,
-         IndexOf<Dispatch>()},
+         IndexOf<DispatchCall>()},
         {"another caller's, running",
          Existing("nonce-2", "digest-1", ClaimState::kRunning), true,
-         IndexOf<InDoubt>()},
+         IndexOf<InProgressOrUnknown>()},
         {"another caller's, unknown",
          Existing("nonce-2", "digest-1", ClaimState::kUnknown), true,
-         IndexOf<InDoubt>()},
+         IndexOf<InProgressOrUnknown>()},
         {"another caller's, done",
          Existing("nonce-2", "digest-1", ClaimState::kDone), true,
-         IndexOf<Replay>()},
+         IndexOf<ReplayResponse>()},
         {"the key of another request",
          Existing("nonce-2", "digest-2", ClaimState::kDone), true,
-         IndexOf<KeyReused>()},
-        {"an unreadable claim", ClaimExists{"{", 4}, true, IndexOf<InDoubt>()},
+         IndexOf<IdempotencyKeyReused>()},
+        {"an unreadable claim", ClaimExists{"{", 4}, true,
+         IndexOf<InProgressOrUnknown>()},
         {"no answer, time left", ClaimOutcomeUnknown{}, true,
-         IndexOf<TryAgain>()},
+         IndexOf<RetryClaimWrite>()},
         {"no answer, no time left", ClaimOutcomeUnknown{}, false,
-         IndexOf<NotDispatched>()},
+         IndexOf<AbandonCall>()},
         {"not written, no time left", ClaimNotWritten{}, false,
-         IndexOf<NotDispatched>()},
+         IndexOf<AbandonCall>()},
     };
     for (const StepCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
-          AfterClaimWrite(Own(), item.write, item.may_retry).index());
+          DecideClaimStep(Own(), item.write, item.may_retry).index());
     }
   }
 
   void KeepsAnswersToTheByte() {
-    const ClaimStep step = AfterClaimWrite(
+    const ClaimStep step = DecideClaimStep(
         Own(), Existing("nonce-2", "digest-1", ClaimState::kDone), true);
-    const StoredAnswer& answer = std::get<Replay>(step).answer;
+    const StoredResponse& answer = std::get<ReplayResponse>(step).answer;
     CPPUNIT_ASSERT_EQUAL(201, answer.status);
     CPPUNIT_ASSERT_EQUAL(std::string("\0\xff ok", 5), answer.body);
   }
--- a/tests/unit/unit-duty-lease.cc
+++ b/tests/unit/unit-duty-lease.cc
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-#include "dragonflyglade/decision/duty_lease.h"
+#include "dragonflyglade/decision/leader_lease.h"
 
 namespace dragonflyglade {
 namespace {
@@ -44,27 +44,28 @@
          absl::Seconds(60), absl::Seconds(3), false},
     };
     for (const MayActCase& item : cases) {
-      LocalTime now{absl::ZeroDuration(), absl::ZeroDuration()};
-      DutyLease lease({absl::Seconds(3), absl::Milliseconds(400)},
-                      [&now] { return now; });
-      lease.Acquired(7, now, kTtl);
-      lease.Renewed({item.renewed_at, item.renewed_at}, kTtl);
+      ClockReadings now{absl::ZeroDuration(), absl::ZeroDuration()};
+      LeaderLease lease({absl::Seconds(3), absl::Milliseconds(400)},
+                        [&now] { return now; });
+      lease.OnLeaseAcquired(7, now, kTtl);
+      lease.OnLeaseRenewed({item.renewed_at, item.renewed_at}, kTtl);
       now = {item.steady_now, item.boot_now};
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.may_act, lease.MayAct());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.may_act,
+                                   lease.MayIssueOrders());
       CPPUNIT_ASSERT(lease.Held());
     }
   }
 
   void StopsWhenTheLeaseIsLost() {
-    LocalTime now{absl::ZeroDuration(), absl::ZeroDuration()};
-    DutyLease lease({absl::ZeroDuration(), absl::ZeroDuration()},
-                    [&now] { return now; });
-    CPPUNIT_ASSERT(!lease.MayAct());
-    lease.Acquired(7, now, kTtl);
-    CPPUNIT_ASSERT(lease.MayAct());
+    ClockReadings now{absl::ZeroDuration(), absl::ZeroDuration()};
+    LeaderLease lease({absl::ZeroDuration(), absl::ZeroDuration()},
+                      [&now] { return now; });
+    CPPUNIT_ASSERT(!lease.MayIssueOrders());
+    lease.OnLeaseAcquired(7, now, kTtl);
+    CPPUNIT_ASSERT(lease.MayIssueOrders());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, lease.Fence());
     lease.Lost();
-    CPPUNIT_ASSERT(!lease.MayAct());
+    CPPUNIT_ASSERT(!lease.MayIssueOrders());
     CPPUNIT_ASSERT(!lease.Held());
   }
 };
--- a/tests/unit/unit-fair-queue.cc
+++ b/tests/unit/unit-fair-queue.cc
@@ -109,8 +109,8 @@
     queue.Push(Entry(2, "a", RequestClass::kUrgent, 1, "busy"));
     queue.Push(Entry(3, "a", RequestClass::kChat, 1, "free"));
     int asked = 0;
-    const auto placed =
-        queue.PopFirst(Instant(), [&asked](const QueueEntry& entry) {
+    const auto placed = queue.PopFirstDispatchable(
+        Instant(), [&asked](const QueueEntry& entry) {
           ++asked;
           return entry.group == "free";
         });
--- a/tests/unit/unit-fleet-news.cc
+++ b/tests/unit/unit-fleet-news.cc
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/holdings_book.h"
 #include "dragonflyglade/gateway/recent_changes.h"
+#include "dragonflyglade/gateway/versioned_holdings.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -91,7 +91,7 @@
   // instances at each order on a link of 10 Mbit/s. Each gets what changed
   // since what it has, and one that missed a message gets that again.
   void TellsOnlyHoldingsThatChanged() {
-    HoldingsBook book;
+    VersionedHoldings book;
     CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, book.Version());
     book.Set({Holds("t1", {"m/a1"}), Holds("t2", {})});
     const std::int64_t first = book.Version();
--- a/tests/unit/unit-freshness.cc
+++ b/tests/unit/unit-freshness.cc
@@ -3,7 +3,7 @@
 #include <optional>
 #include <vector>
 
-#include "dragonflyglade/decision/freshness.h"
+#include "dragonflyglade/decision/config_freshness.h"
 
 namespace dragonflyglade {
 namespace {
@@ -13,8 +13,8 @@
 struct RightCase {
   const char* name;
   std::optional<absl::Duration> age;
-  Reach reach;
-  AdmissionRight expected;
+  PeerReachability reach;
+  ConfigFreshnessState expected;
 };
 
 class FreshnessTest : public CppUnit::TestFixture {
@@ -32,18 +32,33 @@
     const absl::Duration fresh = absl::Seconds(5);
     const absl::Duration stale = absl::Seconds(6);
     const std::vector<RightCase> cases = {
-        {"never complete", std::nullopt, {5, 5}, AdmissionRight::kNeverReady},
-        {"fresh and alone", fresh, {0, 0}, AdmissionRight::kFresh},
-        {"fresh and cut from peers", fresh, {5, 0}, AdmissionRight::kFresh},
-        {"stale with all peers", stale, {5, 5}, AdmissionRight::kOutage},
-        {"stale and one is missing", stale, {5, 4}, AdmissionRight::kCutOff},
-        {"stale with no peer in reach", stale, {5, 0}, AdmissionRight::kCutOff},
-        {"stale and alone", stale, {0, 0}, AdmissionRight::kCutOff},
+        {"never complete",
+         std::nullopt,
+         {5, 5},
+         ConfigFreshnessState::kNeverComplete},
+        {"fresh and alone", fresh, {0, 0}, ConfigFreshnessState::kFresh},
+        {"fresh and cut from peers",
+         fresh,
+         {5, 0},
+         ConfigFreshnessState::kFresh},
+        {"stale with all peers",
+         stale,
+         {5, 5},
+         ConfigFreshnessState::kStoreOutage},
+        {"stale and one is missing",
+         stale,
+         {5, 4},
+         ConfigFreshnessState::kCutOff},
+        {"stale with no peer in reach",
+         stale,
+         {5, 0},
+         ConfigFreshnessState::kCutOff},
+        {"stale and alone", stale, {0, 0}, ConfigFreshnessState::kCutOff},
     };
     for (const RightCase& item : cases) {
       ManualClock manual;
       manual.Advance(absl::Hours(1));
-      Freshness freshness(kBound, Clock(&manual));
+      ConfigFreshness freshness(kBound, Clock(&manual));
       if (item.age.has_value()) {
         freshness.ConfirmedAt(manual.Now() - *item.age);
       }
@@ -55,7 +70,7 @@
   void AnOlderConfirmationChangesNothing() {
     ManualClock manual;
     manual.Advance(absl::Seconds(10));
-    Freshness freshness(kBound, Clock(&manual));
+    ConfigFreshness freshness(kBound, Clock(&manual));
     freshness.ConfirmedAt(absl::Seconds(9));
     freshness.ConfirmedAt(absl::Seconds(2));
     CPPUNIT_ASSERT(freshness.Age() == absl::Seconds(1));
--- a/tests/unit/unit-instance-choice.cc
+++ b/tests/unit/unit-instance-choice.cc
@@ -20,7 +20,7 @@
 
 struct Fleet {
   std::vector<std::string> names;
-  std::vector<InstanceOffer> offers;
+  std::vector<InstanceCandidate> offers;
 
   explicit Fleet(const std::vector<Group>& groups) {
     std::size_t whole = 0;
@@ -86,14 +86,14 @@
 
   void AgreesWhateverTheOrderOfOffers() {
     const Fleet fleet({{"a", 1, 12}, {"a", 20, 3}, {"b", 20, 3}});
-    const auto names = [&](const std::vector<InstanceOffer>& offers) {
+    const auto names = [&](const std::vector<InstanceCandidate>& offers) {
       std::set<std::string> result;
       for (const std::size_t index : ChooseInstances(offers)) {
         result.insert(std::string(offers[index].name));
       }
       return result;
     };
-    std::vector<InstanceOffer> reversed = fleet.offers;
+    std::vector<InstanceCandidate> reversed = fleet.offers;
     std::reverse(reversed.begin(), reversed.end());
     CPPUNIT_ASSERT(names(fleet.offers) == names(reversed));
   }
--- a/tests/unit/unit-load-ceiling.cc
+++ b/tests/unit/unit-load-ceiling.cc
@@ -4,13 +4,13 @@
 #include <deque>
 #include <memory>
 
-#include "dragonflyglade/decision/load_ceiling.h"
+#include "dragonflyglade/decision/model_load_limiter.h"
 
 namespace dragonflyglade {
 namespace {
 
 constexpr double kRate = 2;  // loads a second
-const LoadCeilingOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
+const ModelLoadLimiterOptions kOptions{absl::Seconds(5), 1, absl::Seconds(3)};
 constexpr int kAllowed = 13;  // of a window: the rate, and three beside it
 
 class LoadCeilingTest : public CppUnit::TestFixture {
@@ -23,14 +23,14 @@
   void BeginsNoMoreThanHalfAtOnce() {
     ManualClock manual;
     manual.Advance(absl::Seconds(100));
-    LoadCeiling ceiling(kOptions, Clock(&manual));
+    ModelLoadLimiter ceiling(kOptions, Clock(&manual));
     CPPUNIT_ASSERT_EQUAL(6, ceiling.Left(kRate));
-    for (int i = 0; i < 6; ++i) ceiling.Began();
+    for (int i = 0; i < 6; ++i) ceiling.RecordLoadStart();
     CPPUNIT_ASSERT_EQUAL(0, ceiling.Left(kRate));
     manual.Advance(absl::Milliseconds(2001));
     CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
     manual.Advance(absl::Seconds(5));
-    ceiling.TakenOver(kRate);
+    ceiling.OnLeadershipAcquired(kRate);
     CPPUNIT_ASSERT_EQUAL(5, ceiling.Left(kRate));
   }
 
@@ -43,19 +43,19 @@
       manual.Advance(absl::Seconds(100));
       std::deque<Instant> begun;
       for (int holder = 0; holder < 4; ++holder) {
-        LoadCeiling ceiling(kOptions, Clock(&manual));
-        ceiling.TakenOver(kRate);
+        ModelLoadLimiter ceiling(kOptions, Clock(&manual));
+        ceiling.OnLeadershipAcquired(kRate);
         const int steps = *rc::gen::inRange(1, 80);
         for (int step = 0; step < steps; ++step) {
           int left = ceiling.Left(kRate);
           if (*rc::gen::inRange(0, 2) == 0) left = 0;
           for (int i = 0; i < left; ++i) {
-            ceiling.Began();
+            ceiling.RecordLoadStart();
             begun.push_back(manual.Now());
           }
           manual.Advance(absl::Milliseconds(100));
         }
-        manual.Advance(kOptions.quiet_between_holders);
+        manual.Advance(kOptions.leader_handover_delay);
       }
       for (std::size_t first = 0; first < begun.size(); ++first) {
         int count = 0;
--- a/tests/unit/unit-membership.cc
+++ b/tests/unit/unit-membership.cc
@@ -10,9 +10,9 @@
 namespace dragonflyglade {
 namespace {
 
-MemberStatement Statement(const char* name, std::int64_t incarnation,
-                          std::int64_t sequence, MemberState state) {
-  MemberStatement statement;
+MemberStatus Statement(const char* name, std::int64_t incarnation,
+                       std::int64_t sequence, MemberState state) {
+  MemberStatus statement;
   statement.info.name = name;
   statement.incarnation = incarnation;
   statement.sequence = sequence;
@@ -22,8 +22,8 @@
 
 struct StatementCase {
   const char* name;
-  MemberStatement first;
-  MemberStatement second;
+  MemberStatus first;
+  MemberStatus second;
   MemberState expected;
 };
 
@@ -83,7 +83,7 @@
     Membership membership(Statement("a", 1, 0, MemberState::kAlive), {},
                           Clock(&manual), 1);
     membership.Receive(Statement("b", 1, 0, MemberState::kAlive), {});
-    membership.Missed("b");
+    membership.ReportProbeFailure("b");
     CPPUNIT_ASSERT(membership.Find("b")->state == MemberState::kSuspect);
     manual.Advance(absl::Seconds(2));
     membership.Tick();
--- a/tests/unit/unit-pacing.cc
+++ b/tests/unit/unit-pacing.cc
@@ -103,8 +103,8 @@
       : load(load),
         knowledge(knowledge),
         engines(load.engines),
-        told(load.engines, LeakyBucket(kReadPerMs)),
-        pace(load.engines, LeakyBucket(kPacedPerMs)),
+        told(load.engines, LeakyBucket(kPrefillTokensPerMs)),
+        pace(load.engines, LeakyBucket(kPacedPrefillTokensPerMs)),
         summary(load.engines, 0),
         since_summary(kInstances, std::vector<double>(load.engines, 0)) {}
 
@@ -157,22 +157,22 @@
   }
 
   int Choose(const Held& request, double now) const {
-    std::vector<ChoiceCandidate> candidates;
+    std::vector<TargetCandidate> candidates;
     for (int i = 0; i < this->load.engines; ++i) {
-      ChoiceCandidate candidate;
+      TargetCandidate candidate;
       candidate.slots = 64;
       candidate.unread_tokens = this->Unread(request.instance, i, now);
       candidates.push_back(candidate);
     }
-    const ChoiceRequest wanted{kPrompt, 0, ""};
+    const TargetChoiceRequest wanted{kPrompt, 0, ""};
     return static_cast<int>(ChooseTarget(wanted, candidates, 0)->index);
   }
 
   bool MustWait(const Held& request, int engine, double now) const {
     if (this->knowledge != Knowledge::kToldAndPaced) return false;
     const absl::Duration waited = absl::Milliseconds(now - request.asked_ms);
-    if (waited >= LongestPacing(kFirst)) return false;
-    return PacingHold(this->pace[engine].Level(At(now)), kPrompt, kPause) >
+    if (waited >= MaxPacingDelay(kFirst)) return false;
+    return PacingDelay(this->pace[engine].Level(At(now)), kPrompt, kPause) >
            absl::ZeroDuration();
   }
 
@@ -228,7 +228,7 @@
     };
     for (const HoldCase& item : cases) {
       const absl::Duration hold =
-          PacingHold(item.waiting, item.own, item.pause);
+          PacingDelay(item.waiting, item.own, item.pause);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.what, item.held,
                                    hold > absl::ZeroDuration());
     }
--- a/tests/unit/unit-peek-socket.cc
+++ b/tests/unit/unit-peek-socket.cc
@@ -36,7 +36,7 @@
   // A caller that says nothing was taken for one that left.
   void TellsAnEndFromNothing() {
     const std::vector<LookCase> cases = {
-        {"nothing", [](tcp::socket&, tcp::socket&) {}, SocketState::kQuiet},
+        {"nothing", [](tcp::socket&, tcp::socket&) {}, SocketState::kNoData},
         {"bytes",
          [](tcp::socket&, tcp::socket& other) {
            boost::asio::write(other, boost::asio::buffer("x", 1));
--- a/tests/unit/unit-placement.cc
+++ b/tests/unit/unit-placement.cc
@@ -65,11 +65,11 @@
     CPPUNIT_ASSERT(!BeginLoad(ledger, Spec("b", 50), 1).Ok());
     CPPUNIT_ASSERT(!BeginLoad(ledger, Spec("a", 10), 1).Ok());
     CPPUNIT_ASSERT(BeginLoad(ledger, Spec("c", 40), 1).Ok());
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{100}, BookedBytes(ledger));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{100}, ReservedBytes(ledger));
     const auto copy = DecodeLedger(EncodeLedger(ledger));
     CPPUNIT_ASSERT_EQUAL(EncodeLedger(ledger), EncodeLedger(copy.Value()));
     FinishLoad(ledger, Outcome("t-1", "a", false), false);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{40}, BookedBytes(ledger));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{40}, ReservedBytes(ledger));
   }
 
   // A load order gets no answer and is sent again; the second one is
@@ -85,7 +85,8 @@
       FinishLoad(ledger, Outcome("t-2", "a", true, "boot-1", 2), fenced);
       CPPUNIT_ASSERT(BeginUnload(ledger, "a", 3).Ok());
       FinishUnload(ledger, Outcome("t-3", "a", true, "boot-1", 3), fenced);
-      CPPUNIT_ASSERT_EQUAL(std::int64_t{fenced ? 0 : 60}, BookedBytes(ledger));
+      CPPUNIT_ASSERT_EQUAL(std::int64_t{fenced ? 0 : 60},
+                           ReservedBytes(ledger));
       // The late answer to the first order settles it.
       FinishLoad(ledger, Outcome("t-1", "a", true), fenced);
       FinishLoad(ledger, Outcome("t-1", "a", true), fenced);
@@ -96,9 +97,9 @@
   // a report shows it, so a load that would not fit beside it is refused.
   void WhatWasThereBeforeIsBooked() {
     TargetLedger ledger = Ledger();
-    BookFound(ledger, Spec("old", 70));
-    BookFound(ledger, Spec("old", 70));
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{70}, BookedBytes(ledger));
+    AddUnorderedCopy(ledger, Spec("old", 70));
+    AddUnorderedCopy(ledger, Spec("old", 70));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{70}, ReservedBytes(ledger));
     CPPUNIT_ASSERT(!BeginLoad(ledger, Spec("new", 40), 1).Ok());
     CPPUNIT_ASSERT(BeginUnload(ledger, "old", 1).Ok());
     FinishUnload(ledger, Outcome("t-1", "old", true), false);
@@ -112,9 +113,9 @@
     CPPUNIT_ASSERT(BeginLoad(ledger, Spec("open", 30), 1).Ok());
     TakeReport(ledger, "boot-2", {}, true);
     // The open order may have reached the new process.
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{30}, BookedBytes(ledger));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{30}, ReservedBytes(ledger));
     TakeReport(ledger, "boot-3", {}, true);
-    CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, BookedBytes(ledger));
+    CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, ReservedBytes(ledger));
   }
 
   void AStalePlannerIsRefused() {
--- a/tests/unit/unit-quota-grants.cc
+++ b/tests/unit/unit-quota-grants.cc
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_ledger.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_windows.h"
+#include "dragonflyglade/decision/unreported_grants.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -16,7 +16,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
 const double kAllowed = 900000 * 1.1 + 100000;
 
 // Schedules that are played of each kind; a failure names the seed.
@@ -30,7 +30,7 @@
     for (int i = 0; i < listed; ++i) {
       this->instances.push_back(std::make_unique<QuotaWindows>(
           kAllowance, true, Clock(&this->manual)));
-      this->instances.back()->SetInstances(listed);
+      this->instances.back()->SetParticipantCount(listed);
     }
   }
 
@@ -39,19 +39,19 @@
   // A request at an instance; nobody sums up while there is no holder.
   bool Request(int at, double tokens) {
     QuotaWindows& quotas = *this->instances[at];
-    if (quotas.TakePart("w", kLimit, tokens).admitted) {
+    if (quotas.AdmitWithoutGrant("w", kLimit, tokens).admitted) {
       return this->Count(tokens);
     }
     if (!this->has_holder) {
       return quotas.Take("w", kLimit, tokens).admitted && this->Count(tokens);
     }
-    FleetSpend spend = this->sums;
+    FleetSpending spend = this->sums;
     spend.total += this->ledger.Open("w");
     const QuotaVerdict verdict =
         this->instances.front()->Grant(kLimit, tokens, spend);
     if (!verdict.admitted) return false;
     this->ledger.Add(std::to_string(at), ++this->number, "w", tokens);
-    quotas.Granted("w", tokens);
+    quotas.RecordGrant("w", tokens);
     return this->Count(tokens);
   }
 
@@ -59,9 +59,9 @@
     this->SumUp();
     for (int i = 0; i < this->Size() && this->has_holder; ++i) {
       this->ledger.Reported(std::to_string(i), this->number);
-      FleetSpend spend = this->sums;
+      FleetSpending spend = this->sums;
       spend.own = this->instances[i]->Spent()["w"];
-      this->instances[i]->SetFleetSpend("w", spend);
+      this->instances[i]->SetFleetSpending("w", spend);
     }
     this->manual.Advance(kStep);
     this->spent.push_back(0);
@@ -84,7 +84,7 @@
 
  private:
   void SumUp() {
-    this->sums = FleetSpend();
+    this->sums = FleetSpending();
     this->sums.instances = this->Size();
     for (auto& quotas : this->instances) {
       this->sums.total += quotas->Spent()["w"];
@@ -98,8 +98,8 @@
 
   ManualClock manual;
   std::vector<std::unique_ptr<QuotaWindows>> instances;
-  QuotaLedger ledger;
-  FleetSpend sums;
+  UnreportedGrants ledger;
+  FleetSpending sums;
   bool has_holder = true;
   std::int64_t number = 0;
   std::vector<double> spent = {0};
@@ -171,11 +171,11 @@
   void GivesNothingToInstancesThatAreNotListed() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
-    quotas.SetInstances(8);
+    quotas.SetParticipantCount(8);
     quotas.SetListed(false);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 1).admitted);
-    quotas.SetFleetSpend("w", {0, 0, 8, 0});
-    CPPUNIT_ASSERT(!quotas.TakePart("w", kLimit, 1).admitted);
+    quotas.SetFleetSpending("w", {0, 0, 8, 0});
+    CPPUNIT_ASSERT(!quotas.AdmitWithoutGrant("w", kLimit, 1).admitted);
     CPPUNIT_ASSERT(quotas.Grant(kLimit, 20000, {0, 0, 8, 0}).admitted);
   }
 
@@ -185,7 +185,7 @@
   void GrowsThePartOfAnInstanceThatJoins() {
     ManualClock manual;
     QuotaWindows quotas(kAllowance, true, Clock(&manual));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     quotas.SetListed(false);
     manual.Advance(absl::Minutes(1));
     quotas.SetListed(true);
@@ -216,7 +216,7 @@
     for (const Case& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kAllowance, true, Clock(&manual));
-      quotas.SetInstances(7);
+      quotas.SetParticipantCount(7);
       quotas.SetListed(true);
       manual.Advance(item.listed);
       quotas.SetListed(false);
@@ -235,7 +235,7 @@
   // nobody can tell whether it was spent.
   void CountsAGrantUntilItIsReported() {
     ManualClock manual;
-    QuotaLedger ledger(kWindow, Clock(&manual));
+    UnreportedGrants ledger(kWindow, Clock(&manual));
     CPPUNIT_ASSERT(ledger.Add("p", 1, "w", 100));
     CPPUNIT_ASSERT(!ledger.Add("p", 1, "w", 100));
     CPPUNIT_ASSERT(ledger.Add("q", 1, "w", 10));
--- a/tests/unit/unit-quota-owners.cc
+++ b/tests/unit/unit-quota-owners.cc
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -18,7 +18,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 constexpr absl::Duration kStep = absl::Milliseconds(200);
 const QuotaLimit kLimit{100000, 100000};
-const QuotaAllowance kAllowance{kWindow, 0.1, 100000};
+const QuotaTolerance kAllowance{kWindow, 0.1, 100000};
 const double kAllowed = 900000 * 1.1 + 100000;
 constexpr int kStrong = 18;
 constexpr int kWeak = 80;
@@ -65,16 +65,16 @@
   bool Request(int at, double tokens) {
     Instance& instance = this->instances[at];
     QuotaWindows& quotas = *instance.quotas;
-    bool admitted = quotas.TakePart("w", kLimit, tokens).admitted;
+    bool admitted = quotas.AdmitWithoutGrant("w", kLimit, tokens).admitted;
     if (!admitted && !instance.heard) {
       admitted = quotas.Take("w", kLimit, tokens).admitted;
     } else if (!admitted) {
-      FleetSpend spend = this->sums;
+      FleetSpending spend = this->sums;
       spend.total += this->granted;
       admitted =
           this->instances.front().quotas->Grant(kLimit, tokens, spend).admitted;
       if (admitted) this->granted += tokens;
-      if (admitted) quotas.Granted("w", tokens);
+      if (admitted) quotas.RecordGrant("w", tokens);
     }
     if (admitted) this->spent.back() += tokens;
     return admitted;
@@ -86,9 +86,9 @@
     this->SumUp();
     for (Instance& instance : this->instances) {
       if (!instance.heard) continue;
-      FleetSpend spend = this->sums;
+      FleetSpending spend = this->sums;
       spend.own = instance.quotas->Spent()["w"];
-      instance.quotas->SetFleetSpend("w", spend);
+      instance.quotas->SetFleetSpending("w", spend);
     }
     this->manual.Advance(kStep);
     this->spent.push_back(0);
@@ -130,14 +130,15 @@
                                            this->listed.end());
     for (Instance& instance : this->instances) {
       if (!instance.in_store && !instance.heard) continue;
-      instance.quotas->SetInstances(static_cast<int>(this->listed.size()));
+      instance.quotas->SetParticipantCount(
+          static_cast<int>(this->listed.size()));
       instance.quotas->SetListed(names.count(instance.name) > 0);
     }
   }
 
   void SumUp() {
     this->granted = 0;
-    this->sums = FleetSpend();
+    this->sums = FleetSpending();
     this->sums.instances = 0;
     const std::set<std::string_view> names(this->listed.begin(),
                                            this->listed.end());
@@ -157,10 +158,10 @@
   }
 
   ManualClock manual;
-  QuotaOwners owners;
+  QuotaParticipants owners;
   std::vector<Instance> instances;
   std::vector<std::string_view> listed;
-  FleetSpend sums;
+  FleetSpending sums;
   double granted = 0;  ///< since the last sums
   int list_in = 0;     ///< steps until the list changes
   std::vector<double> spent = {0};
@@ -260,7 +261,7 @@
     };
     for (const Case& item : cases) {
       ManualClock manual;
-      QuotaOwners owners(kWindow, Clock(&manual));
+      QuotaParticipants owners(kWindow, Clock(&manual));
       owners.Follow(std::vector<std::string_view>{"a", "b"});
       manual.Advance(item.listed_after);
       owners.Follow(std::vector<std::string_view>{"a", "b", "c"});
--- a/tests/unit/unit-quota-window.cc
+++ b/tests/unit/unit-quota-window.cc
@@ -8,8 +8,8 @@
 #include <string_view>
 #include <vector>
 
-#include "dragonflyglade/decision/quota_owners.h"
-#include "dragonflyglade/decision/quota_window.h"
+#include "dragonflyglade/decision/quota_participants.h"
+#include "dragonflyglade/decision/quota_windows.h"
 #include "tests/unit/spending_by_steps.h"
 
 namespace dragonflyglade {
@@ -18,7 +18,7 @@
 constexpr absl::Duration kWindow = absl::Seconds(8);
 const QuotaLimit kLimit{1000, 1000};
 // No excess, so that the figures below are the limit's own.
-const QuotaAllowance kExact{kWindow, 0, 0, 1};
+const QuotaTolerance kExact{kWindow, 0, 0, 1};
 const double kWhole = 9000;  ///< of a window: eight seconds and the burst
 
 double TakeAll(QuotaWindows& quotas, double step) {
@@ -30,13 +30,13 @@
 struct ShareCase {
   const char* what;
   int listed;
-  std::optional<FleetSpend> fleet;
+  std::optional<FleetSpending> fleet;
   double expected;
 };
 
 // The most tokens that a flooding workspace spends within a window, of a fleet
 // that is killed and starts again.
-double PlayKillInAFlood(std::mt19937& random, const QuotaAllowance& allowance,
+double PlayKillInAFlood(std::mt19937& random, const QuotaTolerance& allowance,
                         const QuotaLimit& limit) {
   constexpr int kInstances = 8;
   constexpr double kRequest = 700;    // tokens
@@ -62,8 +62,8 @@
       for (int i = 0; i < kInstances; ++i) {
         after.push_back(
             std::make_unique<QuotaWindows>(allowance, false, Clock(&manual)));
-        after.back()->SetInstances(kInstances);
-        after.back()->SetBefore({{"w", 1.3 * record}}, true);
+        after.back()->SetParticipantCount(kInstances);
+        after.back()->SetPriorSpending({{"w", 1.3 * record}}, true);
       }
     }
     for (double asked = 0; asked < rate / 5; asked += kRequest) {
@@ -97,18 +97,19 @@
     const std::vector<ShareCase> cases = {
         {"alone", 1, std::nullopt, kWhole},
         {"an equal part, nothing heard", 3, std::nullopt, kWhole / 3},
-        {"a part of what the fleet has left", 3, FleetSpend{6000, 0, 3}, 1000},
-        {"nothing is left", 3, FleetSpend{9000, 0, 3}, 0},
+        {"a part of what the fleet has left", 3, FleetSpending{6000, 0, 3},
+         1000},
+        {"nothing is left", 3, FleetSpending{9000, 0, 3}, 0},
         {"two of four are heard: half of the limit is theirs", 4,
-         FleetSpend{0, 0, 2, 0, 0.5}, kWhole / 2 / 4},
+         FleetSpending{0, 0, 2, 0, 0.5}, kWhole / 2 / 4},
         {"one process before may have spent its part", 3,
-         FleetSpend{0, 0, 3, 1}, kWhole * 2 / 3 / 3},
+         FleetSpending{0, 0, 3, 1}, kWhole * 2 / 3 / 3},
     };
     for (const ShareCase& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kExact, true, Clock(&manual));
-      quotas.SetInstances(item.listed);
-      if (item.fleet.has_value()) quotas.SetFleetSpend("w", *item.fleet);
+      quotas.SetParticipantCount(item.listed);
+      if (item.fleet.has_value()) quotas.SetFleetSpending("w", *item.fleet);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
                                            TakeAll(quotas, 1), 2);
     }
@@ -154,7 +155,7 @@
     for (const KnownCase& item : cases) {
       ManualClock manual;
       QuotaWindows quotas(kExact, false, Clock(&manual));
-      quotas.SetBefore({{"w", item.spent}}, true);
+      quotas.SetPriorSpending({{"w", item.spent}}, true);
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.what, item.expected,
                                            TakeAll(quotas, 1), 2);
     }
@@ -166,7 +167,7 @@
   // on both sides of that moment stays within what the fleet may exceed.
   void KeepsTheAllowanceWhenAllAreKilledInAFlood() {
     constexpr int kSeeds = 200;
-    const QuotaAllowance allowance{kWindow, 0.1, 7500};
+    const QuotaTolerance allowance{kWindow, 0.1, 7500};
     const QuotaLimit limit{50000, 50000};
     const double allowed = 450000 * 1.1 + 7500;
     for (int seed = 1; seed <= kSeeds; ++seed) {
@@ -204,15 +205,15 @@
   void KeepsACountThatFellForAWhile() {
     ManualClock manual;
     QuotaWindows quotas(kExact, true, Clock(&manual));
-    quotas.SetInstances(3);
+    quotas.SetParticipantCount(3);
     manual.Advance(absl::Seconds(1));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole / 3, TakeAll(quotas, 1), 2);
     manual.Advance(2 * kWindow);
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole / 3, TakeAll(quotas, 1), 2);
     manual.Advance(absl::Seconds(20));
-    quotas.SetInstances(1);
+    quotas.SetParticipantCount(1);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kWhole, TakeAll(quotas, 1), 2);
   }
 
@@ -229,11 +230,11 @@
       for (int i = 0; i < kInstances; ++i) {
         all.push_back(
             std::make_unique<QuotaWindows>(kExact, true, Clock(&manual)));
-        all.back()->SetInstances(kInstances);
+        all.back()->SetParticipantCount(kInstances);
       }
       const std::vector<std::string_view> names = {"0", "1", "2", "3",
                                                    "4", "5", "6"};
-      QuotaOwners owners(kWindow, Clock(&manual));
+      QuotaParticipants owners(kWindow, Clock(&manual));
       owners.Follow(names);
       const int steps = *rc::gen::inRange(20, 60);
       std::vector<double> spent(steps, 0);
@@ -254,7 +255,7 @@
           const double missing =
               owners.MissingPart({names.begin() + from, names.begin() + to});
           for (int i = from; i < to; ++i) {
-            all[i]->SetFleetSpend(
+            all[i]->SetFleetSpending(
                 "w", {total, all[i]->Spent()["w"], to - from, 0, missing});
           }
         }
@@ -271,11 +272,11 @@
   // its quota.
   void AdmitsALargeRequestWhileTheFleetHasRoom() {
     ManualClock manual;
-    QuotaAllowance allowance = kExact;
+    QuotaTolerance allowance = kExact;
     allowance.at_once = 2;
     QuotaWindows quotas(allowance, true, Clock(&manual));
-    quotas.SetInstances(7);
-    quotas.SetFleetSpend("w", {kWhole - 7000, 0, 7, 0});
+    quotas.SetParticipantCount(7);
+    quotas.SetFleetSpending("w", {kWhole - 7000, 0, 7, 0});
     CPPUNIT_ASSERT(quotas.Take("w", kLimit, 1500).admitted);
     CPPUNIT_ASSERT(!quotas.Take("w", kLimit, 10).admitted);
   }
@@ -286,7 +287,7 @@
   void KeepsTheAllowanceUnderAFlood() {
     constexpr int kInstances = 7;
     const QuotaLimit limit{100000, 100000};
-    const QuotaAllowance allowance{kWindow, 0.1, 100000, 2};
+    const QuotaTolerance allowance{kWindow, 0.1, 100000, 2};
     const double allowed = 900000 * 1.1 + 100000;
     const bool kept = rc::check("the allowance holds", [&] {
       ManualClock manual;
@@ -294,7 +295,7 @@
       for (int i = 0; i < kInstances; ++i) {
         all.push_back(
             std::make_unique<QuotaWindows>(allowance, true, Clock(&manual)));
-        all.back()->SetInstances(kInstances);
+        all.back()->SetParticipantCount(kInstances);
       }
       const int steps = *rc::gen::inRange(50, 90);
       std::vector<double> spent(steps, 0);
@@ -313,8 +314,8 @@
         double total = 0;
         for (auto& quotas : all) total += quotas->Spent()["w"];
         for (auto& quotas : all) {
-          quotas->SetFleetSpend("w",
-                                {total, quotas->Spent()["w"], kInstances, 0});
+          quotas->SetFleetSpending(
+              "w", {total, quotas->Spent()["w"], kInstances, 0});
         }
         manual.Advance(absl::Milliseconds(200));
       }
--- a/tests/unit/unit-records.cc
+++ b/tests/unit/unit-records.cc
@@ -29,7 +29,7 @@
 struct OfferCase {
   const char* name;
   std::vector<RecordVersion> offered;
-  std::vector<RecordFate> fates;
+  std::vector<ApplyResult> fates;
   double burst;  ///< of the rate in force in the end; 0 for no rate
 };
 
@@ -85,42 +85,42 @@
     const std::vector<OfferCase> cases = {
         {"an older version arrives late",
          {Version(kRateV1, 5, kValidV1), Version(kRateV1, 4, kOther)},
-         {RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kStale},
          20},
         {"a revision arrives twice",
          {Version(kRateV1, 5, kValidV1), Version(kRateV1, 5, kOther)},
-         {RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kStale},
          20},
         {"an invalid version changes nothing",
          {Version(kRateV1, 5, kValidV1), Version(kRateV1, 6, "{}")},
-         {RecordFate::kInForce, RecordFate::kRejected},
+         {ApplyResult::kApplied, ApplyResult::kRejected},
          20},
         {"the last valid version arrives after an invalid one",
          {Version(kRateV1, 6, "{}"), Version(kRateV1, 5, kValidV1)},
-         {RecordFate::kRejected, RecordFate::kInForce},
+         {ApplyResult::kRejected, ApplyResult::kApplied},
          20},
         {"an older version arrives after a deletion",
          {Version(kRateV1, 5, kValidV1),
           {kRateV1, 7, "", true},
           Version(kRateV1, 6, kOther)},
-         {RecordFate::kInForce, RecordFate::kInForce, RecordFate::kOld},
+         {ApplyResult::kApplied, ApplyResult::kApplied, ApplyResult::kStale},
          0},
         {"the newer schema is in force",
          {Version(kRateV2, 5, kValidV2), Version(kRateV1, 6, kOther)},
-         {RecordFate::kInForce, RecordFate::kInForce},
+         {ApplyResult::kApplied, ApplyResult::kApplied},
          30},
         {"a deletion in the newer schema also hides the older one",
          {Version(kRateV1, 5, kValidV1), {kRateV2, 6, "", true}},
-         {RecordFate::kInForce, RecordFate::kInForce},
+         {ApplyResult::kApplied, ApplyResult::kApplied},
          0},
     };
     for (const OfferCase& item : cases) {
       RecordStore store(WhyInvalid);
       for (std::size_t i = 0; i < item.offered.size(); ++i) {
-        CPPUNIT_ASSERT_MESSAGE(item.name,
-                               store.Offer(item.offered[i]) == item.fates[i]);
+        CPPUNIT_ASSERT_MESSAGE(
+            item.name, store.ApplyVersion(item.offered[i]) == item.fates[i]);
       }
-      const auto catalog = BuildCatalog(9, store.Good());
+      const auto catalog = BuildCatalog(9, store.ValidRecords());
       const RateRecord* rate = FindRecord(catalog->rates, "w");
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.burst,
@@ -128,25 +128,25 @@
       // A store filled from this one ends in the same state.
       RecordStore replica(WhyInvalid);
       for (const RecordVersion& version : store.Since(0)) {
-        replica.Offer(version);
+        replica.ApplyVersion(version);
       }
-      const auto replica_catalog = BuildCatalog(9, replica.Good());
+      const auto replica_catalog = BuildCatalog(9, replica.ValidRecords());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, catalog->rates.size(),
                                    replica_catalog->rates.size());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, store.Rejected().size(),
-                                   replica.Rejected().size());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, store.RejectedRecords().size(),
+                                   replica.RejectedRecords().size());
     }
   }
 
   void IgnoresRetiredSchemas() {
     RecordStore store(WhyInvalid);
-    store.Offer(Version(kRateV1, 5, kValidV1));
-    store.Offer(
+    store.ApplyVersion(Version(kRateV1, 5, kValidV1));
+    store.ApplyVersion(
         Version("config/retirement/v1/rate", 6, R"({"retired_up_to": 1})"));
-    CPPUNIT_ASSERT(BuildCatalog(6, store.Good())->rates.empty());
-    store.Offer(Version(kRateV2, 7, kValidV2));
+    CPPUNIT_ASSERT(BuildCatalog(6, store.ValidRecords())->rates.empty());
+    store.ApplyVersion(Version(kRateV2, 7, kValidV2));
     CPPUNIT_ASSERT_EQUAL(std::size_t{1},
-                         BuildCatalog(7, store.Good())->rates.size());
+                         BuildCatalog(7, store.ValidRecords())->rates.size());
   }
 
   void RejectsInvalidDrafts() {
--- a/tests/unit/unit-refusal.cc
+++ b/tests/unit/unit-refusal.cc
@@ -25,7 +25,7 @@
     std::set<std::string_view> names;
     for (int i = 0; i < kRefusalCodes; ++i) {
       const auto code = static_cast<RefusalCode>(i);
-      const RefusalRule& rule = RuleOf(code);
+      const RefusalRule& rule = RefusalRuleFor(code);
       CPPUNIT_ASSERT(rule.code == code);
       CPPUNIT_ASSERT(names.insert(rule.name).second);
       CPPUNIT_ASSERT(rule.http_status >= 400 && rule.http_status < 600);
--- a/tests/unit/unit-report-hub.cc
+++ b/tests/unit/unit-report-hub.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/report_hub.h"
+#include "dragonflyglade/gateway/report_aggregator.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -119,11 +119,11 @@
     };
     for (const SpendCase& item : cases) {
       ManualClock manual;
-      QuotaOwners owners(kWindow, Clock(&manual));
+      QuotaParticipants owners(kWindow, Clock(&manual));
       owners.Follow(std::vector<std::string_view>{"a", "b"});
-      ReportHub hub(owners, kWindow, Clock(&manual));
+      ReportAggregator hub(owners, kWindow, Clock(&manual));
       for (const wire::InstanceReport& report : item.reports) hub.Take(report);
-      const FleetSpend spend = hub.SpendOf("w");
+      const FleetSpending spend = hub.SpendingOf("w");
       CPPUNIT_ASSERT_DOUBLES_EQUAL_MESSAGE(item.name, item.missing_part,
                                            spend.missing_part, 1e-9);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.total, spend.total);
@@ -139,36 +139,37 @@
   // before, in which each process's spending stands.
   void TakesOverWhatWasSpent() {
     ManualClock manual;
-    const QuotaOwners owners(kWindow, Clock(&manual));
-    ReportHub before(owners, kWindow, Clock(&manual));
+    const QuotaParticipants owners(kWindow, Clock(&manual));
+    ReportAggregator before(owners, kWindow, Clock(&manual));
     before.Take(Spent(Report("a"), 800));
     before.Take(Spent(Report("b"), 400));
     SpendRecord record;
-    record.processes = before.SpendsByProcess();
+    record.processes = before.SpendingByProcess();
     const std::string written = EncodeSpendRecord(record);
 
-    ReportHub hub(owners, kWindow, Clock(&manual));
+    ReportAggregator hub(owners, kWindow, Clock(&manual));
     hub.Take(Aged(Report("a", "2"), 0, kAlways));
     hub.Take(Spent(Report("b"), 500));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, hub.SpendOf("w").unknown_shares, 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1, hub.SpendingOf("w").unknown_shares, 1e-9);
     hub.TakeOver(DecodeSpendRecord(written).Value());
-    const FleetSpend spend = hub.SpendOf("w");
-    CPPUNIT_ASSERT_EQUAL(800 * (1 + kSpentAfterRecord) + 500, spend.total);
+    const FleetSpending spend = hub.SpendingOf("w");
+    CPPUNIT_ASSERT_EQUAL(800 * (1 + kUnrecordedSpendingShare) + 500,
+                         spend.total);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0, spend.unknown_shares, 1e-9);
     CPPUNIT_ASSERT_EQUAL(2, spend.instances);
     manual.Advance(kWindow + absl::Milliseconds(1));
-    CPPUNIT_ASSERT_EQUAL(0.0, hub.SpendOf("w").total);
+    CPPUNIT_ASSERT_EQUAL(0.0, hub.SpendingOf("w").total);
   }
 
   // Anybody can send a report; a name in it ended the recording for good.
   void KeepsWhatWasSpentBesideNamesThatAreNoText() {
     ManualClock manual;
-    const QuotaOwners owners(kWindow, Clock(&manual));
-    ReportHub hub(owners, kWindow, Clock(&manual));
+    const QuotaParticipants owners(kWindow, Clock(&manual));
+    ReportAggregator hub(owners, kWindow, Clock(&manual));
     hub.Take(Spent(Report("a"), 800));
     hub.Take(Spent(Report("b\xff"), 400));
     SpendRecord record;
-    record.processes = hub.SpendsByProcess();
+    record.processes = hub.SpendingByProcess();
     const Result<SpendRecord> read =
         DecodeSpendRecord(EncodeSpendRecord(record));
     CPPUNIT_ASSERT(read.Ok());
@@ -179,8 +180,8 @@
 
   void TellsEachWhatOthersHave() {
     ManualClock manual;
-    const QuotaOwners owners(kWindow, Clock(&manual));
-    ReportHub hub(owners, kWindow, Clock(&manual));
+    const QuotaParticipants owners(kWindow, Clock(&manual));
+    ReportAggregator hub(owners, kWindow, Clock(&manual));
     std::vector<wire::InstanceReport> reports;
     for (const int requests : {3, 4}) {
       wire::InstanceReport report = Report(std::to_string(requests));
@@ -205,8 +206,8 @@
   // copies away in its first second.
   void KnowsDemandFromItsFirstSecond() {
     ManualClock manual;
-    const QuotaOwners owners(kWindow, Clock(&manual));
-    ReportHub hub(owners, kWindow, Clock(&manual));
+    const QuotaParticipants owners(kWindow, Clock(&manual));
+    ReportAggregator hub(owners, kWindow, Clock(&manual));
     wire::InstanceReport report = Report("a");
     wire::ModelWish wish;
     wish.service_name = "s";
--- a/tests/unit/unit-residency.cc
+++ b/tests/unit/unit-residency.cc
@@ -14,8 +14,8 @@
 using Kind = ResidencyChange::Kind;
 using Models = std::map<std::string, std::set<std::string>, std::less<>>;
 
-EngineHoldings Engine(std::string id, Models models, double memory_mb = 200) {
-  EngineHoldings engine;
+EngineResidency Engine(std::string id, Models models, double memory_mb = 200) {
+  EngineResidency engine;
   engine.id = std::move(id);
   engine.memory_mb = memory_mb;
   engine.adapter_slots = 2;
@@ -23,7 +23,7 @@
   return engine;
 }
 
-WantedModel Model(std::string name, double load, int waiting = 0) {
+DemandedModel Model(std::string name, double load, int waiting = 0) {
   return {std::move(name), 100, 1, load, waiting};
 }
 
@@ -41,46 +41,46 @@
 
 struct PlanCase {
   const char* what;
-  std::vector<WantedModel> models;
-  std::vector<WantedAdapter> adapters;
-  std::vector<EngineHoldings> engines;
+  std::vector<DemandedModel> models;
+  std::vector<DemandedAdapter> adapters;
+  std::vector<EngineResidency> engines;
   int loads;
   const char* expected;
 };
 
-EngineHoldings Busy(EngineHoldings engine) {
+EngineResidency Busy(EngineResidency engine) {
   engine.busy = true;
   return engine;
 }
 
-EngineHoldings Closing(EngineHoldings engine) {
+EngineResidency Closing(EngineResidency engine) {
   engine.busy = true;
   engine.closing = true;
   return engine;
 }
 
-EngineHoldings Leaving(EngineHoldings engine) {
+EngineResidency Leaving(EngineResidency engine) {
   engine.usable = false;
   return engine;
 }
 
-EngineHoldings Using(EngineHoldings engine, std::set<std::string> adapters) {
+EngineResidency Using(EngineResidency engine, std::set<std::string> adapters) {
   engine.in_use = std::move(adapters);
   return engine;
 }
 
-EngineHoldings Loading(EngineHoldings engine, std::string model) {
+EngineResidency Loading(EngineResidency engine, std::string model) {
   engine.busy = true;
   engine.loading = std::move(model);
   return engine;
 }
 
-EngineHoldings Silent(EngineHoldings engine) {
+EngineResidency Silent(EngineResidency engine) {
   engine.answers = false;
   return engine;
 }
 
-EngineHoldings Keeping(EngineHoldings engine, std::set<std::string> on_disk) {
+EngineResidency Keeping(EngineResidency engine, std::set<std::string> on_disk) {
   engine.on_disk.insert(on_disk.begin(), on_disk.end());
   return engine;
 }
@@ -279,12 +279,13 @@
   void KeepsACopyThatWasJustLoaded() {
     ManualClock manual;
     ResidencyPlanner planner{ResidencyOptions(), Clock(&manual)};
-    const std::vector<WantedModel> models = {Model("a", 0.9), Model("b", 0.1)};
-    const EngineHoldings of_a = Engine("e1", {{"a", {}}}, 100);
-    const EngineHoldings of_b = Engine("e2", {{"b", {}}}, 100);
-    const EngineHoldings second = Engine("e3", {{"b", {}}}, 100);
-    std::vector<EngineHoldings> engines = {of_a, Busy(of_b),
-                                           Loading(second, "b")};
+    const std::vector<DemandedModel> models = {Model("a", 0.9),
+                                               Model("b", 0.1)};
+    const EngineResidency of_a = Engine("e1", {{"a", {}}}, 100);
+    const EngineResidency of_b = Engine("e2", {{"b", {}}}, 100);
+    const EngineResidency second = Engine("e3", {{"b", {}}}, 100);
+    std::vector<EngineResidency> engines = {of_a, Busy(of_b),
+                                            Loading(second, "b")};
     CPPUNIT_ASSERT_EQUAL(std::string(),
                          Text(planner.Plan(models, {}, engines, 9)));
     manual.Advance(absl::Seconds(6));
@@ -304,13 +305,13 @@
     const bool kept = rc::check("what is booked fits", [] {
       ManualClock manual;
       ResidencyPlanner planner{ResidencyOptions(), Clock(&manual)};
-      std::map<std::string, EngineHoldings> engines;
+      std::map<std::string, EngineResidency> engines;
       for (const char* id : {"e1", "e2", "e3"}) engines[id] = Engine(id, {});
       const std::vector<std::string> names = {"a", "b", "c", "d"};
       std::set<std::string> held_once;
       for (int round = 0; round < 30; ++round) {
-        std::vector<WantedModel> models;
-        std::vector<WantedAdapter> adapters;
+        std::vector<DemandedModel> models;
+        std::vector<DemandedAdapter> adapters;
         for (const std::string& name : names) {
           models.push_back(Model(name, *rc::gen::inRange(0, 100) / 100.0));
           models.back().memory_mb = 60 + 10 * (name[0] - 'a');
@@ -319,14 +320,14 @@
                                 *rc::gen::inRange(0, 2)});
           }
         }
-        std::vector<EngineHoldings> holdings;
+        std::vector<EngineResidency> holdings;
         for (auto& [id, engine] : engines) {
           engine.busy = *rc::gen::inRange(0, 3) == 0;
           holdings.push_back(engine);
         }
         const auto changes = planner.Plan(models, adapters, holdings, 2);
         for (const ResidencyChange& change : changes) {
-          EngineHoldings& engine = engines[change.target];
+          EngineResidency& engine = engines[change.target];
           const bool loads = change.kind == Kind::kLoad;
           if (change.adapter.empty() && loads) engine.models[change.model];
           if (change.adapter.empty() && !loads) {
--- a/tests/unit/unit-route-table.cc
+++ b/tests/unit/unit-route-table.cc
@@ -41,17 +41,21 @@
   void KnowsTheShortestPauseOfAService() {
     Route chat;
     chat.services = {{"engines", 1}, {"others", 1}};
-    chat.pause_objective = absl::Milliseconds(250);
+    chat.event_gap_objective = absl::Milliseconds(250);
     Route draft;
     draft.services = {{"engines", 1}};
-    draft.pause_objective = absl::Milliseconds(150);
+    draft.event_gap_objective = absl::Milliseconds(150);
     Route plain;
     plain.services = {{"ledger", 1}};
     const RouteTable table({chat, draft, plain});
-    CPPUNIT_ASSERT(table.PauseObjective("engines") == absl::Milliseconds(150));
-    CPPUNIT_ASSERT(table.PauseObjective("others") == absl::Milliseconds(250));
-    CPPUNIT_ASSERT(table.PauseObjective("ledger") == absl::InfiniteDuration());
-    CPPUNIT_ASSERT(table.PauseObjective("nobody") == absl::InfiniteDuration());
+    CPPUNIT_ASSERT(table.EventGapObjective("engines") ==
+                   absl::Milliseconds(150));
+    CPPUNIT_ASSERT(table.EventGapObjective("others") ==
+                   absl::Milliseconds(250));
+    CPPUNIT_ASSERT(table.EventGapObjective("ledger") ==
+                   absl::InfiniteDuration());
+    CPPUNIT_ASSERT(table.EventGapObjective("nobody") ==
+                   absl::InfiniteDuration());
   }
 
   void FindsTheLongestPrefix() {
--- a/tests/unit/unit-share-book.cc
+++ b/tests/unit/unit-share-book.cc
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "dragonflyglade/decision/share_book.h"
+#include "dragonflyglade/decision/distributed_rate_limiter.h"
 
 namespace dragonflyglade {
 namespace {
@@ -13,27 +13,27 @@
 // An instance that holds no share; two others hold a half each.
 class Borrower {
  public:
-  Borrower() : book("self", 1, ShareOptions{}, Clock(&this->manual)) {
+  Borrower() : book("self", 1, RateLimiterOptions{}, Clock(&this->manual)) {
     this->manual.Advance(absl::Hours(1));
     Allotment allotment{"w", 1, {}};
     for (const char* name : {"a", "b"}) {
-      allotment.holders.push_back(
-          HolderShare{name, 1, kWholeShare / 2, kWholeShare / 2, 0});
+      allotment.holders.push_back(OwnerShare{name, 1, kFullShareMillionths / 2,
+                                             kFullShareMillionths / 2, 0});
     }
     this->book.SetRate("w", RateLimit{kRate, kBurst});
-    this->book.Adopt(allotment);
+    this->book.ApplyAllotment(allotment);
   }
 
   // Carries an admission on; peers answer from the instant `answers_from`.
   AdmissionStep Finish(Admission& admission, Instant answers_from) {
     while (true) {
       AdmissionStep step = this->book.Next(admission);
-      if (const auto* borrow = std::get_if<BorrowFrom>(&step)) {
+      if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
         std::optional<Loan> loan;
         if (this->manual.Now() >= answers_from) {
           loan = Loan{borrow->tokens, {}, absl::Milliseconds(100), 1, 0, 500};
         }
-        this->book.FinishLoan(admission, borrow->peer, loan);
+        this->book.CompleteLoan(admission, borrow->peer, loan);
       } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
         ++this->waits;
         this->manual.Advance(wait->delay);
@@ -44,7 +44,7 @@
   }
 
   ManualClock manual;
-  ShareBook book;
+  DistributedRateLimiter book;
   int waits = 0;
 };
 
@@ -77,7 +77,7 @@
     Admission admission = borrower.book.Begin("w", 10, absl::Milliseconds(250));
     const AdmissionStep step =
         borrower.Finish(admission, absl::InfiniteDuration());
-    CPPUNIT_ASSERT(std::holds_alternative<NoShare>(step));
+    CPPUNIT_ASSERT(std::holds_alternative<NoShareOwnerReachable>(step));
     CPPUNIT_ASSERT(borrower.manual.Now() - admission.started <=
                    absl::Milliseconds(250));
   }
@@ -86,14 +86,16 @@
   // a while yet, so it confirms the smaller share only after that.
   void AShrinkingHolderConfirmsLater() {
     ManualClock manual;
-    ShareBook book("a", 1, ShareOptions{}, Clock(&manual));
+    DistributedRateLimiter book("a", 1, RateLimiterOptions{}, Clock(&manual));
     book.SetRate("w", RateLimit{kRate, kBurst});
-    book.Adopt(Allotment{"w", 1, {{"a", 1, kWholeShare, kWholeShare, 0}}});
+    book.ApplyAllotment(Allotment{
+        "w", 1, {{"a", 1, kFullShareMillionths, kFullShareMillionths, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, book.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{10},
-                         book.Lend("w", 10, absl::Seconds(1)).granted);
-    book.Adopt(Allotment{"w", 2, {{"a", 1, kWholeShare / 2, kWholeShare, 0}}});
+                         book.LendTokens("w", 10, absl::Seconds(1)).granted);
+    book.ApplyAllotment(Allotment{
+        "w", 2, {{"a", 1, kFullShareMillionths / 2, kFullShareMillionths, 0}}});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, book.ConfirmedEpoch("w"));
     manual.Advance(absl::Seconds(1));
     CPPUNIT_ASSERT_EQUAL(std::int64_t{2}, book.ConfirmedEpoch("w"));
--- a/tests/unit/unit-step-timer.cc
+++ b/tests/unit/unit-step-timer.cc
@@ -25,7 +25,7 @@
   /// Happens once the time is over, before the timer's handler runs.
   std::function<void(StepTimer&)> meanwhile;
   /// Whether bytes wait at a look, counted from 1.
-  std::function<bool(io_context&, StepTimer&, int look)> bytes_wait;
+  std::function<bool(io_context&, StepTimer&, int look)> has_unread_bytes;
   int expired;  ///< how often the step times out
 };
 
@@ -76,7 +76,7 @@
       boost::asio::steady_timer earlier(context, std::chrono::milliseconds(1));
       std::unique_ptr<StepTimer> timer;
       timer = std::make_unique<StepTimer>(context, Clock(SteadyClock()), [&] {
-        return item.bytes_wait(context, *timer, ++looks);
+        return item.has_unread_bytes(context, *timer, ++looks);
       });
       timer->Start(kStep, [&](absl::Duration late) {
         CPPUNIT_ASSERT_MESSAGE(item.what, late >= absl::ZeroDuration());
--- a/tests/unit/unit-store-news.cc
+++ b/tests/unit/unit-store-news.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/gateway/store_news.h"
+#include "dragonflyglade/gateway/store_sync_state.h"
 
 namespace dragonflyglade::gateway {
 namespace {
@@ -111,7 +111,7 @@
     for (const Case& item : cases) {
       ManualClock clock;
       boost::asio::io_context context;
-      StoreNews news(context, Clock(&clock));
+      StoreSyncState news(context, Clock(&clock));
       for (const Step& step : item.steps) {
         clock.Advance(step.after);
         if (step.read > 0) news.Read(step.read, step.read);
@@ -119,8 +119,9 @@
           news.Told({step.urgent, step.through, clock.Now() - step.age});
         }
       }
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.led, news.IsLed());
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.must_read, news.MustRead());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.led, news.HasLiveRelay());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.must_read,
+                                   news.MustReadStore());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.known_through,
                                    news.KnownThrough());
     }
@@ -132,17 +133,17 @@
   void TellsForHowLongTheStoreAnswered() {
     ManualClock clock;
     boost::asio::io_context context;
-    StoreNews news(context, Clock(&clock));
-    CPPUNIT_ASSERT(news.SteadyFor() == absl::ZeroDuration());
+    StoreSyncState news(context, Clock(&clock));
+    CPPUNIT_ASSERT(news.StoreUptime() == absl::ZeroDuration());
     for (int i = 0; i < 10; ++i) {
       clock.Advance(absl::Milliseconds(500));
       news.Told({1, 1, clock.Now()});
     }
-    CPPUNIT_ASSERT(news.SteadyFor() == absl::Milliseconds(4500));
+    CPPUNIT_ASSERT(news.StoreUptime() == absl::Milliseconds(4500));
     clock.Advance(absl::Seconds(2));
-    CPPUNIT_ASSERT(news.SteadyFor() == absl::ZeroDuration());
+    CPPUNIT_ASSERT(news.StoreUptime() == absl::ZeroDuration());
     news.Told({1, 1, clock.Now()});
-    CPPUNIT_ASSERT(news.SteadyFor() == absl::ZeroDuration());
+    CPPUNIT_ASSERT(news.StoreUptime() == absl::ZeroDuration());
   }
 };
 
--- a/tests/unit/unit-store-relay.cc
+++ b/tests/unit/unit-store-relay.cc
@@ -72,7 +72,7 @@
           });
     }
     FleetState state;
-    StoreNews news;
+    StoreSyncState news;
     StoreRelay relay;
   };
 
@@ -110,7 +110,8 @@
     std::uint64_t known = 0;
     do {
       known = asker.news.KnownThrough();
-      asker.relay.TakeDigest(this->instances[from]->relay.DigestFor(known));
+      asker.relay.ReceiveDigest(
+          this->instances[from]->relay.DigestSince(known));
       digests += 1;
     } while (asker.news.KnownThrough() > known && asker.news.IsBehind());
     return digests;
@@ -200,7 +201,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.caught_up,
                                    caught.news.KnownThrough() == last);
       CPPUNIT_ASSERT_MESSAGE(item.name, digests <= item.digests);
-      CPPUNIT_ASSERT_MESSAGE(item.name, caught.news.IsLed());
+      CPPUNIT_ASSERT_MESSAGE(item.name, caught.news.HasLiveRelay());
       if (!item.items.empty() && item.items.back().key == kConfigKey) {
         CPPUNIT_ASSERT_EQUAL_MESSAGE(
             item.name, std::uint64_t{item.items.back().value.size()},
@@ -218,17 +219,17 @@
     wire::StoreQuestion question;
     question.address = "asker";
     question.known = 1;
-    relay.TakeQuestion(question);
+    relay.ReceiveQuestion(question);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.sent.size());
     CPPUNIT_ASSERT_EQUAL(std::string("asker"), fleet.sent[0].address);
     CPPUNIT_ASSERT(fleet.sent[0].message.store.changes.empty());
     fleet.Reads(0, {Item("k", 2, "v")}, 2);
-    relay.TellAskers();
+    relay.NotifySubscribers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.sent.size());
     CPPUNIT_ASSERT_EQUAL(std::int64_t{2},
                          fleet.sent[1].message.store.changes_through);
     fleet.time.Advance(absl::Seconds(2));
-    relay.TellAskers();
+    relay.NotifySubscribers();
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, fleet.sent.size());
   }
 
@@ -248,7 +249,7 @@
       Fleet fleet(1);
       Fleet::Instance& instance = *fleet.instances[0];
       std::vector<StoreItem> items = {
-          Item(std::string(FleetState::kDutyKey), 1,
+          Item(std::string(FleetState::kLeaderKey), 1,
                EncodeInstanceRecord(Fleet::Record("i1")))};
       for (std::uint64_t i = 0; i < 80; ++i) {
         // The first one is too weak to follow the store for others.
@@ -259,7 +260,8 @@
       }
       fleet.Reads(0, items, 100);
       fleet.time.Advance(absl::Seconds(10));
-      boost::asio::co_spawn(fleet.context, instance.relay.AskWhileSilent(),
+      boost::asio::co_spawn(fleet.context,
+                            instance.relay.QueryRelaysWhileStale(),
                             boost::asio::detached);
       instance.news.Told({1, 100, fleet.clock.Now() - item.age});
       const int looks = item.asks ? kManyLooks : 1;
@@ -269,7 +271,7 @@
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.name, item.asks, !fleet.sent.empty());
       if (!item.asks) continue;
       CPPUNIT_ASSERT(fleet.sent[0].message.__isset.store_question);
-      CPPUNIT_ASSERT(instance.state.FollowsStore(fleet.sent[0].address));
+      CPPUNIT_ASSERT(instance.state.IsRelayInstance(fleet.sent[0].address));
     }
   }
 
@@ -281,14 +283,15 @@
     fleet.Reads(1, {}, 1);
     fleet.Reads(
         0,
-        {Item("k", 2, "v"), Item(std::string(FleetState::kDutyKey), 3,
+        {Item("k", 2, "v"), Item(std::string(FleetState::kLeaderKey), 3,
                                  EncodeInstanceRecord(Fleet::Record("i0")))},
         3);
     const Fleet::Instance& told = *fleet.instances[1];
     const StoreRelay& holder = fleet.instances[0]->relay;
-    fleet.instances[1]->relay.TakeDigest(holder.DigestOf(holder.PackDuty()));
-    CPPUNIT_ASSERT(told.state.Duty().has_value());
-    CPPUNIT_ASSERT_EQUAL(std::string("i0"), told.state.Duty()->instance.name);
+    fleet.instances[1]->relay.ReceiveDigest(
+        holder.DigestOf(holder.PackLeaderRecord()));
+    CPPUNIT_ASSERT(told.state.Leader().has_value());
+    CPPUNIT_ASSERT_EQUAL(std::string("i0"), told.state.Leader()->instance.name);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, told.news.KnownThrough());
     CPPUNIT_ASSERT(told.news.IsBehind());
   }
@@ -306,10 +309,10 @@
       digest.urgent_revision = 9;
       digest.changes_through = 9;
       digest.changes = bytes;
-      fleet.instances[0]->relay.TakeDigest(digest);
+      fleet.instances[0]->relay.ReceiveDigest(digest);
       CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
                            fleet.instances[0]->news.KnownThrough());
-      CPPUNIT_ASSERT(!fleet.instances[0]->news.IsLed());
+      CPPUNIT_ASSERT(!fleet.instances[0]->news.HasLiveRelay());
     }
   }
 
--- a/tests/unit/unit-target-book.cc
+++ b/tests/unit/unit-target-book.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "dragonflyglade/decision/target_book.h"
+#include "dragonflyglade/decision/target_registry.h"
 
 namespace dragonflyglade {
 namespace {
@@ -41,8 +41,8 @@
     this->book.TakeReport(kPool, name, report);
   }
 
-  std::variant<TargetPlace, NoPlace> Take(double tokens = 10) {
-    TargetNeed need;
+  std::variant<TargetReservation, ReservationError> Take(double tokens = 10) {
+    TargetRequirements need;
     need.pool = kPool;
     need.model = this->model;
     need.zone = "near";
@@ -53,12 +53,12 @@
 
   std::string TakeName(double tokens = 10) {
     const auto place = this->Take(tokens);
-    const auto* found = std::get_if<TargetPlace>(&place);
+    const auto* found = std::get_if<TargetReservation>(&place);
     return found == nullptr ? "none" : found->target;
   }
 
   ManualClock manual;
-  TargetBook book;
+  TargetRegistry book;
   std::string model = "m";
   std::set<std::string> avoid;
 };
@@ -95,27 +95,31 @@
   // in the instances, where the queue is fair.
   void SharersKeepTheBacklogHere() {
     Book book;
-    book.book.SetSharers(4);
+    book.book.SetInstanceCount(4);
     book.avoid = {"b"};
     book.Report("a", 8);
     CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
     CPPUNIT_ASSERT_EQUAL(std::string("a"), book.TakeName());
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kBusy);
+    CPPUNIT_ASSERT(std::get<ReservationError>(book.Take()) ==
+                   ReservationError::kBusy);
   }
 
   void SaysWhyThereIsNoPlace() {
     Book book;
     for (int i = 0; i < 8; ++i) book.TakeName();
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kBusy);
+    CPPUNIT_ASSERT(std::get<ReservationError>(book.Take()) ==
+                   ReservationError::kBusy);
     book.model = "other";
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kNotResident);
+    CPPUNIT_ASSERT(std::get<ReservationError>(book.Take()) ==
+                   ReservationError::kNotResident);
     book.model = "m";
     book.avoid = {"a", "b"};
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.Take()) == NoPlace::kUnreachable);
-    TargetNeed elsewhere;
+    CPPUNIT_ASSERT(std::get<ReservationError>(book.Take()) ==
+                   ReservationError::kUnreachable);
+    TargetRequirements elsewhere;
     elsewhere.pool = "q";
-    CPPUNIT_ASSERT(std::get<NoPlace>(book.book.Take(elsewhere)) ==
-                   NoPlace::kUnknownPool);
+    CPPUNIT_ASSERT(std::get<ReservationError>(book.book.Take(elsewhere)) ==
+                   ReservationError::kUnknownPool);
   }
 
   // Three failures in a row set a target aside. When it may come back it gets
@@ -125,8 +129,8 @@
     Book book;
     book.avoid = {"b"};
     for (int i = 0; i < 3; ++i) {
-      const auto place = std::get<TargetPlace>(book.Take());
-      book.book.Finish(place, PlaceOutcome::kTargetFault);
+      const auto place = std::get<TargetReservation>(book.Take());
+      book.book.Finish(place, RequestOutcome::kTargetFault);
     }
     CPPUNIT_ASSERT_EQUAL(std::string("none"), book.TakeName());
     book.manual.Advance(absl::Seconds(5));
@@ -143,12 +147,12 @@
       CPPUNIT_ASSERT_EQUAL(std::string("b"), book.TakeName());
     }
     CPPUNIT_ASSERT_EQUAL(std::string("none"), book.TakeName());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.book.LeavingMarks().size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, book.book.LeavingTargets().size());
     // A mark that is passed on keeps its age, so marks die out.
     book.manual.Advance(absl::Minutes(2));
-    CPPUNIT_ASSERT(book.book.LeavingMarks().empty());
+    CPPUNIT_ASSERT(book.book.LeavingTargets().empty());
     book.book.MarkLeaving("b", absl::Minutes(2));
-    CPPUNIT_ASSERT(book.book.LeavingMarks().empty());
+    CPPUNIT_ASSERT(book.book.LeavingTargets().empty());
   }
 
   void AnOlderListChangesNothing() {
--- a/tests/unit/unit-target-choice.cc
+++ b/tests/unit/unit-target-choice.cc
@@ -9,9 +9,9 @@
 namespace dragonflyglade {
 namespace {
 
-ChoiceCandidate Target(std::string_view id, double requests,
+TargetCandidate Target(std::string_view id, double requests,
                        double unread = 0) {
-  ChoiceCandidate candidate;
+  TargetCandidate candidate;
   candidate.id = id;
   candidate.slots = 64;
   candidate.requests = requests;
@@ -19,25 +19,25 @@
   return candidate;
 }
 
-ChoiceCandidate Faulty(ChoiceCandidate candidate, double share) {
-  candidate.fault_share = share;
+TargetCandidate Faulty(TargetCandidate candidate, double share) {
+  candidate.failure_rate = share;
   return candidate;
 }
 
-ChoiceCandidate Far(ChoiceCandidate candidate) {
+TargetCandidate Far(TargetCandidate candidate) {
   candidate.same_zone = false;
   return candidate;
 }
 
 struct ChoiceCase {
   const char* what;
-  ChoiceRequest request;
-  std::vector<ChoiceCandidate> candidates;
+  TargetChoiceRequest request;
+  std::vector<TargetCandidate> candidates;
   const char* expected;
 };
 
-const ChoiceRequest kPlain;
-const ChoiceRequest kPrompt{3000, 0, ""};
+const TargetChoiceRequest kPlain;
+const TargetChoiceRequest kPrompt{3000, 0, ""};
 
 class TargetChoiceTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(TargetChoiceTest);
@@ -88,17 +88,17 @@
   // Instances do not ask each other which engine has kept a prompt's part:
   // they all prefer the same one, as long as it is not far busier.
   void KeepsSharedPromptsTogether() {
-    const std::vector<ChoiceCandidate> idle = {Target("a", 0), Target("b", 0),
+    const std::vector<TargetCandidate> idle = {Target("a", 0), Target("b", 0),
                                                Target("c", 0), Target("d", 0)};
     std::map<std::size_t, int> chosen;
     for (int part = 0; part < 200; ++part) {
       const std::string id = "part" + std::to_string(part);
-      const ChoiceRequest request{9000, 6000, id};
+      const TargetChoiceRequest request{9000, 6000, id};
       const auto first = ChooseTarget(request, idle, 0.1);
       const auto second = ChooseTarget(request, idle, 0.9);
       CPPUNIT_ASSERT(first->index == second->index);
       chosen[first->index] += 1;
-      std::vector<ChoiceCandidate> loaded = idle;
+      std::vector<TargetCandidate> loaded = idle;
       loaded[first->index].unread_tokens = 20000;
       const auto third = ChooseTarget(request, loaded, 0.1);
       CPPUNIT_ASSERT(third->index != first->index);
@@ -124,7 +124,7 @@
     };
     for (const UrgencyCase& item : cases) {
       CPPUNIT_ASSERT_EQUAL(item.expected,
-                           UrgencyOf(item.route, item.workspace));
+                           EngineRequestPriority(item.route, item.workspace));
     }
   }
 };
--- a/tests/unit/unit-threads.cc
+++ b/tests/unit/unit-threads.cc
@@ -11,8 +11,8 @@
 
 #include "absl/synchronization/notification.h"
 #include "dragonflyglade/net/http_server.h"
+#include "dragonflyglade/net/periodic_worker.h"
 #include "dragonflyglade/net/task_group.h"
-#include "dragonflyglade/net/worker.h"
 #include "dragonflyglade/target/engine_client.h"
 
 namespace dragonflyglade {
@@ -41,7 +41,7 @@
   void RunsAJobAgainAfterAnException() {
     std::atomic<int> runs{0};
     absl::Notification second_run;
-    Worker worker([&] {
+    PeriodicWorker worker([&] {
       if (++runs == 1) throw std::runtime_error("once");
       if (runs == 2) second_run.Notify();
       return absl::Milliseconds(1);
@@ -103,7 +103,7 @@
     };
     for (const OrderCase& item : cases) {
       HttpServer server({"127.0.0.1", 0}, 2);
-      server.Library().Post(
+      server.HttplibServer().Post(
           ".*", [&](const httplib::Request&, httplib::Response& response) {
             response.set_content(item.body, "application/json");
           });
@@ -111,7 +111,7 @@
       CPPUNIT_ASSERT(port.Ok());
       const EngineClient engine({"127.0.0.1", port.Value()}, "t",
                                 TargetCallOptions());
-      const Result<OrderReply> reply = engine.Order(EngineOrder());
+      const Result<OrderResult> reply = engine.Order(EngineOrder());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, item.is_valid, reply.Ok());
       if (!item.is_valid) {
         CPPUNIT_ASSERT_MESSAGE(item.description,
