--- a/dragonflyglade/caller/call_context.h
+++ b/dragonflyglade/caller/call_context.h
@@ -13,8 +13,8 @@
 
 /// How long a request of a class may wait.
 struct ClassLimits {
-  absl::Duration token_wait;  ///< until enough quota tokens accrue
-  absl::Duration place_wait;  ///< for a reservation at a target
+  absl::Duration token_wait;        ///< until enough quota tokens accrue
+  absl::Duration reservation_wait;  ///< for a reservation at a target
 };
 
 /// The limits on the size of callers' requests and on their waiting times.
--- a/dragonflyglade/caller/completion_runner.cc
+++ b/dragonflyglade/caller/completion_runner.cc
@@ -121,7 +121,7 @@
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
   job->admission = std::get<Admission>(std::move(admitted));
   job->started = this->clock.Now();
-  job->reservation_deadline = job->started + class_limits.place_wait;
+  job->reservation_deadline = job->started + class_limits.reservation_wait;
   job->stream = std::make_shared<EventStream>(this->limits.stream_events);
   // A weak pointer, so that the registry does not keep an ended stream alive.
   std::weak_ptr<EventStream> weak_stream = job->stream;
--- a/dragonflyglade/caller/reservation.cc
+++ b/dragonflyglade/caller/reservation.cc
@@ -23,7 +23,7 @@
 std::variant<TargetReservation, Refusal> WaitForReservation(
     Dispatcher& dispatcher, const TargetRequirements& need,
     const ReservationRequest& request) {
-  const auto result = dispatcher.Acquire(
+  const auto result = dispatcher.Reserve(
       need, request.workspace, request.request_class, request.deadline);
   if (const auto* found = std::get_if<TargetReservation>(&result))
     return *found;
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -111,7 +111,7 @@
   auto admitted = this->gate.Admit(context.workspace, service->cost_tokens,
                                    class_limits.token_wait);
   if (auto* refusal = std::get_if<Refusal>(&admitted)) return *refusal;
-  job.reservation_deadline = this->clock.Now() + class_limits.place_wait;
+  job.reservation_deadline = this->clock.Now() + class_limits.reservation_wait;
   const Instant started = this->clock.Now();
   CallerResponse response = !job.repeatable && !request.idempotency_key.empty()
                                 ? this->RunWithClaim(job)
@@ -289,7 +289,7 @@
                                             Claim claim) {
   CallEnd end = this->Send(job);
   if (end.certainly_not_run) {
-    this->claims.Release(key, revision);
+    this->claims.RemoveClaim(key, revision);
     return end.response;
   }
   claim.state = end.state;
@@ -303,7 +303,7 @@
                                     response->body};
     }
   }
-  this->claims.Finish(key, revision, claim);
+  this->claims.RecordOutcome(key, revision, claim);
   return end.response;
 }
 
--- a/dragonflyglade/instance/instance.cc
+++ b/dragonflyglade/instance/instance.cc
@@ -202,7 +202,7 @@
 }
 
 absl::Duration Instance::Parts::ListRound() {
-  const Result<InstanceList> list = this->lists.Instances();
+  const Result<InstanceList> list = this->lists.FetchInstances();
   if (list.Ok()) {
     this->membership.TakeList(list.Value());
   } else {
@@ -233,10 +233,10 @@
 
 void Instance::Parts::AddGauges() {
   this->metrics.AddGauge("dragonflyglade_kv_calls", [this] {
-    return static_cast<double>(this->kv.Calls());
+    return static_cast<double>(this->kv.CallCount());
   });
   this->metrics.AddGauge("dragonflyglade_peer_calls", [this] {
-    return static_cast<double>(this->peers.Calls());
+    return static_cast<double>(this->peers.CallCount());
   });
   this->metrics.AddGauge("dragonflyglade_borrows", [this] {
     return static_cast<double>(this->gate.BorrowAttempts());
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -77,7 +77,7 @@
       this->pools.erase(name);
       continue;
     }
-    const std::optional<std::int64_t> fence = pool.role->Hold();
+    const std::optional<std::int64_t> fence = pool.role->AcquireOrRenew();
     if (!fence.has_value()) continue;
     if (pool.noted_fence != *fence) {
       pool.noted_fence = *fence;
@@ -192,7 +192,7 @@
     const bool is_self = member.info.name == self;
     if (is_self || member.state != MemberState::kAlive) continue;
     const Result<wire::DemandReport> report =
-        this->peers.Demand(PeerEndpoint(member));
+        this->peers.FetchDemand(PeerEndpoint(member));
     if (!report.Ok()) continue;
     for (const auto& [model, rate] : report.Value().rates) {
       this->fleet_demand[model] += rate;
@@ -244,7 +244,7 @@
       round.pool.planner->Plan(this->InputFor(round));
   this->CorrectRoles(round);
   for (const PlanStep& step : steps) {
-    if (!round.pool.role->Held()) return;
+    if (!round.pool.role->IsHeld()) return;
     std::visit([&](const auto& known) { this->CarryOut(round, known); }, step);
   }
 }
@@ -260,7 +260,7 @@
     if (role.empty() || role == round.record.role) continue;
     const bool has_settled =
         this->ReportIsAfter(round, status->second, this->options.settle);
-    if (has_settled && round.pool.role->Held()) {
+    if (has_settled && round.pool.role->IsHeld()) {
       this->CorrectRole(round, stored, status->second);
     }
   }
@@ -305,7 +305,7 @@
   order.fenced = round.record.fenced;
   order.order.kind = kind;
   order.order.id = std::string(id);
-  order.order.fence = round.fence;
+  order.order.fence_token = round.fence;
   order.order.name = std::string(name);
   return order;
 }
@@ -377,7 +377,7 @@
   this->orders.Run([this, &open, order = std::move(order)] {
     const EngineClient engine(Endpoint{order.target.address, order.target.port},
                               order.target.name, this->call_options);
-    const Result<OrderResult> reply = engine.Order(order.order);
+    const Result<OrderResult> reply = engine.SendOrder(order.order);
     if (order.is_load) --open;
     if (reply.Ok()) {
       this->Settle(order, reply.Value());
@@ -398,7 +398,8 @@
   }
   const std::string key = LedgerKey(order.pool, order.target.name);
   const OrderOutcome outcome{order.order.id, order.order.name,
-                             order.order.fence, reply.done, reply.boot_id};
+                             order.order.fence_token, reply.done,
+                             reply.boot_id};
   absl::Duration pause = kSettlePause;
   for (int attempt = 0; attempt < kSettleAttempts; ++attempt) {
     if (this->worker.Stopping()) return;
--- a/dragonflyglade/instance/settings.cc
+++ b/dragonflyglade/instance/settings.cc
@@ -66,7 +66,7 @@
   if (!limits.contains(name)) return;
   const absl::Duration unit = absl::Milliseconds(1);
   Read(limits.at(name), "token_wait_ms", unit, waits.token_wait);
-  Read(limits.at(name), "place_wait_ms", unit, waits.place_wait);
+  Read(limits.at(name), "place_wait_ms", unit, waits.reservation_wait);
 }
 
 void ReadLimits(const json& limits, Settings& settings) {
--- a/dragonflyglade/operator/caller_key.cc
+++ b/dragonflyglade/operator/caller_key.cc
@@ -69,7 +69,7 @@
   return ToHex(digest.data(), digest.size());
 }
 
-std::string DigestOf(std::string_view salt, std::string_view secret) {
+std::string SaltedDigest(std::string_view salt, std::string_view secret) {
   return Sha256Hex(std::string(salt) + std::string(secret));
 }
 
@@ -88,7 +88,7 @@
       record == nullptr ? kPlaceholderDigest : record->salt;
   const std::string expected =
       record == nullptr ? kPlaceholderDigest : record->digest;
-  const std::string digest = DigestOf(salt, key.Value().secret);
+  const std::string digest = SaltedDigest(salt, key.Value().secret);
   const bool digests_match =
       expected.size() == digest.size() &&
       CRYPTO_memcmp(digest.data(), expected.data(), digest.size()) == 0;
--- a/dragonflyglade/operator/caller_key.h
+++ b/dragonflyglade/operator/caller_key.h
@@ -28,7 +28,7 @@
 
 /// The SHA-256 digest of salt and secret, in hex. The secret has 256 random
 /// bits and cannot be guessed, so a fast digest is sufficient.
-std::string DigestOf(std::string_view salt, std::string_view secret);
+std::string SaltedDigest(std::string_view salt, std::string_view secret);
 
 /// The SHA-256 digest of a text, in hex.
 std::string Sha256Hex(std::string_view text);
--- a/dragonflyglade/operator/config_editor.cc
+++ b/dragonflyglade/operator/config_editor.cc
@@ -247,7 +247,7 @@
   draft.key = RecordKey{"key", 1, granted.key.id};
   draft.value = {{"workspace", std::string(workspace)},
                  {"salt", salt},
-                 {"digest", DigestOf(salt, granted.key.secret)}};
+                 {"digest", SaltedDigest(salt, granted.key.secret)}};
   draft.expected_revision = 0;
   const Result<std::int64_t> revision = this->Apply({draft}, "key grant");
   if (!revision.Ok()) return revision.Error();
--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -32,8 +32,8 @@
   for (const LoanReturn& loan : returns) {
     const std::optional<MemberStatus> lender = this->membership.Find(loan.peer);
     if (!lender.has_value()) continue;
-    this->peers.GiveBack(PeerEndpoint(*lender), workspace, loan.tokens,
-                         loan.stamp);
+    this->peers.ReturnLoan(PeerEndpoint(*lender), workspace, loan.tokens,
+                           loan.stamp);
   }
 }
 
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -30,7 +30,7 @@
       on_newer(std::move(on_newer)),
       clock(clock) {}
 
-wire::Heartbeat HeartbeatExchange::Make(std::string_view to) {
+wire::Heartbeat HeartbeatExchange::MakeHeartbeat(std::string_view to) {
   wire::Heartbeat heartbeat;
   heartbeat.sender = ToWire(this->membership.Self());
   for (const MemberStatus& update : this->membership.Updates(to)) {
@@ -57,8 +57,8 @@
   return heartbeat;
 }
 
-void HeartbeatExchange::Take(const wire::Heartbeat& heartbeat,
-                             std::optional<Instant> asked_at) {
+void HeartbeatExchange::ApplyHeartbeat(const wire::Heartbeat& heartbeat,
+                                       std::optional<Instant> asked_at) {
   const MemberStatus sender = FromWire(heartbeat.sender);
   std::vector<MemberStatus> updates;
   updates.reserve(heartbeat.updates.size());
--- a/dragonflyglade/peer/heartbeat.h
+++ b/dragonflyglade/peer/heartbeat.h
@@ -31,12 +31,13 @@
                     Clock clock);
 
   /// Makes the heartbeat to send to an instance.
-  wire::Heartbeat Make(std::string_view to);
+  wire::Heartbeat MakeHeartbeat(std::string_view to);
 
   /// Applies a received heartbeat.
   /// @param asked_at when this instance sent the heartbeat to which the
   ///   received one is the response; nothing if it is not a response
-  void Take(const wire::Heartbeat& heartbeat, std::optional<Instant> asked_at);
+  void ApplyHeartbeat(const wire::Heartbeat& heartbeat,
+                      std::optional<Instant> asked_at);
 
  private:
   Membership& membership;
--- a/dragonflyglade/peer/heartbeat_loop.cc
+++ b/dragonflyglade/peer/heartbeat_loop.cc
@@ -46,11 +46,11 @@
 bool HeartbeatLoop::ExchangeHeartbeats(const MemberStatus& member) {
   const Instant asked_at = this->clock.Now();
   const Result<wire::Heartbeat> reply = this->peers.Exchange(
-      PeerEndpoint(member), this->heartbeats.Make(member.info.name));
+      PeerEndpoint(member), this->heartbeats.MakeHeartbeat(member.info.name));
   if (!reply.Ok()) return false;
   // The address may belong to the process of another instance by now.
   if (reply.Value().sender.name != member.info.name) return false;
-  this->heartbeats.Take(reply.Value(), asked_at);
+  this->heartbeats.ApplyHeartbeat(reply.Value(), asked_at);
   return true;
 }
 
--- a/dragonflyglade/peer/peer_client.cc
+++ b/dragonflyglade/peer/peer_client.cc
@@ -167,8 +167,8 @@
   return reply;
 }
 
-void PeerClient::GiveBack(const Endpoint& peer, std::string_view workspace,
-                          std::int64_t tokens, std::int64_t stamp) {
+void PeerClient::ReturnLoan(const Endpoint& peer, std::string_view workspace,
+                            std::int64_t tokens, std::int64_t stamp) {
   this->Call(peer, "give back", this->options.borrow_timeout, false,
              [&](Connection& c) {
                c.client.giveBack(std::string(workspace), tokens, stamp);
@@ -185,7 +185,7 @@
   return confirmation;
 }
 
-Result<wire::DemandReport> PeerClient::Demand(const Endpoint& peer) {
+Result<wire::DemandReport> PeerClient::FetchDemand(const Endpoint& peer) {
   wire::DemandReport report;
   const Status status =
       this->Call(peer, "demand", this->options.call_timeout, true,
--- a/dragonflyglade/peer/peer_client.h
+++ b/dragonflyglade/peer/peer_client.h
@@ -51,15 +51,15 @@
                                  std::int64_t tokens, absl::Duration max_wait);
   /// Returns unused borrowed tokens, without a response. If the message is
   /// lost, the tokens are merely not used.
-  void GiveBack(const Endpoint& peer, std::string_view workspace,
-                std::int64_t tokens, std::int64_t stamp);
+  void ReturnLoan(const Endpoint& peer, std::string_view workspace,
+                  std::int64_t tokens, std::int64_t stamp);
   Result<wire::EpochConfirmation> ConfirmEpochs(
       const Endpoint& peer, const std::vector<std::string>& workspaces);
 
-  Result<wire::DemandReport> Demand(const Endpoint& peer);
+  Result<wire::DemandReport> FetchDemand(const Endpoint& peer);
 
   /// The number of calls made since the start.
-  std::int64_t Calls() const { return this->calls; }
+  std::int64_t CallCount() const { return this->calls; }
 
  private:
   struct Connection;
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -39,8 +39,8 @@
         prober(std::move(prober)) {}
 
   void exchange(wire::Heartbeat& reply, const wire::Heartbeat& own) override {
-    this->heartbeats.Take(own, std::nullopt);
-    reply = this->heartbeats.Make(own.sender.name);
+    this->heartbeats.ApplyHeartbeat(own, std::nullopt);
+    reply = this->heartbeats.MakeHeartbeat(own.sender.name);
   }
 
   bool probe(const std::string& name) override { return this->prober(name); }
--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -69,8 +69,8 @@
   return ClaimExists{found.value, found.mod_revision};
 }
 
-void ClaimStore::Finish(const std::string& key, std::int64_t revision,
-                        const Claim& claim) {
+void ClaimStore::RecordOutcome(const std::string& key, std::int64_t revision,
+                               const Claim& claim) {
   // A claim written without a lease would never be removed. If no lease can be
   // granted now, the previous one is used: it lives on for as long as claims
   // are kept.
@@ -81,7 +81,7 @@
   this->Enqueue(PendingWrite{KvCondition{key, revision}, std::move(write)});
 }
 
-void ClaimStore::Release(const std::string& key, std::int64_t revision) {
+void ClaimStore::RemoveClaim(const std::string& key, std::int64_t revision) {
   this->Enqueue(
       PendingWrite{KvCondition{key, revision}, KvWrite{key, "", 0, true}});
 }
@@ -118,14 +118,14 @@
   }
 }
 
-std::size_t ClaimStore::Pending() const {
+std::size_t ClaimStore::PendingWrites() const {
   absl::MutexLock lock(&this->mutex);
   return this->pending_writes.size();
 }
 
 void ClaimStore::Flush(absl::Duration limit) {
   const Instant until = this->clock.Now() + limit;
-  while (this->Pending() > 0 && this->clock.Now() < until) {
+  while (this->PendingWrites() > 0 && this->clock.Now() < until) {
     absl::SleepFor(absl::Milliseconds(20));
   }
 }
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -35,16 +35,16 @@
   /// Replaces a claim by one with the outcome of its call. If the write fails,
   /// it is retried in the background.
   /// @param revision the claim's revision when it was created
-  void Finish(const std::string& key, std::int64_t revision,
-              const Claim& claim);
+  void RecordOutcome(const std::string& key, std::int64_t revision,
+                     const Claim& claim);
 
   /// Removes a claim whose call was certainly never sent. If the write fails,
   /// it is retried in the background.
   /// @param revision the claim's revision when it was created
-  void Release(const std::string& key, std::int64_t revision);
+  void RemoveClaim(const std::string& key, std::int64_t revision);
 
   /// The number of writes that wait to be retried.
-  std::size_t Pending() const;
+  std::size_t PendingWrites() const;
 
   /// Waits until no write is pending, for at most the given time.
   void Flush(absl::Duration limit);
--- a/dragonflyglade/store/discovery_client.cc
+++ b/dragonflyglade/store/discovery_client.cc
@@ -60,7 +60,7 @@
   return std::move(reply.Value().body);
 }
 
-Result<InstanceList> DiscoveryClient::Instances() const {
+Result<InstanceList> DiscoveryClient::FetchInstances() const {
   const Result<std::string> text = this->Get("/instances");
   if (!text.Ok()) return text.Error();
   try {
@@ -77,7 +77,7 @@
   }
 }
 
-Result<DiscoveredTargets> DiscoveryClient::Targets() const {
+Result<DiscoveredTargets> DiscoveryClient::FetchTargets() const {
   const Result<std::string> text = this->Get("/targets");
   if (!text.Ok()) return text.Error();
   try {
--- a/dragonflyglade/store/discovery_client.h
+++ b/dragonflyglade/store/discovery_client.h
@@ -29,8 +29,8 @@
  public:
   DiscoveryClient(Endpoint endpoint, absl::Duration timeout);
 
-  Result<InstanceList> Instances() const;
-  Result<DiscoveredTargets> Targets() const;
+  Result<InstanceList> FetchInstances() const;
+  Result<DiscoveredTargets> FetchTargets() const;
 
  private:
   Result<std::string> Get(const std::string& path) const;
--- a/dragonflyglade/store/kv_client.h
+++ b/dragonflyglade/store/kv_client.h
@@ -126,7 +126,7 @@
       const OnEvents& on_events) const;
 
   /// The number of calls made since the start, including watches.
-  std::int64_t Calls() const { return this->calls; }
+  std::int64_t CallCount() const { return this->calls; }
 
  private:
   Result<std::string> Call(std::string_view step, std::string_view path,
--- a/dragonflyglade/store/role_lease.cc
+++ b/dragonflyglade/store/role_lease.cc
@@ -17,7 +17,7 @@
       ttl(ttl),
       clock(clock) {}
 
-bool RoleLease::Held() const { return this->clock.Now() < this->valid_until; }
+bool RoleLease::IsHeld() const { return this->clock.Now() < this->valid_until; }
 
 bool RoleLease::TryRenew() {
   if (this->lease == 0) return false;
@@ -29,7 +29,7 @@
   }
   // Without a response the lease may still be valid, so the role is kept until
   // the trusted part of the TTL has passed.
-  if (kept.Error().code != Errc::kNotHeld) return this->Held();
+  if (kept.Error().code != Errc::kNotHeld) return this->IsHeld();
   this->lease = 0;
   this->valid_until = -absl::InfiniteDuration();
   return false;
@@ -61,7 +61,7 @@
   return true;
 }
 
-std::optional<std::int64_t> RoleLease::Hold() {
+std::optional<std::int64_t> RoleLease::AcquireOrRenew() {
   if (this->TryRenew() || this->TryAcquire()) return this->fence_token;
   return std::nullopt;
 }
--- a/dragonflyglade/store/role_lease.h
+++ b/dragonflyglade/store/role_lease.h
@@ -28,10 +28,10 @@
   /// Acquires the role or renews its lease.
   /// @return the fencing token, which grows with every new owner of the role;
   ///   nothing if another instance has the role or the service failed
-  std::optional<std::int64_t> Hold();
+  std::optional<std::int64_t> AcquireOrRenew();
 
   /// Whether the lease is still valid on this instance's clock.
-  bool Held() const;
+  bool IsHeld() const;
 
   /// Revokes the lease, so that another instance can acquire the role.
   void Release();
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -34,7 +34,7 @@
 }
 
 std::variant<TargetReservation, ReservationError, QueueFull>
-Dispatcher::Acquire(const TargetRequirements& need, std::string_view workspace,
+Dispatcher::Reserve(const TargetRequirements& need, std::string_view workspace,
                     RequestClass request_class, Instant deadline) {
   PoolQueue& pool = this->QueueOf(need.pool);
   absl::MutexLock lock(&pool.mutex);
--- a/dragonflyglade/target/dispatcher.h
+++ b/dragonflyglade/target/dispatcher.h
@@ -38,7 +38,7 @@
 
   /// Waits until the deadline for a reservation at a target of the pool.
   /// @return the reservation, or why there was none
-  std::variant<TargetReservation, ReservationError, QueueFull> Acquire(
+  std::variant<TargetReservation, ReservationError, QueueFull> Reserve(
       const TargetRequirements& need, std::string_view workspace,
       RequestClass request_class, Instant deadline);
 
--- a/dragonflyglade/target/engine_client.cc
+++ b/dragonflyglade/target/engine_client.cc
@@ -101,7 +101,7 @@
   return call.Run(request);
 }
 
-Result<EngineReport> EngineClient::Report() const {
+Result<EngineReport> EngineClient::FetchReport() const {
   HttpRequest request;
   request.path = "/load";
   const Result<HttpResponse> reply =
@@ -135,13 +135,13 @@
   }
 }
 
-Result<OrderResult> EngineClient::Order(const EngineOrder& order) const {
+Result<OrderResult> EngineClient::SendOrder(const EngineOrder& order) const {
   HttpRequest request;
   request.method = "POST";
   request.path = OrderPath(order.kind);
   request.body = OrderBody(order).dump();
   request.headers = {{"X-Order-Id", order.id},
-                     {"X-Fence", std::to_string(order.fence)}};
+                     {"X-Fence", std::to_string(order.fence_token)}};
   const Result<HttpResponse> reply =
       this->Run(request, this->options.order_timeout);
   if (!reply.Ok()) {
--- a/dragonflyglade/target/engine_client.h
+++ b/dragonflyglade/target/engine_client.h
@@ -43,11 +43,11 @@
 /// An order to an engine.
 struct EngineOrder {
   OrderKind kind = OrderKind::kLoadModel;
-  std::string id;          ///< the same for all attempts of one order
-  std::int64_t fence = 0;  ///< fencing token, for engines that check it
-  std::string name;        ///< the model, the adapter or the new role
-  std::string version;     ///< of the model
-  std::int64_t bytes = 0;  ///< memory that the model or adapter needs
+  std::string id;                ///< the same for all attempts of one order
+  std::int64_t fence_token = 0;  ///< for engines that check fencing tokens
+  std::string name;              ///< the model, the adapter or the new role
+  std::string version;           ///< of the model
+  std::int64_t bytes = 0;        ///< memory that the model or adapter needs
 };
 
 /// An engine's response to an order.
@@ -92,14 +92,14 @@
                                        int after_events);
 
   /// Fetches the engine's load report.
-  Result<EngineReport> Report() const;
+  Result<EngineReport> FetchReport() const;
 
   /// Fetches the cache events after a sequence number. Some may be missing.
   Result<std::vector<CacheEvent>> FetchCacheEvents(std::int64_t after) const;
 
   /// Sends an order. Errors: kConnectFailed if the engine certainly did not
   /// receive it; kOutcomeUnknown if the engine may have executed it.
-  Result<OrderResult> Order(const EngineOrder& order) const;
+  Result<OrderResult> SendOrder(const EngineOrder& order) const;
 
  private:
   Result<HttpResponse> Run(const HttpRequest& request,
--- a/dragonflyglade/target/target_poller.cc
+++ b/dragonflyglade/target/target_poller.cc
@@ -44,7 +44,7 @@
 }
 
 absl::Duration TargetPoller::PollTargetList() {
-  const Result<DiscoveredTargets> list = this->lists.Targets();
+  const Result<DiscoveredTargets> list = this->lists.FetchTargets();
   if (list.Ok()) {
     this->targets.TakeList(list.Value().version, list.Value().targets);
     this->report_worker.Wake();
@@ -57,7 +57,7 @@
 void TargetPoller::PollEngine(const ListedTarget& target) {
   const EngineClient engine(Endpoint{target.address, target.port}, target.name,
                             this->options);
-  const Result<EngineReport> report = engine.Report();
+  const Result<EngineReport> report = engine.FetchReport();
   if (!report.Ok()) return;
   if (report.Value().leaving) this->targets.MarkLeaving(target.name);
   this->targets.TakeReport(target.pool, target.name, report.Value().load);
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -88,7 +88,7 @@
   const CallerKey key = NewCallerKey();
   const std::string salt = NewSalt();
   catalog.keys[key.id] =
-      KeyRecord{key.id, "w", salt, DigestOf(salt, key.secret), false};
+      KeyRecord{key.id, "w", salt, SaltedDigest(salt, key.secret), false};
   const std::string shown = key.ToString();
   PrintCost("key.check", 20'000, [&](int) { FindKeyRecord(catalog, shown); });
 
--- a/tests/fleet/fleet.cc
+++ b/tests/fleet/fleet.cc
@@ -290,10 +290,10 @@
   }
 }
 
-std::string Fleet::Received() const {
+std::string Fleet::ReceivedRequests() const {
   std::string all;
-  for (const auto& engine : this->engines) all += engine->Received();
-  for (const auto& ledger : this->ledgers) all += ledger->Received();
+  for (const auto& engine : this->engines) all += engine->ReceivedRequests();
+  for (const auto& ledger : this->ledgers) all += ledger->ReceivedRequests();
   return all;
 }
 
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -81,7 +81,7 @@
   /// What all instances logged.
   std::string Logs() const;
   /// What all targets received.
-  std::string Received() const;
+  std::string ReceivedRequests() const;
 
  private:
   struct Ports {
--- a/tests/integration/integration-callers.cc
+++ b/tests/integration/integration-callers.cc
@@ -188,7 +188,7 @@
              seen.at("members").dump().find("dead") == std::string::npos;
     }));
     const std::string seen_elsewhere =
-        fleet.Received() + fleet.Logs() + fleet.KvText();
+        fleet.ReceivedRequests() + fleet.Logs() + fleet.KvText();
     CPPUNIT_ASSERT(seen_elsewhere.find(key.secret) == std::string::npos);
     const json status = fleet.Status(1);
     CPPUNIT_ASSERT(status.at("refusals").dump().find("unknown_key") !=
@@ -261,7 +261,8 @@
     };
     CPPUNIT_ASSERT(WaitUntil(until_first));
     CPPUNIT_ASSERT(WaitUntil([&] { return in_flight() == 0; }));
-    CPPUNIT_ASSERT(WaitUntil([&] { return fleet.Engine(1).Served() == 1; }));
+    CPPUNIT_ASSERT(
+        WaitUntil([&] { return fleet.Engine(1).EndedStreams() == 1; }));
   }
 };
 
--- a/tests/platform/gateway_harness.cc
+++ b/tests/platform/gateway_harness.cc
@@ -108,8 +108,8 @@
   const auto answer = [=](const RawRequest& request) {
     return used->exchange(true) ? later(request) : once(request);
   };
-  this->first.Next(answer);
-  this->second.Next(answer);
+  this->first.EnqueueAnswer(answer);
+  this->second.EnqueueAnswer(answer);
 }
 
 std::size_t GatewayHarness::RequestCount() const {
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -122,7 +122,7 @@
     GatewayHarness stage;
     std::unique_ptr<LoopBlocker> hold;
     absl::Notification held;
-    stage.first.Next([&](const RawRequest& request) {
+    stage.first.EnqueueAnswer([&](const RawRequest& request) {
       hold = std::make_unique<LoopBlocker>(stage);
       held.Notify();
       return Script{ResponseBytes(request, "200 OK",
--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -71,7 +71,7 @@
       GatewayHarness::Options options;
       item.put(fault, options.wire);
       GatewayHarness stage(std::move(options));
-      stage.first.Next([&](const RawRequest& request) {
+      stage.first.EnqueueAnswer([&](const RawRequest& request) {
         return SuccessfulResponse(request);
       });
       fault.Arm();
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -253,9 +253,10 @@
   // the chunks of its answer; it must get the end of the connection.
   void NoAnswerFollowsInACutStream() {
     Stage stage;
-    stage.first.Next(CutStream);
+    stage.first.EnqueueAnswer(CutStream);
     constexpr int kMoreThanItTries = 6;
-    for (int i = 0; i < kMoreThanItTries; ++i) stage.first.Next(Refusing);
+    for (int i = 0; i < kMoreThanItTries; ++i)
+      stage.first.EnqueueAnswer(Refusing);
     const Stage::Reply reply = stage.Call("POST", "/resumed/x");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(!reply.ended_whole);
@@ -299,7 +300,9 @@
   // would work on for nobody.
   void EndsTheRunWhenTheCallerLeaves() {
     Stage stage;
-    stage.first.Next([](const RawRequest&) { return Script{"", false, true}; });
+    stage.first.EnqueueAnswer([](const RawRequest&) {
+      return Script{"", false, true};
+    });
     const std::size_t before = stage.first.Requests().size();
     auto socket = stage.Connect(stage.gateway->Settings().callers);
     const std::string text = stage.Text("POST", "/once/");
--- a/tests/platform/target_stand_in.cc
+++ b/tests/platform/target_stand_in.cc
@@ -119,7 +119,7 @@
   return answer(request);
 }
 
-void PlatformTargetStandIn::Next(Answer answer) {
+void PlatformTargetStandIn::EnqueueAnswer(Answer answer) {
   absl::MutexLock lock(&this->mutex);
   this->queued_answers.push_back(std::move(answer));
 }
--- a/tests/platform/target_stand_in.h
+++ b/tests/platform/target_stand_in.h
@@ -47,7 +47,7 @@
 
   /// Answers one coming request by this function in place of the default.
   /// Repeated calls queue up, one function for each request.
-  void Next(Answer answer);
+  void EnqueueAnswer(Answer answer);
 
   std::vector<RawRequest> Requests() const;
   /// The number of connections that the client closed while the target was
--- a/tests/scenario/runner.cc
+++ b/tests/scenario/runner.cc
@@ -330,16 +330,16 @@
                     .dump();
     const Endpoint endpoint = this->TargetOf(command);
     const std::string key = this->KeyText(command.words[1]);
-    const double before = this->Instances().Engine(1).Started() +
-                          this->Instances().Engine(2).Started();
+    const double before = this->Instances().Engine(1).StartedCompletions() +
+                          this->Instances().Engine(2).StartedCompletions();
     open.reader = std::thread([&open, spec, endpoint, key] {
       open.result = CallInstance(endpoint, key, spec);
     });
     this->streams[command.words[0]] = std::move(stream);
     this->Eventually(
         [&] {
-          return this->Instances().Engine(1).Started() +
-                     this->Instances().Engine(2).Started() >
+          return this->Instances().Engine(1).StartedCompletions() +
+                     this->Instances().Engine(2).StartedCompletions() >
                  before;
         },
         "the stream at an engine");
@@ -404,7 +404,7 @@
     if (what == "key") {
       const std::string& secret = this->keys.at(command.words[1]).secret;
       for (const std::string& text :
-           {this->Instances().Received(), this->Instances().Logs(),
+           {this->Instances().ReceivedRequests(), this->Instances().Logs(),
             this->Instances().KvText()}) {
         this->Require(text.find(secret) == std::string::npos,
                       "the key was seen");
--- a/tests/standins/engine_stand_in.cc
+++ b/tests/standins/engine_stand_in.cc
@@ -397,17 +397,17 @@
   return names;
 }
 
-int EngineStandIn::Served() const {
+int EngineStandIn::EndedStreams() const {
   absl::MutexLock lock(&this->mutex);
   return this->served;
 }
 
-int EngineStandIn::Started() const {
+int EngineStandIn::StartedCompletions() const {
   absl::MutexLock lock(&this->mutex);
   return this->started;
 }
 
-std::string EngineStandIn::Received() const {
+std::string EngineStandIn::ReceivedRequests() const {
   absl::MutexLock lock(&this->mutex);
   return this->received_text;
 }
--- a/tests/standins/engine_stand_in.h
+++ b/tests/standins/engine_stand_in.h
@@ -69,11 +69,11 @@
   std::int64_t PeakMemoryBytes() const;
   std::set<std::string> Resident() const;
   /// The number of completion streams that ended.
-  int Served() const;
+  int EndedStreams() const;
   /// The number of completions that were accepted.
-  int Started() const;
+  int StartedCompletions() const;
   /// The paths, headers and bodies of all received requests.
-  std::string Received() const;
+  std::string ReceivedRequests() const;
 
  private:
   struct Stream {
--- a/tests/standins/ledger_stand_in.cc
+++ b/tests/standins/ledger_stand_in.cc
@@ -96,7 +96,7 @@
   return this->runs;
 }
 
-std::string LedgerStandIn::Received() const {
+std::string LedgerStandIn::ReceivedRequests() const {
   absl::MutexLock lock(&this->mutex);
   return this->received_text;
 }
--- a/tests/standins/ledger_stand_in.h
+++ b/tests/standins/ledger_stand_in.h
@@ -36,7 +36,7 @@
   /// How often each payout was executed, by its name.
   std::map<std::string, int> AllRuns() const;
   /// The paths, headers and bodies of all received requests.
-  std::string Received() const;
+  std::string ReceivedRequests() const;
 
  private:
   HttpServer server;
--- a/tests/standins/main.cc
+++ b/tests/standins/main.cc
@@ -70,7 +70,7 @@
     this->control.HttplibServer().Get(
         "/received",
         [this](const httplib::Request&, httplib::Response& response) {
-          response.set_content(this->Received(), "text/plain");
+          response.set_content(this->ReceivedRequests(), "text/plain");
         });
     const int port = this->control.Start("listen").Value();
     fmt::print("kv={} lists={} control=127.0.0.1:{}\n", kv_at.ToString(),
@@ -79,9 +79,10 @@
   }
 
  private:
-  std::string Received() const {
-    std::string received = this->ledger.Received();
-    for (const auto& engine : this->engines) received += engine->Received();
+  std::string ReceivedRequests() const {
+    std::string received = this->ledger.ReceivedRequests();
+    for (const auto& engine : this->engines)
+      received += engine->ReceivedRequests();
     for (const KvEntry& entry : this->kv.Entries("")) {
       received += entry.key + "\n" + entry.value + "\n";
     }
--- a/tests/unit/unit-callers.cc
+++ b/tests/unit/unit-callers.cc
@@ -113,7 +113,7 @@
     const auto add = [&catalog](const CallerKey& key, bool is_withdrawn) {
       const std::string salt = NewSalt();
       catalog.keys[key.id] = KeyRecord{
-          key.id, "w", salt, DigestOf(salt, key.secret), is_withdrawn};
+          key.id, "w", salt, SaltedDigest(salt, key.secret), is_withdrawn};
     };
     add(good, false);
     add(withdrawn, true);
--- a/tests/unit/unit-threads.cc
+++ b/tests/unit/unit-threads.cc
@@ -111,7 +111,7 @@
       CPPUNIT_ASSERT(port.Ok());
       const EngineClient engine({"127.0.0.1", port.Value()}, "t",
                                 TargetCallOptions());
-      const Result<OrderResult> reply = engine.Order(EngineOrder());
+      const Result<OrderResult> reply = engine.SendOrder(EngineOrder());
       CPPUNIT_ASSERT_EQUAL_MESSAGE(item.description, item.is_valid, reply.Ok());
       if (!item.is_valid) {
         CPPUNIT_ASSERT_MESSAGE(item.description,
