--- a/dragonflyglade/caller/instance_selection.cc
+++ b/dragonflyglade/caller/instance_selection.cc
@@ -64,7 +64,7 @@
 }
 
 std::string EncodeInstances(absl::Span<const InstanceChoice> choices,
-                            absl::Duration keep) {
+                            absl::Duration cache_duration) {
   json list = json::array();
   for (const InstanceChoice& choice : choices) {
     list.push_back({{"name", choice.name},
@@ -73,8 +73,9 @@
                     {"availability_zone", choice.zone},
                     {"weight", choice.weight}});
   }
-  const json response = {{"instances", list},
-                         {"keep_seconds", absl::ToInt64Seconds(keep)}};
+  const json response = {
+      {"instances", list},
+      {"keep_seconds", absl::ToInt64Seconds(cache_duration)}};
   return response.dump();
 }
 
--- a/dragonflyglade/caller/instance_selection.h
+++ b/dragonflyglade/caller/instance_selection.h
@@ -39,9 +39,9 @@
     absl::Span<const std::string> share_owners);
 
 /// Encodes the choices as the JSON body of the response.
-/// @param keep how long the caller may cache them
+/// @param cache_duration how long the caller may cache them
 std::string EncodeInstances(absl::Span<const InstanceChoice> choices,
-                            absl::Duration keep);
+                            absl::Duration cache_duration);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/caller/request_handler.cc
+++ b/dragonflyglade/caller/request_handler.cc
@@ -57,7 +57,8 @@
                                const Membership& membership,
                                CompletionRunner& completions,
                                ServiceRunner& services, Metrics& metrics,
-                               CallerLimits limits, absl::Duration keep)
+                               CallerLimits limits,
+                               absl::Duration cache_duration)
     : catalog(catalog),
       freshness(freshness),
       membership(membership),
@@ -65,7 +66,7 @@
       services(services),
       metrics(metrics),
       limits(limits),
-      keep(keep) {}
+      cache_duration(cache_duration) {}
 
 std::variant<ServingState, Refusal> RequestHandler::Readiness() const {
   const auto [listed, alive] = this->membership.CountListedAndAlive();
@@ -203,13 +204,14 @@
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   const Allotment* allotment = FindRecord(catalog->allotments, query.workspace);
   if (allotment != nullptr) {
-    for (const OwnerShare& holder : allotment->holders) {
-      if (holder.share > 0) share_owners.push_back(holder.instance);
+    for (const OwnerShare& owner : allotment->holders) {
+      if (owner.share > 0) share_owners.push_back(owner.instance);
     }
   }
   CompleteResponse response;
   response.body = EncodeInstances(
-      ChooseInstances(this->membership.All(), query, share_owners), this->keep);
+      ChooseInstances(this->membership.All(), query, share_owners),
+      this->cache_duration);
   return response;
 }
 
--- a/dragonflyglade/caller/request_handler.h
+++ b/dragonflyglade/caller/request_handler.h
@@ -24,11 +24,11 @@
 /// the request to the runner that executes it. Thread-safe.
 class RequestHandler {
  public:
-  /// @param keep how long callers may cache the list of instances
+  /// @param cache_duration how long callers may cache the list of instances
   RequestHandler(const CatalogHolder& catalog, const ConfigFreshness& freshness,
                  const Membership& membership, CompletionRunner& completions,
                  ServiceRunner& services, Metrics& metrics, CallerLimits limits,
-                 absl::Duration keep);
+                 absl::Duration cache_duration);
 
   /// Handles a request.
   IdentifiedResponse Handle(const CallerRequest& request);
@@ -37,7 +37,7 @@
   std::variant<ServingState, Refusal> Readiness() const;
 
   /// How long callers may cache the list of instances.
-  absl::Duration Keep() const { return this->keep; }
+  absl::Duration CacheDuration() const { return this->cache_duration; }
 
   const CallerLimits& Limits() const { return this->limits; }
 
@@ -58,7 +58,7 @@
   ServiceRunner& services;
   Metrics& metrics;
   const CallerLimits limits;
-  const absl::Duration keep;
+  const absl::Duration cache_duration;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/sse.cc
+++ b/dragonflyglade/caller/sse.cc
@@ -36,8 +36,8 @@
   std::vector<std::string> events;
   std::size_t end = 0;
   while ((end = this->buffer.find(kEventEnd)) != std::string::npos) {
-    const std::string_view whole = this->buffer;
-    const std::string data = EventData(whole.substr(0, end));
+    const std::string_view buffered = this->buffer;
+    const std::string data = EventData(buffered.substr(0, end));
     this->buffer.erase(0, end + kEventEnd.size());
     if (!data.empty()) events.push_back(data);
   }
--- a/dragonflyglade/net/log.cc
+++ b/dragonflyglade/net/log.cc
@@ -43,12 +43,12 @@
 
 Loggers& AllLoggers() {
   static Loggers& loggers = *[] {
-    auto* made = new Loggers;
+    auto* created = new Loggers;
     for (std::size_t i = 0; i < kPartNames.size(); ++i) {
-      (*made)[i] = std::make_shared<spdlog::logger>(kPartNames[i], Sink());
-      (*made)[i]->set_level(spdlog::level::warn);
+      (*created)[i] = std::make_shared<spdlog::logger>(kPartNames[i], Sink());
+      (*created)[i]->set_level(spdlog::level::warn);
     }
-    return made;
+    return created;
   }();
   return loggers;
 }
--- a/dragonflyglade/operator/commands.cc
+++ b/dragonflyglade/operator/commands.cc
@@ -77,9 +77,9 @@
   return parsed;
 }
 
-int ReportBadUse(const CommandOutput& output, std::string_view what,
+int ReportBadUse(const CommandOutput& output, std::string_view message,
                  const char* use) {
-  fmt::print(output.err, "{}\n{}", what, use);
+  fmt::print(output.err, "{}\n{}", message, use);
   return kExitBadUse;
 }
 
--- a/dragonflyglade/operator/config_editor.cc
+++ b/dragonflyglade/operator/config_editor.cc
@@ -20,9 +20,9 @@
 constexpr absl::Duration kReadBackInterval = absl::Milliseconds(300);
 constexpr std::size_t kAuditSuffixBytes = 4;
 
-Failure InvalidDraft(std::string_view why) {
+Failure InvalidDraft(std::string_view problem) {
   return MakeFailure(Errc::kInvalidRecord, "read drafts", kConfigurationPeer,
-                     why);
+                     problem);
 }
 
 Result<RecordDraft> ParseDraft(const json& item, std::size_t index) {
--- a/dragonflyglade/operator/record_schemas.cc
+++ b/dragonflyglade/operator/record_schemas.cc
@@ -110,15 +110,14 @@
 }
 
 json AllotmentSchema() {
-  const json holder =
-      ObjectSchema({{"instance", TextSchema(kNamePattern)},
-                    {"incarnation", MinimumSchema("integer", 0)},
-                    {"share", MinimumSchema("integer", 0)},
-                    {"held", MinimumSchema("integer", 0)},
-                    {"listed_at", MinimumSchema("integer", 0)}},
-                   {"instance", "incarnation", "share", "held"});
+  const json owner = ObjectSchema({{"instance", TextSchema(kNamePattern)},
+                                   {"incarnation", MinimumSchema("integer", 0)},
+                                   {"share", MinimumSchema("integer", 0)},
+                                   {"held", MinimumSchema("integer", 0)},
+                                   {"listed_at", MinimumSchema("integer", 0)}},
+                                  {"instance", "incarnation", "share", "held"});
   return ObjectSchema({{"epoch", MinimumSchema("integer", 1)},
-                       {"holders", {{"type", "array"}, {"items", holder}}}},
+                       {"holders", {{"type", "array"}, {"items", owner}}}},
                       {"epoch", "holders"});
 }
 
--- a/dragonflyglade/operator/records.cc
+++ b/dragonflyglade/operator/records.cc
@@ -22,8 +22,8 @@
     "workspace", "key",       "rate",    "pool",      "model",
     "adapter",   "placement", "service", "retirement"};
 
-Failure InvalidRecord(std::string_view step, std::string_view why) {
-  return MakeFailure(Errc::kInvalidRecord, step, kConfigurationPeer, why);
+Failure InvalidRecord(std::string_view step, std::string_view problem) {
+  return MakeFailure(Errc::kInvalidRecord, step, kConfigurationPeer, problem);
 }
 
 bool IsValidName(std::string_view text) {
@@ -159,12 +159,12 @@
 
 std::string EncodeAllotment(const Allotment& allotment) {
   json holders = json::array();
-  for (const OwnerShare& holder : allotment.holders) {
-    holders.push_back({{"instance", holder.instance},
-                       {"incarnation", holder.incarnation},
-                       {"share", holder.share},
-                       {"held", holder.held},
-                       {"listed_at", holder.listed_at}});
+  for (const OwnerShare& owner : allotment.holders) {
+    holders.push_back({{"instance", owner.instance},
+                       {"incarnation", owner.incarnation},
+                       {"share", owner.share},
+                       {"held", owner.held},
+                       {"listed_at", owner.listed_at}});
   }
   const json document = {{"epoch", allotment.epoch}, {"holders", holders}};
   return document.dump();
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -58,7 +58,7 @@
 }
 
 void HeartbeatExchange::ApplyHeartbeat(const wire::Heartbeat& heartbeat,
-                                       std::optional<Instant> asked_at) {
+                                       std::optional<Instant> sent_at) {
   const MemberStatus sender = FromWire(heartbeat.sender);
   std::vector<MemberStatus> updates;
   updates.reserve(heartbeat.updates.size());
@@ -82,9 +82,9 @@
   // outdated configuration would look fresh. So the age is used only in a
   // response to this instance's own heartbeat, and counted from the time at
   // which that one was sent.
-  if (!asked_at.has_value()) return;
+  if (!sent_at.has_value()) return;
   if (heartbeat.config_age_ms == kNeverConfirmed) return;
-  this->freshness.ConfirmedAt(*asked_at -
+  this->freshness.ConfirmedAt(*sent_at -
                               absl::Milliseconds(heartbeat.config_age_ms));
 }
 
--- a/dragonflyglade/peer/heartbeat.h
+++ b/dragonflyglade/peer/heartbeat.h
@@ -34,10 +34,10 @@
   wire::Heartbeat MakeHeartbeat(std::string_view to);
 
   /// Applies a received heartbeat.
-  /// @param asked_at when this instance sent the heartbeat to which the
+  /// @param sent_at when this instance sent the heartbeat to which the
   ///   received one is the response; nothing if it is not a response
   void ApplyHeartbeat(const wire::Heartbeat& heartbeat,
-                      std::optional<Instant> asked_at);
+                      std::optional<Instant> sent_at);
 
  private:
   Membership& membership;
--- a/dragonflyglade/peer/heartbeat_loop.cc
+++ b/dragonflyglade/peer/heartbeat_loop.cc
@@ -44,13 +44,13 @@
 }
 
 bool HeartbeatLoop::ExchangeHeartbeats(const MemberStatus& member) {
-  const Instant asked_at = this->clock.Now();
+  const Instant sent_at = this->clock.Now();
   const Result<wire::Heartbeat> reply = this->peers.Exchange(
       PeerEndpoint(member), this->heartbeats.MakeHeartbeat(member.info.name));
   if (!reply.Ok()) return false;
   // The address may belong to the process of another instance by now.
   if (reply.Value().sender.name != member.info.name) return false;
-  this->heartbeats.ApplyHeartbeat(reply.Value(), asked_at);
+  this->heartbeats.ApplyHeartbeat(reply.Value(), sent_at);
   return true;
 }
 
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -38,9 +38,10 @@
         rates(demand),
         prober(std::move(prober)) {}
 
-  void exchange(wire::Heartbeat& reply, const wire::Heartbeat& own) override {
-    this->heartbeats.ApplyHeartbeat(own, std::nullopt);
-    reply = this->heartbeats.MakeHeartbeat(own.sender.name);
+  void exchange(wire::Heartbeat& reply,
+                const wire::Heartbeat& received) override {
+    this->heartbeats.ApplyHeartbeat(received, std::nullopt);
+    reply = this->heartbeats.MakeHeartbeat(received.sender.name);
   }
 
   bool probe(const std::string& name) override { return this->prober(name); }
--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -16,9 +16,10 @@
 
 }  // namespace
 
-ClaimStore::ClaimStore(const KvClient& kv, absl::Duration keep, Clock clock)
+ClaimStore::ClaimStore(const KvClient& kv, absl::Duration retention,
+                       Clock clock)
     : kv(kv),
-      keep(keep),
+      retention(retention),
       clock(clock),
       worker([this] { return this->WritePendingWrites(); }) {
   this->worker.Start();
@@ -36,7 +37,7 @@
   const Instant now = this->clock.Now();
   if (now < this->lease_shared_until) return this->lease;
   const Result<std::int64_t> granted =
-      this->kv.GrantLease(this->keep + kLeaseSharingPeriod);
+      this->kv.GrantLease(this->retention + kLeaseSharingPeriod);
   if (!granted.Ok()) return granted;
   this->lease = granted.Value();
   this->lease_shared_until = now + kLeaseSharingPeriod;
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -21,8 +21,8 @@
 /// removes them when it expires, without a call for each claim. Thread-safe.
 class ClaimStore {
  public:
-  /// @param keep the shortest time for which a claim is kept
-  ClaimStore(const KvClient& kv, absl::Duration keep, Clock clock);
+  /// @param retention the shortest time for which a claim is kept
+  ClaimStore(const KvClient& kv, absl::Duration retention, Clock clock);
   ~ClaimStore();
 
   /// "claim/<workspace>/<hash of the idempotency key>".
@@ -62,7 +62,7 @@
   void Enqueue(PendingWrite ending);
 
   const KvClient& kv;
-  const absl::Duration keep;
+  const absl::Duration retention;
   const Clock clock;
   absl::Mutex lease_mutex;
   std::int64_t lease ABSL_GUARDED_BY(lease_mutex) = 0;
--- a/dragonflyglade/store/role_lease.cc
+++ b/dragonflyglade/store/role_lease.cc
@@ -21,15 +21,15 @@
 
 bool RoleLease::TryRenew() {
   if (this->lease == 0) return false;
-  const Instant asked_at = this->clock.Now();
-  const Status kept = this->kv.KeepAlive(this->lease);
-  if (kept.Ok()) {
-    this->valid_until = asked_at + kTrustedTtlFraction * this->ttl;
+  const Instant sent_at = this->clock.Now();
+  const Status renewed = this->kv.KeepAlive(this->lease);
+  if (renewed.Ok()) {
+    this->valid_until = sent_at + kTrustedTtlFraction * this->ttl;
     return true;
   }
   // Without a response the lease may still be valid, so the role is kept until
   // the trusted part of the TTL has passed.
-  if (kept.Error().code != Errc::kNotHeld) return this->IsHeld();
+  if (renewed.Error().code != Errc::kNotHeld) return this->IsHeld();
   this->lease = 0;
   this->valid_until = -absl::InfiniteDuration();
   return false;
@@ -43,7 +43,7 @@
   query.key = this->key;
   const Result<KvRange> range = this->kv.Range(query);
   if (!range.Ok() || !range.Value().entries.empty()) return false;
-  const Instant asked_at = this->clock.Now();
+  const Instant sent_at = this->clock.Now();
   const Result<std::int64_t> granted = this->kv.GrantLease(this->ttl);
   if (!granted.Ok()) return false;
   const Result<KvTxnResult> reply =
@@ -57,7 +57,7 @@
   }
   this->lease = granted.Value();
   this->fence_token = reply.Value().revision;
-  this->valid_until = asked_at + kTrustedTtlFraction * this->ttl;
+  this->valid_until = sent_at + kTrustedTtlFraction * this->ttl;
   return true;
 }
 
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -20,8 +20,8 @@
 namespace dragonflyglade {
 
 /// An in-memory stand-in for the store of the users' platform, with listings,
-/// long-polling watches, transactions and leases. A lease ends only when a
-/// test calls ExpireLeases or RejectRenewals. Thread-safe.
+/// long-polling watches, transactions and leases. A lease expires only when a
+/// test calls ExpireLeases. Thread-safe.
 class PlatformStoreStandIn {
  public:
   PlatformStoreStandIn();
--- a/tests/unit/unit-callers.cc
+++ b/tests/unit/unit-callers.cc
@@ -107,7 +107,7 @@
 
   void RejectsInvalidKeys() {
     Catalog catalog;
-    const CallerKey good = NewCallerKey();
+    const CallerKey valid = NewCallerKey();
     const CallerKey withdrawn = NewCallerKey();
     const CallerKey other = NewCallerKey();
     const auto add = [&catalog](const CallerKey& key, bool is_withdrawn) {
@@ -115,25 +115,25 @@
       catalog.keys[key.id] = KeyRecord{
           key.id, "w", salt, SaltedDigest(salt, key.secret), is_withdrawn};
     };
-    add(good, false);
+    add(valid, false);
     add(withdrawn, true);
-    const std::string text = good.ToString();
+    const std::string text = valid.ToString();
     const auto problem = [](KeyError p) { return static_cast<int>(p); };
     const std::vector<KeyCase> cases = {
         {"good", text, -1},
         {"withdrawn", withdrawn.ToString(), problem(KeyError::kWithdrawn)},
         {"a withdrawn id with a wrong secret",
-         CallerKey{withdrawn.id, good.secret}.ToString(),
+         CallerKey{withdrawn.id, valid.secret}.ToString(),
          problem(KeyError::kUnknown)},
         {"unknown", other.ToString(), problem(KeyError::kUnknown)},
-        {"another's secret", CallerKey{good.id, other.secret}.ToString(),
+        {"another's secret", CallerKey{valid.id, other.secret}.ToString(),
          problem(KeyError::kUnknown)},
         {"truncated", text.substr(0, text.size() - 1),
          problem(KeyError::kMalformed)},
         {"lengthened", text + "0", problem(KeyError::kMalformed)},
         {"upper case", "DG" + text.substr(2), problem(KeyError::kMalformed)},
         {"empty", "", problem(KeyError::kMalformed)},
-        {"only the id", "dg_" + good.id, problem(KeyError::kMalformed)},
+        {"only the id", "dg_" + valid.id, problem(KeyError::kMalformed)},
     };
     for (const KeyCase& item : cases) {
       const auto checked = FindKeyRecord(catalog, item.presented_key);
