--- a/dragonflyglade/caller/caller_server.cc
+++ b/dragonflyglade/caller/caller_server.cc
@@ -198,7 +198,7 @@
   return this->impl->server.Start("listen for callers");
 }
 
-void CallerServer::CloseIdle() { this->impl->closing = true; }
+void CallerServer::CloseAfterResponses() { this->impl->closing = true; }
 
 void CallerServer::Stop() { this->impl->server.Stop(); }
 
--- a/dragonflyglade/caller/caller_server.h
+++ b/dragonflyglade/caller/caller_server.h
@@ -22,7 +22,7 @@
   Result<int> Start();
 
   /// Makes every response from now on ask the caller to close its connection.
-  void CloseIdle();
+  void CloseAfterResponses();
 
   /// Stops accepting connections and waits for the requests in progress.
   void Stop();
--- a/dragonflyglade/instance/instance.cc
+++ b/dragonflyglade/instance/instance.cc
@@ -295,7 +295,7 @@
   p.membership.Leave();
   p.placement.Stop();
   p.heartbeat_loop.PropagateUpdates();
-  p.callers.CloseIdle();
+  p.callers.CloseAfterResponses();
   const Instant start = p.clock.Now();
   const Instant limit = start + p.settings.drain_limit;
   const Instant keep_until = std::min(limit, start + p.settings.keep);
