--- a/dragonflyglade/caller/completion_runner.cc
+++ b/dragonflyglade/caller/completion_runner.cc
@@ -170,16 +170,16 @@
 }
 
 std::variant<TargetReservation, Refusal> CompletionRunner::Reserve(Job& job) {
-  TargetRequirements need;
-  need.pool = job.request.pool;
-  need.model = job.request.model;
-  need.adapter = job.request.adapter;
-  need.zone = this->zone;
-  need.prefix = job.request.prefix;
-  need.tokens = job.request.Cost();
-  need.avoid = job.failed_targets;
+  TargetRequirements requirements;
+  requirements.pool = job.request.pool;
+  requirements.model = job.request.model;
+  requirements.adapter = job.request.adapter;
+  requirements.zone = this->zone;
+  requirements.prefix = job.request.prefix;
+  requirements.tokens = job.request.Cost();
+  requirements.avoid = job.failed_targets;
   return WaitForReservation(
-      this->dispatcher, need,
+      this->dispatcher, requirements,
       ReservationRequest{job.context.workspace, job.context.request_class,
                          job.reservation_deadline, job.request.model});
 }
--- a/dragonflyglade/caller/reservation.cc
+++ b/dragonflyglade/caller/reservation.cc
@@ -21,10 +21,10 @@
 }
 
 std::variant<TargetReservation, Refusal> WaitForReservation(
-    Dispatcher& dispatcher, const TargetRequirements& need,
+    Dispatcher& dispatcher, const TargetRequirements& requirements,
     const ReservationRequest& request) {
   const auto result = dispatcher.Reserve(
-      need, request.workspace, request.request_class, request.deadline);
+      requirements, request.workspace, request.request_class, request.deadline);
   if (const auto* found = std::get_if<TargetReservation>(&result))
     return *found;
   if (const auto* reason = std::get_if<ReservationError>(&result)) {
--- a/dragonflyglade/caller/reservation.h
+++ b/dragonflyglade/caller/reservation.h
@@ -23,7 +23,7 @@
 /// Waits for a reservation at a target.
 /// @return the reservation, or a refusal that says why there is none
 std::variant<TargetReservation, Refusal> WaitForReservation(
-    Dispatcher& dispatcher, const TargetRequirements& need,
+    Dispatcher& dispatcher, const TargetRequirements& requirements,
     const ReservationRequest& request);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/service_runner.cc
+++ b/dragonflyglade/caller/service_runner.cc
@@ -131,13 +131,13 @@
 
 std::variant<TargetReservation, Refusal> ServiceRunner::Reserve(
     const Job& job, const std::set<std::string>& avoid) {
-  TargetRequirements need;
-  need.pool = job.service->pool;
-  need.zone = this->zone;
-  need.tokens = job.service->cost_tokens;
-  need.avoid = avoid;
+  TargetRequirements requirements;
+  requirements.pool = job.service->pool;
+  requirements.zone = this->zone;
+  requirements.tokens = job.service->cost_tokens;
+  requirements.avoid = avoid;
   return WaitForReservation(
-      this->dispatcher, need,
+      this->dispatcher, requirements,
       ReservationRequest{job.context->workspace, job.service->request_class,
                          job.reservation_deadline, job.service->name});
 }
--- a/dragonflyglade/target/dispatcher.cc
+++ b/dragonflyglade/target/dispatcher.cc
@@ -23,7 +23,7 @@
       [&pool, this](const QueueEntry& entry)
           ABSL_EXCLUSIVE_LOCKS_REQUIRED(pool.mutex) {
             Waiter& waiter = *pool.waiters.at(entry.id);
-            waiter.result = this->targets.Take(*waiter.need);
+            waiter.result = this->targets.Take(*waiter.requirements);
             waiter.granted =
                 std::holds_alternative<TargetReservation>(waiter.result);
             return waiter.granted;
@@ -34,18 +34,19 @@
 }
 
 std::variant<TargetReservation, ReservationError, QueueFull>
-Dispatcher::Reserve(const TargetRequirements& need, std::string_view workspace,
-                    RequestClass request_class, Instant deadline) {
-  PoolQueue& pool = this->QueueOf(need.pool);
+Dispatcher::Reserve(const TargetRequirements& requirements,
+                    std::string_view workspace, RequestClass request_class,
+                    Instant deadline) {
+  PoolQueue& pool = this->QueueOf(requirements.pool);
   absl::MutexLock lock(&pool.mutex);
   if (pool.queue.Size() >= this->options.queue_limit) return QueueFull{};
   Waiter waiter;
-  waiter.need = &need;
+  waiter.requirements = &requirements;
   const std::uint64_t id = pool.next_id++;
   pool.waiters.emplace(id, &waiter);
   pool.queue.Push(QueueEntry{id, std::string(workspace), request_class,
-                             std::max(1.0, need.tokens), need.model,
-                             this->clock.Now()});
+                             std::max(1.0, requirements.tokens),
+                             requirements.model, this->clock.Now()});
   while (true) {
     this->ServeQueue(pool);
     if (waiter.granted) break;
--- a/dragonflyglade/target/dispatcher.h
+++ b/dragonflyglade/target/dispatcher.h
@@ -39,7 +39,7 @@
   /// Waits until the deadline for a reservation at a target of the pool.
   /// @return the reservation, or why there was none
   std::variant<TargetReservation, ReservationError, QueueFull> Reserve(
-      const TargetRequirements& need, std::string_view workspace,
+      const TargetRequirements& requirements, std::string_view workspace,
       RequestClass request_class, Instant deadline);
 
   /// Releases a reservation and serves the next waiting request.
@@ -50,7 +50,7 @@
 
  private:
   struct Waiter {
-    const TargetRequirements* need = nullptr;
+    const TargetRequirements* requirements = nullptr;
     std::variant<TargetReservation, ReservationError> result =
         ReservationError::kBusy;
     bool granted = false;
