--- a/dragonflyglade/store/claim_store.cc
+++ b/dragonflyglade/store/claim_store.cc
@@ -99,7 +99,7 @@
 
 bool ClaimStore::TryWrite(const PendingWrite& pending) {
   const Result<KvTxnResult> reply =
-      this->kv.Txn({pending.expect}, {pending.write});
+      this->kv.Txn({pending.condition}, {pending.write});
   // Any response is final: if the comparison failed, an earlier attempt, whose
   // response was lost, has done the write.
   return reply.Ok();
--- a/dragonflyglade/store/claim_store.h
+++ b/dragonflyglade/store/claim_store.h
@@ -51,7 +51,7 @@
 
  private:
   struct PendingWrite {
-    KvCondition expect;
+    KvCondition condition;
     KvWrite write;
   };
 
