--- a/tests/unit/unit-records.cc
+++ b/tests/unit/unit-records.cc
@@ -26,10 +26,10 @@
 constexpr const char* kValidV2 =
     R"({"tokens": 600, "per_seconds": 60, "burst_tokens": 30})";
 
-struct OfferCase {
+struct ApplyCase {
   const char* name;
-  std::vector<RecordVersion> offered;
-  std::vector<ApplyResult> fates;
+  std::vector<RecordVersion> versions;
+  std::vector<ApplyResult> results;
   double burst;  ///< of the rate in force in the end; 0 for no rate
 };
 
@@ -82,7 +82,7 @@
   void KeepsTheNewestValidVersion() {
     constexpr const char* kOther =
         R"({"tokens_per_second": 10, "burst_tokens": 99})";
-    const std::vector<OfferCase> cases = {
+    const std::vector<ApplyCase> cases = {
         {"an older version arrives late",
          {Version(kRateV1, 5, kValidV1), Version(kRateV1, 4, kOther)},
          {ApplyResult::kApplied, ApplyResult::kStale},
@@ -114,11 +114,11 @@
          {ApplyResult::kApplied, ApplyResult::kApplied},
          0},
     };
-    for (const OfferCase& item : cases) {
+    for (const ApplyCase& item : cases) {
       RecordStore store(WhyInvalid);
-      for (std::size_t i = 0; i < item.offered.size(); ++i) {
+      for (std::size_t i = 0; i < item.versions.size(); ++i) {
         CPPUNIT_ASSERT_MESSAGE(
-            item.name, store.ApplyVersion(item.offered[i]) == item.fates[i]);
+            item.name, store.ApplyVersion(item.versions[i]) == item.results[i]);
       }
       const auto catalog = BuildCatalog(9, store.ValidRecords());
       const RateRecord* rate = FindRecord(catalog->rates, "w");
