--- a/dragonflyglade/caller/event_stream.h
+++ b/dragonflyglade/caller/event_stream.h
@@ -40,7 +40,8 @@
   /// Ends the stream successfully.
   void Finish();
 
-  /// Ends the stream with a failure, unless it has ended already.
+  /// Ends the stream with a failure, which the caller receives as its last
+  /// event. Has no effect if the stream has ended already.
   void Fail(Refusal refusal);
 
   /// Ends the stream early, from either side.
--- a/dragonflyglade/peer/fleet.thrift
+++ b/dragonflyglade/peer/fleet.thrift
@@ -139,9 +139,9 @@
       report names. */
   6: list<TargetHoldings> holdings
   7: list<WorkspaceSpend> spends
-  /** The instances that restarted within the quota window, so that their
-      earlier spending is unknown, each counted as the fraction of the window
-      for which it is unknown. */
+  /** Of the listed instances, those that restarted within the quota window so
+      that their earlier spending is unknown, each counted as the fraction of
+      the window for which it is unknown. */
   8: double unknown_shares
   9: StoreDigest store
   /** The fraction of each quota, 0 to 1, that may be spent by instances whose
