--- a/dragonflyglade/caller/request_handler.h
+++ b/dragonflyglade/caller/request_handler.h
@@ -20,31 +20,32 @@
 /// Whether the instance takes new work.
 enum class ServingState { kStarting, kServing, kDraining };
 
-/// Answers callers' requests: checks the key, then hands the request to the
-/// part that runs it. Thread-safe.
+/// Handles callers' requests: authenticates the caller by its key and passes
+/// the request to the runner that executes it. Thread-safe.
 class RequestHandler {
  public:
+  /// @param cache_duration how long callers may cache the list of instances
   RequestHandler(const CatalogHolder& catalog, const ConfigFreshness& freshness,
                  const Membership& membership, CompletionRunner& completions,
                  ServiceRunner& services, Metrics& metrics, CallerLimits limits,
-                 absl::Duration keep);
+                 absl::Duration cache_duration);
 
-  /// Answers any request.
+  /// Handles a request.
   IdentifiedResponse Handle(const CallerRequest& request);
 
-  /// Whether new work is taken, and if not, why.
+  /// Whether new work is accepted; a refusal says why not.
   std::variant<ServingState, Refusal> Readiness() const;
 
-  /// How long callers may keep a which-instance answer.
-  absl::Duration Keep() const { return this->keep; }
+  /// How long callers may cache the list of instances.
+  absl::Duration CacheDuration() const { return this->cache_duration; }
 
   const CallerLimits& Limits() const { return this->limits; }
 
  private:
-  CallerResponse Answer(const CallerRequest& request,
-                        const std::string& request_id);
-  CallerResponse AnswerInstances(const CallerRequest& request) const;
-  CallerResponse AnswerModels(const CallContext& context) const;
+  CallerResponse Process(const CallerRequest& request,
+                         const std::string& request_id);
+  CallerResponse ListInstances(const CallerRequest& request) const;
+  CallerResponse ListModels(const CallContext& context) const;
   std::variant<CallContext, Refusal> Authenticate(
       const CallerRequest& request, const std::string& request_id) const;
   CallerResponse RunAuthenticated(const CallContext& context,
@@ -57,7 +58,7 @@
   ServiceRunner& services;
   Metrics& metrics;
   const CallerLimits limits;
-  const absl::Duration keep;
+  const absl::Duration cache_duration;
 };
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/caller/reservation.cc
+++ b/dragonflyglade/caller/reservation.cc
@@ -21,12 +21,13 @@
 }
 
 std::variant<TargetReservation, Refusal> WaitForReservation(
-    Dispatcher& dispatcher, const TargetRequirements& need,
+    Dispatcher& dispatcher, const TargetRequirements& requirements,
     const ReservationRequest& request) {
-  const auto place = dispatcher.Acquire(
-      need, request.workspace, request.request_class, request.deadline);
-  if (const auto* found = std::get_if<TargetReservation>(&place)) return *found;
-  if (const auto* reason = std::get_if<ReservationError>(&place)) {
+  const auto result = dispatcher.Reserve(
+      requirements, request.workspace, request.request_class, request.deadline);
+  if (const auto* found = std::get_if<TargetReservation>(&result))
+    return *found;
+  if (const auto* reason = std::get_if<ReservationError>(&result)) {
     return RefusalFor(*reason, request.what);
   }
   return Refusal{RefusalCode::kQueueFull,
--- a/dragonflyglade/peer/admission_gate.cc
+++ b/dragonflyglade/peer/admission_gate.cc
@@ -14,7 +14,8 @@
                              Membership& membership, PeerClient& peers)
     : shares(shares), membership(membership), peers(peers) {}
 
-void AdmissionGate::Borrow(Admission& admission, const BorrowFromPeer& step) {
+void AdmissionGate::RequestLoan(Admission& admission,
+                                const BorrowFromPeer& step) {
   ++this->borrows;
   std::optional<Loan> loan;
   const std::optional<MemberStatus> lender = this->membership.Find(step.peer);
@@ -26,13 +27,13 @@
   this->shares.CompleteLoan(admission, step.peer, loan);
 }
 
-void AdmissionGate::GiveBack(std::string_view workspace,
-                             absl::Span<const LoanReturn> returns) {
-  for (const LoanReturn& part : returns) {
-    const std::optional<MemberStatus> lender = this->membership.Find(part.peer);
+void AdmissionGate::ReturnLoans(std::string_view workspace,
+                                absl::Span<const LoanReturn> returns) {
+  for (const LoanReturn& loan : returns) {
+    const std::optional<MemberStatus> lender = this->membership.Find(loan.peer);
     if (!lender.has_value()) continue;
-    this->peers.GiveBack(PeerEndpoint(*lender), workspace, part.tokens,
-                         part.stamp);
+    this->peers.ReturnLoan(PeerEndpoint(*lender), workspace, loan.tokens,
+                           loan.stamp);
   }
 }
 
@@ -43,11 +44,11 @@
     const AdmissionStep step = this->shares.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return admission;
     if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
-      this->Borrow(admission, *borrow);
+      this->RequestLoan(admission, *borrow);
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
     } else if (const auto* over = std::get_if<OverRate>(&step)) {
-      this->GiveBack(workspace, over->returns);
+      this->ReturnLoans(workspace, over->returns);
       return Refusal{RefusalCode::kOverRate,
                      fmt::format("workspace {} is over its rate", workspace),
                      over->retry_after};
--- a/dragonflyglade/peer/heartbeat.cc
+++ b/dragonflyglade/peer/heartbeat.cc
@@ -7,7 +7,7 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr std::size_t kBalancesPerMessage = 16;
+constexpr std::size_t kMaxBalancesPerHeartbeat = 16;
 constexpr std::int64_t kNeverConfirmed = -1;
 
 }  // namespace
@@ -30,21 +30,21 @@
       on_newer(std::move(on_newer)),
       clock(clock) {}
 
-wire::Heartbeat HeartbeatExchange::Make(std::string_view to) {
+wire::Heartbeat HeartbeatExchange::MakeHeartbeat(std::string_view to) {
   wire::Heartbeat heartbeat;
   heartbeat.sender = ToWire(this->membership.Self());
   for (const MemberStatus& update : this->membership.UpdatesFor(to)) {
     heartbeat.updates.push_back(ToWire(update));
   }
-  // The age is read before the revision: a record that arrives in between
-  // makes the statement older than it is, never newer.
+  // The age is read before the revision, so if a record arrives in between, the
+  // configuration is reported as older than it is, never as newer.
   const absl::Duration age = this->freshness.Age();
   heartbeat.config_age_ms = age == absl::InfiniteDuration()
                                 ? kNeverConfirmed
                                 : absl::ToInt64Milliseconds(age) + 1;
   heartbeat.config_revision = this->records.CompleteRevision();
   for (const WorkspaceBalance& balance :
-       this->shares.Balances(kBalancesPerMessage)) {
+       this->shares.Balances(kMaxBalancesPerHeartbeat)) {
     heartbeat.balances.push_back(ToWire(balance));
   }
   for (const auto& [target, mark_age] : this->targets.LeavingTargets()) {
@@ -57,8 +57,8 @@
   return heartbeat;
 }
 
-void HeartbeatExchange::Take(const wire::Heartbeat& heartbeat,
-                             std::optional<Instant> asked_at) {
+void HeartbeatExchange::ApplyHeartbeat(const wire::Heartbeat& heartbeat,
+                                       std::optional<Instant> sent_at) {
   const MemberStatus sender = FromWire(heartbeat.sender);
   std::vector<MemberStatus> updates;
   updates.reserve(heartbeat.updates.size());
@@ -72,17 +72,19 @@
   for (const wire::TargetMark& mark : heartbeat.leaving_targets) {
     this->targets.MarkLeaving(mark.target, absl::Milliseconds(mark.age_ms));
   }
-  const std::int64_t own = this->records.CompleteRevision();
-  if (heartbeat.config_revision > own) {
+  const std::int64_t own_revision = this->records.CompleteRevision();
+  if (heartbeat.config_revision > own_revision) {
     this->on_newer(sender);
     return;
   }
-  // Failure: a heartbeat lies in a paused process's socket buffer and is read
-  // minutes later; taken at its word it would make an old configuration look
-  // fresh. Only the answer to a question is used, dated by the asking.
-  if (!asked_at.has_value()) return;
+  // Failure: a heartbeat waits in the socket buffer of a paused process and is
+  // read minutes later. If its configuration age were counted from then, an
+  // outdated configuration would look fresh. So the age is used only in a
+  // response to this instance's own heartbeat, and counted from the time at
+  // which that one was sent.
+  if (!sent_at.has_value()) return;
   if (heartbeat.config_age_ms == kNeverConfirmed) return;
-  this->freshness.MarkCurrentAt(*asked_at -
+  this->freshness.MarkCurrentAt(*sent_at -
                                 absl::Milliseconds(heartbeat.config_age_ms));
 }
 
--- a/dragonflyglade/peer/heartbeat.h
+++ b/dragonflyglade/peer/heartbeat.h
@@ -15,14 +15,14 @@
 
 namespace dragonflyglade {
 
-/// Where an instance listens for its peers.
+/// The endpoint at which an instance listens for other instances.
 Endpoint PeerEndpoint(const MemberStatus& member);
 
-/// Fills heartbeats from this instance's state and takes in others'.
-/// Thread-safe.
+/// Makes heartbeats from this instance's state, and applies those received
+/// from other instances to it. Thread-safe.
 class HeartbeatExchange {
  public:
-  /// Called with an instance that has a newer configuration.
+  /// Called with an instance that has a newer configuration than this one.
   using OnNewerConfig = std::function<void(const MemberStatus&)>;
 
   HeartbeatExchange(Membership& membership, DistributedRateLimiter& shares,
@@ -30,13 +30,14 @@
                     TargetRegistry& targets, OnNewerConfig on_newer,
                     Clock clock);
 
-  /// The heartbeat to send to an instance.
-  wire::Heartbeat Make(std::string_view to);
+  /// Makes the heartbeat to send to an instance.
+  wire::Heartbeat MakeHeartbeat(std::string_view to);
 
-  /// Takes a heartbeat in.
-  /// @param asked_at when this instance sent the request that it answers;
-  ///   nothing if it came unasked
-  void Take(const wire::Heartbeat& heartbeat, std::optional<Instant> asked_at);
+  /// Applies a received heartbeat.
+  /// @param sent_at when this instance sent the heartbeat to which the
+  ///   received one is the response; nothing if it is not a response
+  void ApplyHeartbeat(const wire::Heartbeat& heartbeat,
+                      std::optional<Instant> sent_at);
 
  private:
   Membership& membership;
--- a/dragonflyglade/peer/peer_server.cc
+++ b/dragonflyglade/peer/peer_server.cc
@@ -22,7 +22,7 @@
 using apache::thrift::transport::TFramedTransportFactory;
 using apache::thrift::transport::TServerSocket;
 
-constexpr int kIdleConnectionMilliseconds = 15'000;
+constexpr int kIdleTimeoutMilliseconds = 15'000;
 
 class Handler : public wire::PeerServiceIf {
  public:
@@ -38,9 +38,10 @@
         rates(demand),
         prober(std::move(prober)) {}
 
-  void exchange(wire::Heartbeat& reply, const wire::Heartbeat& own) override {
-    this->heartbeats.Take(own, std::nullopt);
-    reply = this->heartbeats.Make(own.sender.name);
+  void exchange(wire::Heartbeat& reply,
+                const wire::Heartbeat& received) override {
+    this->heartbeats.ApplyHeartbeat(received, std::nullopt);
+    reply = this->heartbeats.MakeHeartbeat(received.sender.name);
   }
 
   bool probe(const std::string& name) override { return this->prober(name); }
@@ -48,7 +49,8 @@
   void pullConfig(wire::ConfigPage& page,
                   const std::int64_t after_revision) override {
     const absl::Duration age = this->freshness.Age();
-    // The revision is read first: the page may hold more than it promises.
+    // The revision is read before the records, so the page may hold records
+    // newer than its revision but never lacks older ones.
     page.revision = this->records.CompleteRevision();
     for (const RecordVersion& version :
          this->records.VersionsSince(after_revision)) {
@@ -93,7 +95,7 @@
   const PeerServer::Prober prober;
 };
 
-// The server binds inside serve(), so this is where its port is known.
+// Notifies when the server has bound its port, which happens inside serve().
 class BoundSignal : public apache::thrift::server::TServerEventHandler {
  public:
   void preServe() override { this->bound.Notify(); }
@@ -128,31 +130,32 @@
   Impl& state = *this->impl;
   state.socket =
       std::make_shared<TServerSocket>(state.listen.address, state.listen.port);
-  state.socket->setRecvTimeout(kIdleConnectionMilliseconds);
+  state.socket->setRecvTimeout(kIdleTimeoutMilliseconds);
   state.server = std::make_unique<TThreadedServer>(
       std::make_shared<wire::PeerServiceProcessor>(state.handler), state.socket,
       std::make_shared<TFramedTransportFactory>(),
       std::make_shared<TCompactProtocolFactory>());
   auto signal = std::make_shared<BoundSignal>();
   state.server->setServerEventHandler(signal);
-  std::string problem;
-  state.thread = std::thread([&state, &problem, signal] {
+  std::string bind_error;
+  state.thread = std::thread([&state, &bind_error, signal] {
     try {
       state.server->serve();
     } catch (const TException& error) {
       if (signal->bound.HasBeenNotified()) {
-        LogFor(LogPart::kPeer).error("Server ended: {}.", error.what());
+        LogFor(LogPart::kPeer)
+            .error("The peer server stopped unexpectedly: {}.", error.what());
         return;
       }
-      problem = error.what();
+      bind_error = error.what();
       signal->bound.Notify();
     }
   });
   signal->bound.WaitForNotification();
-  if (problem.empty()) return state.socket->getPort();
+  if (bind_error.empty()) return state.socket->getPort();
   state.thread.join();
   return MakeFailure(Errc::kUnavailable, "listen for peers",
-                     state.listen.ToString(), problem);
+                     state.listen.ToString(), bind_error);
 }
 
 void PeerServer::Stop() {
--- a/dragonflyglade/store/discovery_client.cc
+++ b/dragonflyglade/store/discovery_client.cc
@@ -10,9 +10,9 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "platform list";
+constexpr const char* kDiscoveryPeer = "platform discovery";
 constexpr int kHttpOk = 200;
-constexpr const char* kLeaving = "leaving";
+constexpr const char* kLeavingState = "leaving";
 
 ListedInstance DecodeInstance(const json& item) {
   ListedInstance listed;
@@ -21,7 +21,7 @@
   listed.info.peer_port = item.at("peer_port").get<int>();
   listed.info.caller_port = item.at("caller_port").get<int>();
   listed.info.zone = item.at("zone").get<std::string>();
-  listed.leaving = item.value("state", std::string()) == kLeaving;
+  listed.leaving = item.value("state", std::string()) == kLeavingState;
   return listed;
 }
 
@@ -32,7 +32,7 @@
   listed.port = item.at("port").get<int>();
   listed.zone = item.at("zone").get<std::string>();
   listed.pool = item.at("pool").get<std::string>();
-  listed.leaving = item.value("state", std::string()) == kLeaving;
+  listed.leaving = item.value("state", std::string()) == kLeavingState;
   return listed;
 }
 
@@ -45,22 +45,22 @@
   HttpOptions options;
   options.connect_timeout = this->timeout;
   options.read_timeout = this->timeout;
-  HttpCall call(this->endpoint, options, kPeer);
+  HttpCall call(this->endpoint, options, kDiscoveryPeer);
   HttpRequest request;
   request.path = path;
   Result<HttpResponse> reply = call.Run(request);
   if (!reply.Ok()) {
-    return MakeFailure(Errc::kUnavailable, "read " + path, kPeer,
+    return MakeFailure(Errc::kUnavailable, "read " + path, kDiscoveryPeer,
                        reply.Error().ToString());
   }
   if (reply.Value().head.status != kHttpOk) {
-    return MakeFailure(Errc::kUnavailable, "read " + path, kPeer,
+    return MakeFailure(Errc::kUnavailable, "read " + path, kDiscoveryPeer,
                        std::to_string(reply.Value().head.status));
   }
   return std::move(reply.Value().body);
 }
 
-Result<InstanceList> DiscoveryClient::Instances() const {
+Result<InstanceList> DiscoveryClient::FetchInstances() const {
   const Result<std::string> text = this->Get("/instances");
   if (!text.Ok()) return text.Error();
   try {
@@ -72,12 +72,12 @@
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kMalformedResponse, "read instances", kPeer,
-                       error.what());
+    return MakeFailure(Errc::kMalformedResponse, "read instances",
+                       kDiscoveryPeer, error.what());
   }
 }
 
-Result<DiscoveredTargets> DiscoveryClient::Targets() const {
+Result<DiscoveredTargets> DiscoveryClient::FetchTargets() const {
   const Result<std::string> text = this->Get("/targets");
   if (!text.Ok()) return text.Error();
   try {
@@ -89,7 +89,7 @@
     }
     return list;
   } catch (const json::exception& error) {
-    return MakeFailure(Errc::kMalformedResponse, "read targets", kPeer,
+    return MakeFailure(Errc::kMalformedResponse, "read targets", kDiscoveryPeer,
                        error.what());
   }
 }
--- a/dragonflyglade/target/target_poller.cc
+++ b/dragonflyglade/target/target_poller.cc
@@ -10,7 +10,8 @@
 namespace dragonflyglade {
 namespace {
 
-// One slow engine must not make the reports of all others old.
+// Engines are polled in parallel, so that a slow engine does not delay the
+// reports of all others.
 constexpr std::size_t kPollThreads = 4;
 
 }  // namespace
@@ -27,7 +28,7 @@
       options(options),
       list_period(list_period),
       report_period(report_period),
-      list_worker([this] { return this->ListRound(); }),
+      list_worker([this] { return this->PollTargetList(); }),
       report_worker([this] { return this->PollLoadReports(); }) {}
 
 TargetPoller::~TargetPoller() { this->Stop(); }
@@ -42,8 +43,8 @@
   this->report_worker.Stop();
 }
 
-absl::Duration TargetPoller::ListRound() {
-  const Result<DiscoveredTargets> list = this->lists.Targets();
+absl::Duration TargetPoller::PollTargetList() {
+  const Result<DiscoveredTargets> list = this->lists.FetchTargets();
   if (list.Ok()) {
     this->targets.ApplyTargetList(list.Value().version, list.Value().targets);
     this->report_worker.Wake();
@@ -56,7 +57,7 @@
 void TargetPoller::PollEngine(const ListedTarget& target) {
   const EngineClient engine(Endpoint{target.address, target.port}, target.name,
                             this->options);
-  const Result<EngineReport> report = engine.Report();
+  const Result<EngineReport> report = engine.FetchReport();
   if (!report.Ok()) return;
   if (report.Value().leaving) this->targets.MarkLeaving(target.name);
   this->targets.ApplyLoadReport(target.pool, target.name, report.Value().load);
--- a/tests/platform/platform-connections.cc
+++ b/tests/platform/platform-connections.cc
@@ -128,7 +128,7 @@
     GatewayHarness harness;
     std::unique_ptr<LoopBlocker> blocker;
     absl::Notification blocked;
-    harness.first.Next([&](const RawRequest& request) {
+    harness.first.EnqueueAnswer([&](const RawRequest& request) {
       blocker = std::make_unique<LoopBlocker>(harness);
       blocked.Notify();
       return Script{ResponseBytes(request, "200 OK",
--- a/tests/platform/platform-faults.cc
+++ b/tests/platform/platform-faults.cc
@@ -72,7 +72,7 @@
       GatewayHarness::Options options;
       item.inject(fault, options.wire);
       GatewayHarness harness(std::move(options));
-      harness.first.Next([&](const RawRequest& request) {
+      harness.first.EnqueueAnswer([&](const RawRequest& request) {
         return SuccessfulResponse(request);
       });
       fault.Arm();
--- a/tests/platform/platform-gateway.cc
+++ b/tests/platform/platform-gateway.cc
@@ -262,10 +262,11 @@
   // gateway must close the connection instead.
   void NoSecondResponseInABrokenStream() {
     Harness harness;
-    harness.first.Next(BrokenStream);
+    harness.first.EnqueueAnswer(BrokenStream);
     // More than the attempts that the gateway makes.
     constexpr int kRefusals = 6;
-    for (int i = 0; i < kRefusals; ++i) harness.first.Next(DeclinedResponse);
+    for (int i = 0; i < kRefusals; ++i)
+      harness.first.EnqueueAnswer(DeclinedResponse);
     const Harness::Reply reply = harness.Call("POST", "/resumed/x");
     CPPUNIT_ASSERT_EQUAL(200, reply.status);
     CPPUNIT_ASSERT(!reply.ended_whole);
@@ -313,7 +314,7 @@
   // response nobody reads.
   void ClosesTheTargetConnectionWhenTheCallerDisconnects() {
     Harness harness;
-    harness.first.Next([](const RawRequest&) {
+    harness.first.EnqueueAnswer([](const RawRequest&) {
       return Script{"", false, true};
     });
     const std::size_t before = harness.first.Requests().size();
--- a/tests/standins/discovery_stand_in.cc
+++ b/tests/standins/discovery_stand_in.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kThreads = 64;
-constexpr std::size_t kSnapshots = 100;
+constexpr std::size_t kMaxSnapshots = 100;
 
 const char* StateOf(bool leaving) { return leaving ? "leaving" : "live"; }
 
@@ -21,22 +21,22 @@
     : server(Endpoint{"127.0.0.1", 0}, kThreads) {
   {
     absl::MutexLock lock(&this->mutex);
-    this->Record();
+    this->RecordSnapshot();
   }
-  const auto answer = [this](bool targets, httplib::Response& response) {
+  const auto respond = [this](bool targets, httplib::Response& response) {
     absl::MutexLock lock(&this->mutex);
-    if (this->out) return DropResponse(response);
-    const Snapshot& visible = this->Visible();
+    if (this->unavailable) return DropResponse(response);
+    const Snapshot& visible = this->VisibleSnapshot();
     response.set_content(targets ? visible.targets : visible.instances,
                          "application/json");
   };
   this->server.HttplibServer().Get(
-      "/instances", [answer](const httplib::Request&, httplib::Response& r) {
-        answer(false, r);
+      "/instances", [respond](const httplib::Request&, httplib::Response& r) {
+        respond(false, r);
       });
   this->server.HttplibServer().Get(
-      "/targets", [answer](const httplib::Request&, httplib::Response& r) {
-        answer(true, r);
+      "/targets", [respond](const httplib::Request&, httplib::Response& r) {
+        respond(true, r);
       });
 }
 
@@ -51,36 +51,36 @@
   this->lag = lag;
 }
 
-void DiscoveryStandIn::SetUnavailable(bool out) {
+void DiscoveryStandIn::SetUnavailable(bool unavailable) {
   absl::MutexLock lock(&this->mutex);
-  this->out = out;
+  this->unavailable = unavailable;
 }
 
 void DiscoveryStandIn::PutInstance(const ListedInstance& instance) {
   absl::MutexLock lock(&this->mutex);
   this->instances[instance.info.name] = instance;
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void DiscoveryStandIn::RemoveInstance(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->instances.erase(name);
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void DiscoveryStandIn::PutTarget(const ListedTarget& target) {
   absl::MutexLock lock(&this->mutex);
   this->targets[target.name] = target;
-  this->Record();
+  this->RecordSnapshot();
 }
 
 void DiscoveryStandIn::RemoveTarget(const std::string& name) {
   absl::MutexLock lock(&this->mutex);
   this->targets.erase(name);
-  this->Record();
+  this->RecordSnapshot();
 }
 
-void DiscoveryStandIn::Record() {
+void DiscoveryStandIn::RecordSnapshot() {
   ++this->version;
   json instances = json::array();
   for (const auto& [name, listed] : this->instances) {
@@ -107,14 +107,14 @@
   snapshot.targets =
       json({{"version", this->version}, {"targets", targets}}).dump();
   this->snapshots.push_back(std::move(snapshot));
-  if (this->snapshots.size() > kSnapshots) this->snapshots.pop_front();
+  if (this->snapshots.size() > kMaxSnapshots) this->snapshots.pop_front();
 }
 
-const DiscoveryStandIn::Snapshot& DiscoveryStandIn::Visible() {
-  const absl::Time until = absl::Now() - this->lag;
+const DiscoveryStandIn::Snapshot& DiscoveryStandIn::VisibleSnapshot() {
+  const absl::Time visible_until = absl::Now() - this->lag;
   const Snapshot* visible = &this->snapshots.front();
   for (const Snapshot& snapshot : this->snapshots) {
-    if (snapshot.since <= until) visible = &snapshot;
+    if (snapshot.since <= visible_until) visible = &snapshot;
   }
   return *visible;
 }
--- a/tests/standins/drop_response.h
+++ b/tests/standins/drop_response.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_TESTS_STANDINS_FAULTY_ANSWER_H_
-#define DRAGONFLYGLADE_TESTS_STANDINS_FAULTY_ANSWER_H_
+#ifndef DRAGONFLYGLADE_TESTS_STANDINS_DROP_RESPONSE_H_
+#define DRAGONFLYGLADE_TESTS_STANDINS_DROP_RESPONSE_H_
 
 namespace httplib {
 struct Response;
@@ -7,10 +7,10 @@
 
 namespace dragonflyglade {
 
-/// Ends the connection after the head, so that the other end never gets a
-/// whole answer.
+/// Makes the server close the connection after the response's head, so that the
+/// client never receives a complete response.
 void DropResponse(httplib::Response& response);
 
 }  // namespace dragonflyglade
 
-#endif  // DRAGONFLYGLADE_TESTS_STANDINS_FAULTY_ANSWER_H_
+#endif  // DRAGONFLYGLADE_TESTS_STANDINS_DROP_RESPONSE_H_
--- a/tests/unit/unit-callers.cc
+++ b/tests/unit/unit-callers.cc
@@ -26,31 +26,31 @@
   const char* path;
   const char* workspace;
   std::string body;
-  const char* problem;  ///< part of the refusal; empty: accepted
+  const char* expected_text;  ///< part of the refusal; empty if accepted
 };
 
 struct KeyCase {
   const char* name;
-  std::string shown;
+  std::string presented_key;
   int expected;  ///< a KeyError, or -1 for accepted
 };
 
 class CallersTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(CallersTest);
-  CPPUNIT_TEST(CompletionBodiesAreChecked);
-  CPPUNIT_TEST(TheClassBecomesThePriority);
-  CPPUNIT_TEST(KeysAreChecked);
-  CPPUNIT_TEST(EventsAreCutWherever);
-  CPPUNIT_TEST(StreamsEndOnce);
-  CPPUNIT_TEST(InstancesAreChosenByZoneLoadAndShare);
+  CPPUNIT_TEST(RejectsMalformedCompletions);
+  CPPUNIT_TEST(SetsThePriorityByRequestClass);
+  CPPUNIT_TEST(RejectsInvalidKeys);
+  CPPUNIT_TEST(SplitsEventsAtAnyChunkSize);
+  CPPUNIT_TEST(EndsAStreamOnce);
+  CPPUNIT_TEST(ChoosesInstancesByZoneLoadAndShare);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void CompletionBodiesAreChecked() {
+  void RejectsMalformedCompletions() {
     const Catalog catalog = SmallCatalog();
     const char* plain = "/v1/completions";
     const char* chat = "/v1/chat/completions";
-    const std::string deep(5000, '[');
+    const std::string deeply_nested(5000, '[');
     const std::vector<BodyCase> cases = {
         {plain, "all", R"({"model":"m","prompt":"x"})", ""},
         {plain, "all", R"({"model":"m-a","prompt":"x","max_tokens":3})", ""},
@@ -61,7 +61,7 @@
         {plain, "all", R"({"model":"z","prompt":"x"})", "no model 'z'"},
         {plain, "all", "", "JSON object"},
         {plain, "all", "[]", "JSON object"},
-        {plain, "all", deep, "JSON object"},
+        {plain, "all", deeply_nested, "JSON object"},
         {plain, "all", R"({"prompt":"x"})", "model: expected"},
         {plain, "all", R"({"model":7,"prompt":"x"})", "model: expected"},
         {plain, "all", R"({"model":"m"})", "prompt: expected"},
@@ -81,61 +81,62 @@
           ParseCompletion(item.path, item.body, catalog, item.workspace);
       const auto* refusal = std::get_if<Refusal>(&parsed);
       const std::string text = refusal == nullptr ? "" : refusal->message;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.body, *item.problem != '\0',
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(item.body, *item.expected_text != '\0',
                                    refusal != nullptr);
-      CPPUNIT_ASSERT_MESSAGE(item.body + ": " + text,
-                             text.find(item.problem) != std::string::npos);
+      CPPUNIT_ASSERT_MESSAGE(
+          item.body + ": " + text,
+          text.find(item.expected_text) != std::string::npos);
     }
   }
 
-  void TheClassBecomesThePriority() {
+  void SetsThePriorityByRequestClass() {
     const Catalog catalog = SmallCatalog();
-    // What a caller writes there itself is replaced.
+    // A priority that the caller sets is replaced.
     const std::string body = R"({"model":"m","prompt":"x","priority":-9})";
     for (const RequestClass kind :
          {RequestClass::kUrgent, RequestClass::kChat, RequestClass::kBatch}) {
       const auto parsed =
           ParseCompletion("/v1/completions", body, catalog, "all", kind);
       const auto& request = std::get<CompletionRequest>(parsed);
-      const auto sent = nlohmann::json::parse(request.body);
+      const auto engine_body = nlohmann::json::parse(request.body);
       CPPUNIT_ASSERT_EQUAL(static_cast<int>(kind),
-                           sent.at("priority").get<int>());
-      CPPUNIT_ASSERT(sent.at("stream").get<bool>());
+                           engine_body.at("priority").get<int>());
+      CPPUNIT_ASSERT(engine_body.at("stream").get<bool>());
     }
   }
 
-  void KeysAreChecked() {
+  void RejectsInvalidKeys() {
     Catalog catalog;
-    const CallerKey good = NewCallerKey();
+    const CallerKey valid = NewCallerKey();
     const CallerKey withdrawn = NewCallerKey();
     const CallerKey other = NewCallerKey();
     const auto add = [&catalog](const CallerKey& key, bool is_withdrawn) {
       const std::string salt = NewSalt();
       catalog.keys[key.id] = KeyRecord{
-          key.id, "w", salt, DigestOf(salt, key.secret), is_withdrawn};
+          key.id, "w", salt, SaltedDigest(salt, key.secret), is_withdrawn};
     };
-    add(good, false);
+    add(valid, false);
     add(withdrawn, true);
-    const std::string text = good.ToString();
+    const std::string text = valid.ToString();
     const auto problem = [](KeyError p) { return static_cast<int>(p); };
     const std::vector<KeyCase> cases = {
         {"good", text, -1},
         {"withdrawn", withdrawn.ToString(), problem(KeyError::kWithdrawn)},
         {"a withdrawn id with a wrong secret",
-         CallerKey{withdrawn.id, good.secret}.ToString(),
+         CallerKey{withdrawn.id, valid.secret}.ToString(),
          problem(KeyError::kUnknown)},
         {"unknown", other.ToString(), problem(KeyError::kUnknown)},
-        {"another's secret", CallerKey{good.id, other.secret}.ToString(),
+        {"another's secret", CallerKey{valid.id, other.secret}.ToString(),
          problem(KeyError::kUnknown)},
         {"truncated", text.substr(0, text.size() - 1),
          problem(KeyError::kMalformed)},
         {"lengthened", text + "0", problem(KeyError::kMalformed)},
         {"upper case", "DG" + text.substr(2), problem(KeyError::kMalformed)},
         {"empty", "", problem(KeyError::kMalformed)},
-        {"only the id", "dg_" + good.id, problem(KeyError::kMalformed)},
+        {"only the id", "dg_" + valid.id, problem(KeyError::kMalformed)},
     };
     for (const KeyCase& item : cases) {
-      const auto checked = FindKeyRecord(catalog, item.shown);
+      const auto checked = FindKeyRecord(catalog, item.presented_key);
       const auto* found = std::get_if<KeyError>(&checked);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(
           item.name, item.expected,
@@ -143,7 +144,7 @@
     }
   }
 
-  void EventsAreCutWherever() {
+  void SplitsEventsAtAnyChunkSize() {
     const std::string stream =
         ": comment\n\ndata: one\n\nevent: x\r\ndata: two\r\ndata:three\r\n\r\n"
         "data: [DONE]\n\ndata: cut";
@@ -161,7 +162,7 @@
     }
   }
 
-  void StreamsEndOnce() {
+  void EndsAStreamOnce() {
     EventStream stream(2);
     CPPUNIT_ASSERT(stream.Push("a"));
     stream.Fail(Refusal{RefusalCode::kStreamEnded, "withdrawn"});
@@ -177,7 +178,7 @@
     CPPUNIT_ASSERT(done);
   }
 
-  void InstancesAreChosenByZoneLoadAndShare() {
+  void ChoosesInstancesByZoneLoadAndShare() {
     std::vector<MemberStatus> members;
     for (const char* name : {"far", "near", "busy", "leaving", "dead", "new"}) {
       MemberStatus member;
@@ -191,9 +192,9 @@
     members[3].leaving = true;
     members[4].state = MemberState::kDead;
     members[5].incarnation = 0;
-    const std::vector<std::string> holders = {"far"};
+    const std::vector<std::string> share_owners = {"far"};
     const auto choices =
-        ChooseInstances(members, InstanceQuery{"z", "", "w"}, holders);
+        ChooseInstances(members, InstanceQuery{"z", "", "w"}, share_owners);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, choices.size());
     CPPUNIT_ASSERT_EQUAL(std::string("busy"), choices.back().name);
     double total = 0;
