--- a/dragonflyglade/decision/quota_windows.h
+++ b/dragonflyglade/decision/quota_windows.h
@@ -36,7 +36,7 @@
 struct QuotaVerdict {
   bool admitted = true;
   absl::Duration retry_after = absl::ZeroDuration();
-  double left = 0;  ///< tokens this instance could spend before the request
+  double left = 0;  ///< tokens that could be spent before this request
 };
 
 /// What the whole fleet spent in the window, by the newest summary.
@@ -47,7 +47,7 @@
   /// Number of instances that restarted and whose earlier spending is not in
   /// the total, each weighted by the fraction of the window that is not known.
   double unknown_shares = 0;
-  /// Fraction of the quota that instances may be spending which do not report;
+  /// Fraction of the quota that instances which do not report may be spending;
   /// see QuotaParticipants.
   double unreported_fraction = 0;
 };
