--- a/dragonflyglade/decision/target_registry.h
+++ b/dragonflyglade/decision/target_registry.h
@@ -91,12 +91,9 @@
   kUnknownPool,  ///< the pool has no targets
 };
 
-/// How a request at a target ended.
-enum class RequestOutcome {
-  kSucceeded,
-  kTargetFault,  ///< counts towards the ejection of the target
-  kNeutral,      ///< says nothing about the target, e.g. the caller left
-};
+/// How a request at a target ended. kTargetFault counts towards the ejection of
+/// the target; kNeutral says nothing about it, e.g. if the caller disconnected.
+enum class RequestOutcome { kSucceeded, kTargetFault, kNeutral };
 
 /// A target's state for status reports.
 struct TargetStatus {
