--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -83,9 +83,9 @@
   const ClockReadings sent = ReadClocks();
   const absl::Duration wanted = this->WantedTtl();
   StoreCall call = StoreLeaseGrant{wanted};
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  const auto* lease = std::get_if<StoreLease>(&reply);
+  const auto* lease = std::get_if<StoreLease>(&response);
   if (lease == nullptr) co_return;
   this->lease = lease->lease;
   this->granted_ttl = lease->ttl;
@@ -101,11 +101,11 @@
   transaction.puts.push_back({FleetState::InstanceKey(this->self.name),
                               EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+  if (std::holds_alternative<StoreLeaseNotFound>(response))
     this->HandleLeaseLoss();
-  this->is_registered = std::holds_alternative<StoreCommitted>(reply);
+  this->is_registered = std::holds_alternative<StoreCommitted>(response);
   if (this->is_registered) {
     this->log.Write("registration", "entered", {{"lease", this->lease}});
   }
@@ -114,13 +114,13 @@
 asio::awaitable<void> Registration::Renew() {
   const ClockReadings sent = ReadClocks();
   StoreCall call = StoreLeaseRenewal{this->lease};
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreLeaseNotFound>(reply)) {
+  if (std::holds_alternative<StoreLeaseNotFound>(response)) {
     this->HandleLeaseLoss();
     co_return;
   }
-  const auto* lease = std::get_if<StoreLease>(&reply);
+  const auto* lease = std::get_if<StoreLease>(&response);
   if (lease == nullptr) co_return;
   this->granted_ttl = lease->ttl;
   this->renewed_at = sent;
@@ -208,11 +208,11 @@
   transaction.puts.push_back(
       {key, EncodeInstanceRecord(this->self), this->lease});
   StoreCall call = std::move(transaction);
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreLeaseNotFound>(reply))
+  if (std::holds_alternative<StoreLeaseNotFound>(response))
     this->HandleLeaseLoss();
-  const auto* committed = std::get_if<StoreCommitted>(&reply);
+  const auto* committed = std::get_if<StoreCommitted>(&response);
   if (committed == nullptr) co_return;
   this->leader_lease.OnLeaseAcquired(committed->revision, this->renewed_at,
                                      this->granted_ttl);
@@ -239,10 +239,10 @@
   bool is_confirmed = false;
   while (!is_confirmed) {
     StoreCall call = transaction;
-    const StoreResponse reply =
+    const StoreResponse response =
         co_await this->store.Call(std::move(call), kCallTimeout);
-    is_confirmed = std::holds_alternative<StoreCommitted>(reply);
-    if (std::holds_alternative<StoreConflict>(reply)) {
+    is_confirmed = std::holds_alternative<StoreCommitted>(response);
+    if (std::holds_alternative<StoreConflict>(response)) {
       // Another instance is leader; only this instance's own entry is removed.
       transaction.preconditions.clear();
       transaction.deletes.resize(1);
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -57,9 +57,9 @@
 asio::awaitable<bool> SpendRecorder::ReadPreviousRecord() {
   const std::string key(FleetState::kSpendRecordKey);
   StoreCall call = StoreList{key, ""};
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  const auto* page = std::get_if<StorePage>(&reply);
+  const auto* page = std::get_if<StorePage>(&response);
   if (page == nullptr) co_return false;
   const auto item = std::find_if(
       page->items.begin(), page->items.end(),
@@ -106,9 +106,9 @@
   transaction.puts.push_back(
       {std::string(FleetState::kSpendRecordKey), EncodeSpendRecord(record), 0});
   StoreCall call = std::move(transaction);
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), kCallTimeout);
-  if (std::holds_alternative<StoreCommitted>(reply)) {
+  if (std::holds_alternative<StoreCommitted>(response)) {
     this->last = std::move(record);
   }
 }
--- a/dragonflyglade/gateway/store_watcher.cc
+++ b/dragonflyglade/gateway/store_watcher.cc
@@ -39,11 +39,11 @@
 // the store counts each call that waits.
 constexpr const char* kAllKeysPrefix = "";
 
-std::string FailureText(const StoreResponse& reply) {
-  if (const auto* refused = std::get_if<StoreRefused>(&reply)) {
+std::string FailureText(const StoreResponse& response) {
+  if (const auto* refused = std::get_if<StoreRefused>(&response)) {
     return fmt::format("refused with status {}", refused->status);
   }
-  if (const auto* unknown = std::get_if<StoreOutcomeUnknown>(&reply)) {
+  if (const auto* unknown = std::get_if<StoreOutcomeUnknown>(&response)) {
     return "no answer: " + unknown->detail;
   }
   return "unexpected answer";
@@ -84,11 +84,11 @@
   bool more_pages = true;
   while (more_pages) {
     StoreCall call = StoreList{kAllKeysPrefix, after};
-    StoreResponse reply =
+    StoreResponse response =
         co_await this->store.Call(std::move(call), kListTimeout);
-    auto* page = std::get_if<StorePage>(&reply);
+    auto* page = std::get_if<StorePage>(&response);
     if (page == nullptr) {
-      co_await this->HandleStoreFailure(FailureText(reply));
+      co_await this->HandleStoreFailure(FailureText(response));
       co_return false;
     }
     // The pages are no snapshot. The watch therefore starts at the first page's
@@ -151,15 +151,15 @@
                                   ? kRelayWatchDuration
                                   : kWatchDuration;
   StoreCall call = StoreWatch{kAllKeysPrefix, this->revision, wait};
-  const StoreResponse reply =
+  const StoreResponse response =
       co_await this->store.Call(std::move(call), wait + kResponseTimeout);
-  if (std::holds_alternative<StoreCompacted>(reply)) {
+  if (std::holds_alternative<StoreCompacted>(response)) {
     this->HandleStoreResponse();
     co_return false;
   }
-  const auto* events = std::get_if<StoreEvents>(&reply);
+  const auto* events = std::get_if<StoreEvents>(&response);
   if (events == nullptr) {
-    co_await this->HandleStoreFailure(FailureText(reply));
+    co_await this->HandleStoreFailure(FailureText(response));
     co_return true;
   }
   this->HandleStoreResponse();
