--- a/dragonflyglade/gateway/gateway.cc
+++ b/dragonflyglade/gateway/gateway.cc
@@ -356,14 +356,13 @@
   // After that, the process ends as soon as no request is in progress.
   const absl::Duration max_shutdown_time =
       this->settings.stop_within - kStopMargin;
-  const absl::Duration callers_refresh_time =
+  const absl::Duration cache_time =
       std::min(max_shutdown_time,
                kMaxDirectoryCacheFactor * this->settings.directory_keep);
   while (true) {
     const absl::Duration elapsed = this->clock.Now() - start;
     if (elapsed >= max_shutdown_time) break;
-    if (elapsed >= callers_refresh_time && this->pipeline.InFlight() == 0)
-      break;
+    if (elapsed >= cache_time && this->pipeline.InFlight() == 0) break;
     co_await Sleep(this->context, kStopPollInterval);
   }
   this->log.Write("process", "stopped",
--- a/dragonflyglade/gateway/target_connection.cc
+++ b/dragonflyglade/gateway/target_connection.cc
@@ -16,7 +16,7 @@
 // Idle timeout of connections whose target states none.
 constexpr absl::Duration kDefaultIdleTimeout = absl::Seconds(2);
 // One instance has no use for more idle connections to a target.
-constexpr std::size_t kMaxIdleConnections = 16;
+constexpr std::size_t kMaxIdleCount = 16;
 
 // Unread bytes on an idle connection are a late duplicate response, and an
 // unread end means that the target closed it. Neither connection may be reused.
@@ -44,8 +44,7 @@
                                           : kDefaultIdleTimeout;
   if (idle_timeout <= absl::ZeroDuration()) return;
   connection->usable_until = now + idle_timeout;
-  if (this->idle.size() >= kMaxIdleConnections)
-    this->idle.erase(this->idle.begin());
+  if (this->idle.size() >= kMaxIdleCount) this->idle.erase(this->idle.begin());
   this->idle.push_back(std::move(connection));
 }
 
