--- a/dragonflyglade/gateway/pipeline.cc
+++ b/dragonflyglade/gateway/pipeline.cc
@@ -66,7 +66,7 @@
   // The disconnect callback holds a reference to the job.
   connection.StopWatching();
   if (failure)
-    failure = co_await CatchException(this->AnswerFailure(job, failure));
+    failure = co_await CatchException(this->RespondToFailure(job, failure));
   this->in_flight -= 1;
   if (failure) std::rethrow_exception(failure);
 }
@@ -83,7 +83,7 @@
   co_await this->Forward(job);
 }
 
-asio::awaitable<void> Pipeline::AnswerFailure(
+asio::awaitable<void> Pipeline::RespondToFailure(
     RequestJob& job, const std::exception_ptr& failure) {
   this->tasks.ReportFailure("serve request", failure);
   if (job.connection.Responded() && !job.connection.StreamStarted()) co_return;
--- a/dragonflyglade/gateway/pipeline.h
+++ b/dragonflyglade/gateway/pipeline.h
@@ -56,8 +56,8 @@
   enum class NextStep { kDone, kTryAnother };
 
   boost::asio::awaitable<void> ServeJob(RequestJob& job);
-  boost::asio::awaitable<void> AnswerFailure(RequestJob& job,
-                                             const std::exception_ptr& failure);
+  boost::asio::awaitable<void> RespondToFailure(
+      RequestJob& job, const std::exception_ptr& failure);
   boost::asio::awaitable<std::optional<Refusal>> Admit(RequestJob& job);
   std::optional<Refusal> FindRoute(RequestJob& job);
   std::optional<Refusal> FindWorkspace(RequestJob& job);
--- a/dragonflyglade/gateway/target_state.cc
+++ b/dragonflyglade/gateway/target_state.cc
@@ -67,14 +67,13 @@
   const std::string key = ResidentKey(model, adapter);
   const auto absent = this->absent_until.find(key);
   if (absent != this->absent_until.end() && now < absent->second) return false;
-  const bool recent =
+  const bool fresh =
       this->placed_at.has_value() && now - *this->placed_at < kSummaryLifetime;
-  if (recent && this->closing_models.count(std::string(model)) > 0)
-    return false;
+  if (fresh && this->closing_models.count(std::string(model)) > 0) return false;
   for (const ResidentModel& item : this->record.models) {
     if (item.name != model) continue;
     if (adapter.empty()) return true;
-    if (recent) return this->placed_adapters.count(key) > 0;
+    if (fresh) return this->placed_adapters.count(key) > 0;
     return std::find(item.adapters.begin(), item.adapters.end(), adapter) !=
            item.adapters.end();
   }
