--- a/dragonflyglade/instance/allotment_keeper.cc
+++ b/dragonflyglade/instance/allotment_keeper.cc
@@ -13,47 +13,48 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr const char* kKeeperRole = "allotment keeper";
-constexpr std::size_t kSmallFleet = 8;
-constexpr std::size_t kHoldersInLargeFleet = 4;
+constexpr const char* kAllotmentKeeperRole = "allotment keeper";
+constexpr std::size_t kSmallFleetInstances = 8;
+constexpr std::size_t kOwnersInLargeFleet = 4;
 
 }  // namespace
 
-std::vector<OwnerCandidate> WantedHolders(
-    std::string_view workspace, const std::vector<OwnerCandidate>& able) {
-  if (able.size() <= kSmallFleet) return able;
+std::vector<OwnerCandidate> SelectShareOwners(
+    std::string_view workspace, const std::vector<OwnerCandidate>& eligible) {
+  if (eligible.size() <= kSmallFleetInstances) return eligible;
   std::vector<std::string> names;
-  names.reserve(able.size());
-  for (const OwnerCandidate& candidate : able) {
+  names.reserve(eligible.size());
+  for (const OwnerCandidate& candidate : eligible) {
     names.push_back(candidate.instance);
   }
   const std::vector<std::string> owners =
-      RendezvousOwners(workspace, names, kHoldersInLargeFleet);
-  std::vector<OwnerCandidate> wanted;
-  for (const OwnerCandidate& candidate : able) {
+      RendezvousOwners(workspace, names, kOwnersInLargeFleet);
+  std::vector<OwnerCandidate> selected;
+  for (const OwnerCandidate& candidate : eligible) {
     const bool owns = std::find(owners.begin(), owners.end(),
                                 candidate.instance) != owners.end();
-    if (owns) wanted.push_back(candidate);
+    if (owns) selected.push_back(candidate);
   }
-  return wanted;
+  return selected;
 }
 
 AllotmentKeeper::AllotmentKeeper(const KvClient& kv, PeerClient& peers,
                                  Membership& membership,
-                                 DistributedRateLimiter& shares,
+                                 DistributedRateLimiter& rate_limiter,
                                  const CatalogHolder& catalog,
                                  AuditTrail& audit, absl::Duration period,
-                                 absl::Duration settle, Hear hear, Clock clock)
+                                 absl::Duration reclaim_delay,
+                                 ContactInstance contact_instance, Clock clock)
     : kv(kv),
       peers(peers),
       membership(membership),
-      shares(shares),
+      rate_limiter(rate_limiter),
       catalog(catalog),
       audit(audit),
       period(period),
-      hear(std::move(hear)),
-      gone(settle, clock),
-      worker([this] { return this->Round(); }) {}
+      contact_instance(std::move(contact_instance)),
+      terminated_owners(reclaim_delay, clock),
+      worker([this] { return this->RunRound(); }) {}
 
 AllotmentKeeper::~AllotmentKeeper() { this->Stop(); }
 
@@ -62,123 +63,128 @@
 void AllotmentKeeper::Stop() { this->worker.Stop(); }
 
 bool AllotmentKeeper::IsKeeper() const {
-  return IsRendezvousOwner(kKeeperRole, this->membership.Self().info.name,
+  return IsRendezvousOwner(kAllotmentKeeperRole,
+                           this->membership.Self().info.name,
                            this->membership.ActiveNames(), 1);
 }
 
-AllotmentInputs AllotmentKeeper::CommonView() const {
-  AllotmentInputs view;
+AllotmentInputs AllotmentKeeper::CommonInputs() const {
+  AllotmentInputs inputs;
   const InstanceList list = this->membership.List();
-  view.list_version = list.version;
+  inputs.list_version = list.version;
   for (const ListedInstance& listed : list.instances) {
-    view.listed.insert(listed.info.name);
+    inputs.listed.insert(listed.info.name);
   }
   for (const MemberStatus& member : this->membership.All()) {
     if (member.incarnation != 0) {
-      view.responding[member.info.name] = member.incarnation;
+      inputs.responding[member.info.name] = member.incarnation;
     }
-    const bool able = !member.leaving && member.state == MemberState::kAlive &&
-                      view.listed.count(member.info.name) > 0;
-    if (able) {
-      view.candidates.push_back(
+    const bool eligible = !member.leaving &&
+                          member.state == MemberState::kAlive &&
+                          inputs.listed.count(member.info.name) > 0;
+    if (eligible) {
+      inputs.candidates.push_back(
           OwnerCandidate{member.info.name, member.incarnation});
     }
   }
-  return view;
+  return inputs;
 }
 
-// One instance notes changes of membership for all, or each would be in the
-// audit trail as often as there are instances.
-void AllotmentKeeper::NoteMembers() {
+// Only the instance that maintains the allotments audits membership changes.
+// Otherwise the audit trail would have one entry per instance for each change.
+void AllotmentKeeper::AuditMembershipChanges() {
   for (const MemberStatus& member : this->membership.All()) {
     std::string state = member.leaving ? "leaving" : "alive";
     if (member.state == MemberState::kDead) state = "dead";
     if (member.incarnation == 0) continue;
-    std::string& noted = this->noted_members[member.info.name];
+    std::string& audited = this->audited_members[member.info.name];
     const std::string seen = state + " " + std::to_string(member.incarnation);
-    if (noted == seen) continue;
-    noted = seen;
+    if (audited == seen) continue;
+    audited = seen;
     this->audit.Add("member", member.info.name,
                     {{"state", state}, {"incarnation", member.incarnation}});
   }
 }
 
-// In a large fleet a chosen holder may not have been heard of yet. It gets its
-// share in the round after it answered.
-void AllotmentKeeper::HearHolders(
-    std::map<std::string, AllotmentInputs>& views) {
-  std::set<std::string> unheard;
-  for (auto& [workspace, view] : views) {
-    std::vector<OwnerCandidate> heard;
-    for (const OwnerCandidate& candidate : view.candidates) {
+// In a large fleet, this instance may have had no heartbeat yet from a selected
+// owner. The owner gets its share in the round after it has responded.
+void AllotmentKeeper::ContactUnheardOwners(
+    std::map<std::string, AllotmentInputs>& inputs_by_workspace) {
+  std::set<std::string> uncontacted;
+  for (auto& [workspace, inputs] : inputs_by_workspace) {
+    std::vector<OwnerCandidate> contacted;
+    for (const OwnerCandidate& candidate : inputs.candidates) {
       if (candidate.incarnation != 0) {
-        heard.push_back(candidate);
+        contacted.push_back(candidate);
       } else {
-        unheard.insert(candidate.instance);
+        uncontacted.insert(candidate.instance);
       }
     }
-    view.candidates = std::move(heard);
+    inputs.candidates = std::move(contacted);
   }
-  for (const std::string& instance : unheard) {
+  for (const std::string& instance : uncontacted) {
     const std::optional<MemberStatus> member = this->membership.Find(instance);
-    if (member.has_value()) this->hear(*member);
+    if (member.has_value()) this->contact_instance(*member);
   }
 }
 
-// Asks each holder that should shrink which epochs it follows.
-void AllotmentKeeper::Confirm(const std::map<std::string, Stored>& stored,
-                              std::map<std::string, AllotmentInputs>& views) {
-  std::map<std::string, std::vector<std::string>> questions;
+// Asks each owner whose share is being reduced which epochs it has applied.
+void AllotmentKeeper::QueryConfirmedEpochs(
+    const std::map<std::string, Stored>& stored,
+    std::map<std::string, AllotmentInputs>& inputs_by_workspace) {
+  std::map<std::string, std::vector<std::string>> workspaces_by_owner;
   for (const auto& [workspace, entry] : stored) {
-    for (const OwnerShare& holder : entry.allotment.owners) {
-      if (holder.in_use > holder.share) {
-        questions[holder.instance].push_back(workspace);
+    for (const OwnerShare& owner : entry.allotment.owners) {
+      if (owner.in_use > owner.share) {
+        workspaces_by_owner[owner.instance].push_back(workspace);
       }
     }
   }
   const std::string self = this->membership.Self().info.name;
-  for (const auto& [instance, workspaces] : questions) {
+  for (const auto& [instance, workspaces] : workspaces_by_owner) {
     if (instance == self) {
       for (const std::string& workspace : workspaces) {
-        views[workspace].confirmed_epochs[instance] =
-            this->shares.ConfirmedEpoch(workspace);
+        inputs_by_workspace[workspace].confirmed_epochs[instance] =
+            this->rate_limiter.ConfirmedEpoch(workspace);
       }
       continue;
     }
     const std::optional<MemberStatus> member = this->membership.Find(instance);
     if (!member.has_value() || member->state == MemberState::kDead) continue;
-    const Result<wire::EpochConfirmation> answer =
+    const Result<wire::EpochConfirmation> response =
         this->peers.ConfirmEpochs(PeerEndpoint(*member), workspaces);
-    if (!answer.Ok()) continue;
-    for (const auto& [workspace, epoch] : answer.Value().epochs) {
-      views[workspace].confirmed_epochs[instance] = epoch;
-      views[workspace].responding[instance] = answer.Value().incarnation;
+    if (!response.Ok()) continue;
+    for (const auto& [workspace, epoch] : response.Value().epochs) {
+      inputs_by_workspace[workspace].confirmed_epochs[instance] = epoch;
+      inputs_by_workspace[workspace].responding[instance] =
+          response.Value().incarnation;
     }
   }
 }
 
-void AllotmentKeeper::Improve(const std::string& workspace,
-                              const Stored& stored,
-                              const AllotmentInputs& view) {
+void AllotmentKeeper::StoreNextAllotment(const std::string& workspace,
+                                         const Stored& stored,
+                                         const AllotmentInputs& inputs) {
   const std::optional<Allotment> next =
-      PlanNextAllotment(stored.allotment, view);
+      PlanNextAllotment(stored.allotment, inputs);
   if (!next.has_value()) return;
   const std::string key = AllotmentKey(workspace);
-  const Result<KvTxnResult> reply =
+  const Result<KvTxnResult> response =
       this->kv.Txn({KvCondition{key, stored.mod_revision}},
                    {KvWrite{key, EncodeAllotment(*next), 0, false}});
-  if (!reply.Ok() || !reply.Value().succeeded) return;
+  if (!response.Ok() || !response.Value().succeeded) return;
   LogFor(LogPart::kInstance)
-      .info("Allotment of {} is at epoch {}.", workspace, next->epoch);
+      .info("Stored the allotment of workspace {} at epoch {}.", workspace,
+            next->epoch);
   this->audit.Add("allotment", workspace,
                   {{"epoch", next->epoch},
                    {"holders", next->owners.size()},
                    {"assumed", MaxTotalInUse(*next)}});
 }
 
-absl::Duration AllotmentKeeper::Round() {
+absl::Duration AllotmentKeeper::RunRound() {
   if (!this->IsKeeper()) return this->period;
-  this->NoteMembers();
+  this->AuditMembershipChanges();
   KvQuery query;
   query.key = AllotmentKey("");
   query.prefix = true;
@@ -193,22 +199,24 @@
     stored[key.Value().name] =
         Stored{std::get<Allotment>(record.Value()), entry.mod_revision};
   }
-  const AllotmentInputs common = this->CommonView();
-  std::map<std::string, AllotmentInputs> views;
+  const AllotmentInputs common = this->CommonInputs();
+  std::map<std::string, AllotmentInputs> inputs_by_workspace;
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [workspace, rate] : catalog->rates) {
     stored[workspace].allotment.workspace = workspace;
-    views[workspace] = common;
-    views[workspace].candidates = WantedHolders(workspace, common.candidates);
+    inputs_by_workspace[workspace] = common;
+    inputs_by_workspace[workspace].candidates =
+        SelectShareOwners(workspace, common.candidates);
   }
-  this->HearHolders(views);
-  this->Confirm(stored, views);
+  this->ContactUnheardOwners(inputs_by_workspace);
+  this->QueryConfirmedEpochs(stored, inputs_by_workspace);
   for (const auto& [workspace, entry] : stored) {
-    // A workspace without a rate record keeps its allotment as it is.
+    // The allotment of a workspace without a rate record stays unchanged.
     if (catalog->rates.count(workspace) == 0) continue;
-    AllotmentInputs& view = views[workspace];
-    view.reclaimable = this->gone.UpdateReclaimable(entry.allotment, view);
-    this->Improve(workspace, entry, view);
+    AllotmentInputs& inputs = inputs_by_workspace[workspace];
+    inputs.reclaimable =
+        this->terminated_owners.UpdateReclaimable(entry.allotment, inputs);
+    this->StoreNextAllotment(workspace, entry, inputs);
   }
   return this->period;
 }
--- a/dragonflyglade/instance/allotment_keeper.h
+++ b/dragonflyglade/instance/allotment_keeper.h
@@ -17,60 +17,66 @@
 
 namespace dragonflyglade {
 
-/// Keeps the workspaces' allotments fitting to the instances there are.
+/// Updates the stored allotments of the workspaces as instances join, leave and
+/// terminate.
 ///
-/// One instance, by rendezvous, does this at a time; should two do it for a
-/// moment, compare-and-swap lets one of them through, and each step is safe
-/// whoever takes it, since it rests on facts that stay true.
+/// Rendezvous hashing selects the one instance that does this. If two instances
+/// both consider themselves selected for a moment, compare-and-swap lets only
+/// one write succeed. Each step is safe whichever instance performs it, because
+/// it relies only on facts that cannot become false again.
 class AllotmentKeeper {
  public:
-  /// Exchanges heartbeats with an instance that was not heard of yet.
-  using Hear = std::function<bool(const MemberStatus&)>;
+  /// Exchanges heartbeats with an instance whose incarnation is not known yet.
+  /// Returns whether the instance responded.
+  using ContactInstance = std::function<bool(const MemberStatus&)>;
 
   AllotmentKeeper(const KvClient& kv, PeerClient& peers, Membership& membership,
-                  DistributedRateLimiter& shares, const CatalogHolder& catalog,
-                  AuditTrail& audit, absl::Duration period,
-                  absl::Duration settle, Hear hear, Clock clock);
+                  DistributedRateLimiter& rate_limiter,
+                  const CatalogHolder& catalog, AuditTrail& audit,
+                  absl::Duration period, absl::Duration reclaim_delay,
+                  ContactInstance contact_instance, Clock clock);
   ~AllotmentKeeper();
 
   void Start();
   void Stop();
 
  private:
-  /// A stored allotment and the revision to compare with.
+  /// A stored allotment and the store revision for compare-and-swap.
   struct Stored {
     Allotment allotment;
     std::int64_t mod_revision = 0;
   };
 
-  absl::Duration Round();
+  absl::Duration RunRound();
   bool IsKeeper() const;
-  AllotmentInputs CommonView() const;
-  void NoteMembers();
-  void HearHolders(std::map<std::string, AllotmentInputs>& views);
-  void Confirm(const std::map<std::string, Stored>& stored,
-               std::map<std::string, AllotmentInputs>& views);
-  void Improve(const std::string& workspace, const Stored& stored,
-               const AllotmentInputs& view);
+  AllotmentInputs CommonInputs() const;
+  void AuditMembershipChanges();
+  void ContactUnheardOwners(
+      std::map<std::string, AllotmentInputs>& inputs_by_workspace);
+  void QueryConfirmedEpochs(
+      const std::map<std::string, Stored>& stored,
+      std::map<std::string, AllotmentInputs>& inputs_by_workspace);
+  void StoreNextAllotment(const std::string& workspace, const Stored& stored,
+                          const AllotmentInputs& inputs);
 
   const KvClient& kv;
   PeerClient& peers;
   Membership& membership;
-  DistributedRateLimiter& shares;
+  DistributedRateLimiter& rate_limiter;
   const CatalogHolder& catalog;
   AuditTrail& audit;
   const absl::Duration period;
-  const Hear hear;
-  TerminatedOwners gone;
-  std::map<std::string, std::string> noted_members;
+  const ContactInstance contact_instance;
+  TerminatedOwners terminated_owners;
+  std::map<std::string, std::string> audited_members;
   PeriodicWorker worker;
 };
 
-/// Which instances should hold shares of a workspace's rate: all of a small
-/// fleet, a few of a large one, since a burst cut into hundreds of parts
-/// serves no request.
-std::vector<OwnerCandidate> WantedHolders(
-    std::string_view workspace, const std::vector<OwnerCandidate>& able);
+/// Selects the instances that should own shares of a workspace's rate: all of a
+/// small fleet, but only a few of a large one, because a burst divided into
+/// hundreds of shares leaves each share too small to admit a request.
+std::vector<OwnerCandidate> SelectShareOwners(
+    std::string_view workspace, const std::vector<OwnerCandidate>& eligible);
 
 }  // namespace dragonflyglade
 
--- a/dragonflyglade/instance/config_follower.cc
+++ b/dragonflyglade/instance/config_follower.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr const char* kRelayRole = "configuration relay";
-constexpr int kWholeReadEvery = 30;
-constexpr int kOlderVersionsTried = 5;
-constexpr absl::Duration kWatchPause = absl::Milliseconds(200);
-constexpr absl::Duration kLongestBackoff = absl::Seconds(5);
+constexpr int kRoundsPerFullRead = 30;
+constexpr int kMaxOlderVersionReads = 5;
+constexpr absl::Duration kWatchRestartDelay = absl::Milliseconds(200);
+constexpr absl::Duration kMaxReadBackoff = absl::Seconds(5);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
       options(options),
       on_change(std::move(on_change)),
       clock(clock),
-      backoff(options.reread, kLongestBackoff,
+      backoff(options.reread_period, kMaxReadBackoff,
               StableHash(membership.Self().info.name)),
       reader([this] { return this->ReadRound(); }),
       watcher([this] { return this->WatchRound(); }),
@@ -61,49 +61,54 @@
 bool ConfigFollower::IsRelay() const {
   return IsRendezvousOwner(kRelayRole, this->membership.Self().info.name,
                            this->membership.ActiveNames(),
-                           static_cast<std::size_t>(this->options.relays));
+                           static_cast<std::size_t>(this->options.relay_count));
 }
 
-void ConfigFollower::PullFrom(const MemberStatus& member) {
+void ConfigFollower::SchedulePull(const MemberStatus& member) {
   {
     absl::MutexLock lock(&this->mutex);
-    this->pull_from = member;
+    this->pull_source = member;
   }
   this->puller.Wake();
 }
 
-// Failure: all relays die at once, or their connections go silent, and nobody
-// notices that a key was withdrawn. An instance whose configuration ages reads
-// the service itself, after a pause with jitter, until it hears from a relay.
+// Failure: all relay instances terminate at once, or their connections stop
+// delivering data, and no instance learns that a key was withdrawn. An instance
+// whose configuration is too old reads the key-value service itself until it
+// gets an update from a relay again. Failed reads are retried with jittered
+// backoff.
 absl::Duration ConfigFollower::ReadRound() {
-  const bool never = this->records.CompleteRevision() == 0;
-  const bool aged = this->freshness.Age() > this->options.help_yourself_after;
-  if (!never && !aged && !this->IsRelay()) return this->options.reread;
-  const bool whole = never || this->rounds % kWholeReadEvery == 0;
-  if (this->ReadService(whole)) {
-    ++this->rounds;
+  const bool never_complete = this->records.CompleteRevision() == 0;
+  const bool stale = this->freshness.Age() > this->options.direct_read_age;
+  if (!never_complete && !stale && !this->IsRelay())
+    return this->options.reread_period;
+  const bool full_read =
+      never_complete || this->read_rounds % kRoundsPerFullRead == 0;
+  if (this->ReadStore(full_read)) {
+    ++this->read_rounds;
     this->backoff.Reset();
-    return this->options.reread;
+    return this->options.reread_period;
   }
-  if (never) {
-    // The service is out: any instance that has a configuration will do.
+  if (never_complete) {
+    // The key-value service is unavailable. The configuration of any live
+    // instance is better than none, so pull from one chosen at random.
     for (const MemberStatus& member : this->membership.SampleAlive(1, "")) {
-      this->PullFrom(member);
+      this->SchedulePull(member);
     }
   }
   return this->backoff.NextDelay();
 }
 
-bool ConfigFollower::ReadService(bool whole) {
-  const Instant asked_at = this->clock.Now();
+bool ConfigFollower::ReadStore(bool full_read) {
+  const Instant request_time = this->clock.Now();
   KvQuery query;
   query.key = std::string(kConfigPrefix);
   query.prefix = true;
-  if (!whole) query.min_revision = this->records.CompleteRevision() + 1;
-  std::int64_t delivered = 0;
+  if (!full_read) query.min_revision = this->records.CompleteRevision() + 1;
+  std::int64_t delivered_revision = 0;
   {
     absl::MutexLock lock(&this->mutex);
-    delivered = this->watched_revision;
+    delivered_revision = this->watched_revision;
   }
   const Result<KvRange> range = this->kv.Range(query);
   if (!range.Ok()) {
@@ -114,71 +119,77 @@
   for (const KvEntry& entry : range.Value().entries) {
     newest = std::max(newest, entry.mod_revision);
   }
-  if (whole) this->MarkMissing(range.Value());
-  this->TakeEntries(range.Value().entries, range.Value().revision);
-  this->freshness.MarkCurrentAt(asked_at);
-  if (!whole) this->NoteSilentWatch(delivered, newest);
+  if (full_read) this->MarkMissingAsDeleted(range.Value());
+  this->ApplyEntries(range.Value().entries, range.Value().revision);
+  this->freshness.MarkCurrentAt(request_time);
+  if (!full_read) this->ReopenStalledWatch(delivered_revision, newest);
   return true;
 }
 
-// Failure: the watch's connection goes silent although it looks open, and
-// changes come only with the re-read. If the re-read finds what the watch
-// should have delivered by the time the re-read began, a new watch is opened.
-void ConfigFollower::NoteSilentWatch(std::int64_t delivered,
-                                     std::int64_t read) {
-  if (read == 0) return;
+// Failure: the watch's connection stops delivering data but appears open, so
+// changes arrive only through the periodic re-read. If the re-read finds a
+// change that the watch has not delivered, the watch is stopped and reopened. A
+// watch that had delivered nothing when the re-read began is left running.
+void ConfigFollower::ReopenStalledWatch(std::int64_t delivered_revision,
+                                        std::int64_t read_revision) {
+  if (read_revision == 0) return;
   absl::MutexLock lock(&this->mutex);
-  const bool caught_up = this->watched_revision >= read;
-  if (this->watch == nullptr || delivered == 0 || caught_up) return;
-  LogFor(LogPart::kStore).warn("Watch is behind. Opening a new one.");
+  const bool caught_up = this->watched_revision >= read_revision;
+  if (this->watch == nullptr || delivered_revision == 0 || caught_up) return;
+  LogFor(LogPart::kStore)
+      .warn("The configuration watch missed a change; reopening the watch.");
   this->watch->Stop();
 }
 
-// A key that an operator deleted outright leaves no version behind; its
-// absence counts as a deletion at the revision of the read.
-void ConfigFollower::MarkMissing(const KvRange& range) {
+// A key that an operator deleted directly in the key-value service has no
+// version that reports the deletion. Its absence from a full read counts as a
+// deletion at the revision of that read.
+void ConfigFollower::MarkMissingAsDeleted(const KvRange& range) {
   std::set<std::string> present;
   for (const KvEntry& entry : range.entries) present.insert(entry.key);
-  for (const RecordVersion& good : this->records.ValidRecords()) {
-    const bool known_later = good.revision > range.revision;
-    if (good.deleted || known_later || present.count(good.key) > 0) continue;
+  for (const RecordVersion& valid : this->records.ValidRecords()) {
+    const bool known_later = valid.revision > range.revision;
+    if (valid.deleted || known_later || present.count(valid.key) > 0) continue;
     this->records.ApplyVersion(
-        RecordVersion{good.key, range.revision, "", true});
+        RecordVersion{valid.key, range.revision, "", true});
   }
 }
 
-void ConfigFollower::TakeEntries(absl::Span<const KvEntry> entries,
-                                 std::int64_t revision) {
+void ConfigFollower::ApplyEntries(absl::Span<const KvEntry> entries,
+                                  std::int64_t revision) {
   bool changed = false;
   for (const KvEntry& entry : entries) {
     const RecordVersion version{entry.key, entry.mod_revision, entry.value,
                                 false};
-    const ApplyResult fate = this->records.ApplyVersion(version);
-    changed = changed || fate == ApplyResult::kApplied;
-    if (fate != ApplyResult::kRejected) continue;
+    const ApplyResult result = this->records.ApplyVersion(version);
+    changed = changed || result == ApplyResult::kApplied;
+    if (result != ApplyResult::kRejected) continue;
     LogFor(LogPart::kOperator)
-        .warn("Rejected {} at revision {}.", entry.key, entry.mod_revision);
-    if (!this->records.HasValidVersion(entry.key)) this->RecoverGood(version);
+        .warn("Rejected invalid record {} at revision {}.", entry.key,
+              entry.mod_revision);
+    if (!this->records.HasValidVersion(entry.key))
+      this->RecoverValidVersion(version);
   }
   this->records.MarkCompleteThrough(revision);
   if (changed || this->catalog.Get()->revision == 0) this->Rebuild();
 }
 
 // Failure: an instance that starts after an invalid record was written has no
-// last good version, and would serve otherwise than those that started
-// before. The service still has the older versions for a while.
-void ConfigFollower::RecoverGood(const RecordVersion& bad) {
-  std::int64_t before = bad.revision - 1;
-  for (int i = 0; i < kOlderVersionsTried && before > 0; ++i) {
+// last valid version of it, and would serve differently from instances that
+// started earlier. The key-value service keeps older versions for a while, so
+// the newest valid one is read from there.
+void ConfigFollower::RecoverValidVersion(const RecordVersion& rejected) {
+  std::int64_t before = rejected.revision - 1;
+  for (int i = 0; i < kMaxOlderVersionReads && before > 0; ++i) {
     KvQuery query;
-    query.key = bad.key;
+    query.key = rejected.key;
     query.at_revision = before;
     const Result<KvRange> range = this->kv.Range(query);
     if (!range.Ok() || range.Value().entries.empty()) return;
     const KvEntry& older = range.Value().entries.front();
-    const ApplyResult fate = this->records.ApplyVersion(
+    const ApplyResult result = this->records.ApplyVersion(
         RecordVersion{older.key, older.mod_revision, older.value, false});
-    if (fate == ApplyResult::kApplied) return;
+    if (result == ApplyResult::kApplied) return;
     before = older.mod_revision - 1;
   }
 }
@@ -194,7 +205,7 @@
 
 absl::Duration ConfigFollower::WatchRound() {
   const std::int64_t from = this->records.CompleteRevision();
-  if (from == 0 || !this->IsRelay()) return kWatchPause;
+  if (from == 0 || !this->IsRelay()) return kWatchRestartDelay;
   const auto on_start = [this](std::shared_ptr<KvWatchHandle> handle) {
     absl::MutexLock lock(&this->mutex);
     this->watch = std::move(handle);
@@ -218,10 +229,11 @@
       absl::MutexLock lock(&this->mutex);
       this->watched_revision = std::max(this->watched_revision, revision);
     }
-    // The header's revision may run ahead of the events delivered so far, so
-    // only the events' own revisions count as complete.
+    // The revision in the header of a watch response may be ahead of the
+    // events delivered so far, so the configuration is complete only through
+    // the newest revision of the events themselves.
     if (!events.empty()) {
-      this->TakeEntries(puts, newest);
+      this->ApplyEntries(puts, newest);
       if (puts.size() != events.size()) this->Rebuild();
     }
   };
@@ -232,34 +244,35 @@
     this->watch.reset();
   }
   if (ended.code != Errc::kCancelled) {
-    LogFor(LogPart::kStore).info("Watch ended: {}.", ended.ToString());
+    LogFor(LogPart::kStore)
+        .info("The configuration watch ended: {}.", ended.ToString());
   }
-  return kWatchPause;
+  return kWatchRestartDelay;
 }
 
 absl::Duration ConfigFollower::PullRound() {
   std::optional<MemberStatus> from;
   {
     absl::MutexLock lock(&this->mutex);
-    from.swap(this->pull_from);
+    from.swap(this->pull_source);
   }
   if (!from.has_value()) return absl::InfiniteDuration();
-  const Instant asked_at = this->clock.Now();
-  const std::int64_t own = this->records.CompleteRevision();
+  const Instant request_time = this->clock.Now();
+  const std::int64_t own_revision = this->records.CompleteRevision();
   const Result<wire::ConfigPage> page =
-      this->peers.PullConfig(PeerEndpoint(*from), own);
+      this->peers.PullConfig(PeerEndpoint(*from), own_revision);
   if (!page.Ok()) {
     LogFor(LogPart::kPeer).debug("{}.", page.Error().ToString());
     return absl::InfiniteDuration();
   }
   bool changed = false;
   for (const wire::ConfigRecord& record : page.Value().records) {
-    const ApplyResult fate = this->records.ApplyVersion(FromWire(record));
-    changed = changed || fate == ApplyResult::kApplied;
+    const ApplyResult result = this->records.ApplyVersion(FromWire(record));
+    changed = changed || result == ApplyResult::kApplied;
   }
   this->records.MarkCompleteThrough(page.Value().revision);
   if (page.Value().age_ms >= 0) {
-    this->freshness.MarkCurrentAt(asked_at -
+    this->freshness.MarkCurrentAt(request_time -
                                   absl::Milliseconds(page.Value().age_ms));
   }
   if (changed) this->Rebuild();
--- a/dragonflyglade/instance/config_follower.h
+++ b/dragonflyglade/instance/config_follower.h
@@ -18,22 +18,24 @@
 
 namespace dragonflyglade {
 
-/// Paces of following the configuration.
+/// Intervals and relay count for following the configuration.
 struct FollowerOptions {
-  absl::Duration reread = absl::Seconds(1);
-  /// Age at which an instance that is no relay reads the service itself.
-  absl::Duration help_yourself_after = absl::Seconds(2);
-  int relays = 2;
+  absl::Duration reread_period = absl::Seconds(1);
+  /// Age of the configuration above which an instance that is not a relay
+  /// reads the key-value service itself.
+  absl::Duration direct_read_age = absl::Seconds(2);
+  int relay_count = 2;
 };
 
-/// Keeps this instance's configuration the newest.
+/// Keeps this instance's configuration up to date.
 ///
-/// A few relays watch the key-value service and read it again each second;
-/// the others pull from whoever announces a newer revision. So the service's
-/// watches and reads do not grow with the fleet.
+/// A few relay instances watch the key-value service and also re-read it
+/// periodically. The other instances pull from any instance that announces a
+/// newer revision, so the number of watches and reads at the service does not
+/// grow with the fleet.
 class ConfigFollower {
  public:
-  /// Called after records came into force, with the newest catalog.
+  /// Called with the new catalog after records were applied.
   using OnChange = std::function<void(const std::shared_ptr<const Catalog>&)>;
 
   ConfigFollower(const KvClient& kv, PeerClient& peers, Membership& membership,
@@ -45,22 +47,23 @@
   void Start();
   void Stop();
 
-  /// An instance has a newer configuration; pull from it soon.
-  void PullFrom(const MemberStatus& member);
+  /// Schedules a pull from an instance that has a newer configuration.
+  void SchedulePull(const MemberStatus& member);
 
-  /// Whether this instance watches the service for others.
+  /// Whether this instance watches the key-value service for the others.
   bool IsRelay() const;
 
  private:
   absl::Duration ReadRound();
   absl::Duration WatchRound();
   absl::Duration PullRound();
-  bool ReadService(bool whole);
-  void TakeEntries(absl::Span<const KvEntry> entries, std::int64_t revision);
-  void MarkMissing(const KvRange& range);
-  void RecoverGood(const RecordVersion& bad);
+  bool ReadStore(bool full_read);
+  void ApplyEntries(absl::Span<const KvEntry> entries, std::int64_t revision);
+  void MarkMissingAsDeleted(const KvRange& range);
+  void RecoverValidVersion(const RecordVersion& rejected);
   void Rebuild();
-  void NoteSilentWatch(std::int64_t delivered, std::int64_t read);
+  void ReopenStalledWatch(std::int64_t delivered_revision,
+                          std::int64_t read_revision);
 
   const KvClient& kv;
   PeerClient& peers;
@@ -77,9 +80,9 @@
   absl::Mutex mutex;
   std::shared_ptr<KvWatchHandle> watch ABSL_GUARDED_BY(mutex);
   std::int64_t watched_revision ABSL_GUARDED_BY(mutex) = 0;
-  std::optional<MemberStatus> pull_from ABSL_GUARDED_BY(mutex);
+  std::optional<MemberStatus> pull_source ABSL_GUARDED_BY(mutex);
   Backoff backoff;
-  int rounds = 0;
+  int read_rounds = 0;
   PeriodicWorker reader;
   PeriodicWorker watcher;
   PeriodicWorker puller;
--- a/dragonflyglade/instance/instance.cc
+++ b/dragonflyglade/instance/instance.cc
@@ -22,18 +22,18 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr absl::Duration kAuditPeriod = absl::Seconds(1);
-constexpr absl::Duration kDemandMemory = absl::Seconds(15);
-constexpr absl::Duration kLoadPeriod = absl::Milliseconds(500);
-constexpr absl::Duration kDrainPoll = absl::Milliseconds(20);
-constexpr absl::Duration kClaimFlushLimit = absl::Seconds(5);
-constexpr absl::Duration kShareReleaseLimit = absl::Seconds(3);
-constexpr absl::Duration kListTimeout = absl::Seconds(1);
-constexpr double kRetryShare = 0.1;
-constexpr double kRetryReserve = 10;
-constexpr double kFullLoad = 1000;
+constexpr absl::Duration kAuditFlushPeriod = absl::Seconds(1);
+constexpr absl::Duration kDemandRetention = absl::Seconds(15);
+constexpr absl::Duration kLoadUpdatePeriod = absl::Milliseconds(500);
+constexpr absl::Duration kDrainPollInterval = absl::Milliseconds(20);
+constexpr absl::Duration kClaimFlushTimeout = absl::Seconds(5);
+constexpr absl::Duration kShareReleaseTimeout = absl::Seconds(3);
+constexpr absl::Duration kDiscoveryTimeout = absl::Seconds(1);
+constexpr double kRetriesPerRequest = 0.1;
+constexpr double kMaxAccumulatedRetries = 10;
+constexpr double kFullLoadPermille = 1000;
 
-MemberStatus SelfOf(const Settings& settings) {
+MemberStatus MakeSelfStatus(const Settings& settings) {
   MemberStatus self;
   self.info = MemberInfo{settings.name, settings.peer_listen.address,
                          settings.peer_listen.port, settings.caller_listen.port,
@@ -44,42 +44,43 @@
 
 }  // namespace
 
-// The order of the members is the order of construction: what is used stands
-// before its users, and is destroyed after them.
+// Members are constructed in the order of declaration and destroyed in reverse
+// order, so each component is declared before the components that use it.
 struct Instance::Parts {
   explicit Parts(Settings given)
       : settings(std::move(given)),
-        self(SelfOf(settings)),
+        self(MakeSelfStatus(settings)),
         seed(static_cast<std::uint64_t>(self.incarnation) ^
              StableHash(settings.name)),
         kv(settings.kv),
-        lists(settings.lists, kListTimeout),
+        discovery(settings.discovery, kDiscoveryTimeout),
         membership(self, settings.membership, clock, seed),
-        shares(settings.name, self.incarnation, settings.shares, clock),
+        rate_limiter(settings.name, self.incarnation, settings.rate_limiter,
+                     clock),
         records(WhyInvalid),
-        freshness(settings.fresh_bound, clock),
+        freshness(settings.max_config_age, clock),
         targets(settings.targets, clock, seed),
-        demand(kDemandMemory, clock),
+        demand(kDemandRetention, clock),
         audit(kv, settings.name),
         peers(settings.peers, clock),
         heartbeats(
-            membership, shares, records, freshness, targets,
+            membership, rate_limiter, records, freshness, targets,
             [this](const MemberStatus& newer) {
-              this->follower.PullFrom(newer);
+              this->follower.SchedulePull(newer);
             },
             clock),
         heartbeat_loop(membership, heartbeats, peers, clock),
-        gate(shares, membership, peers),
+        gate(rate_limiter, membership, peers),
         dispatcher(targets, settings.dispatch, clock),
-        retries(kRetryShare, kRetryReserve),
-        claims(kv, settings.claim_keep, clock),
+        retries(kRetriesPerRequest, kMaxAccumulatedRetries),
+        claims(kv, settings.claim_retention, clock),
         completions(gate, dispatcher, targets, registry, catalog, demand,
                     retries, metrics, settings.limits, settings.target_calls,
                     settings.zone, clock),
         services(gate, dispatcher, claims, retries, metrics, settings.limits,
                  settings.target_calls, settings.zone, clock),
         handler(catalog, freshness, membership, completions, services, metrics,
-                settings.limits, settings.keep),
+                settings.limits, settings.selection_lifetime),
         callers(settings.caller_listen, handler, metrics, settings.threads),
         follower(
             kv, peers, membership, records, freshness, catalog,
@@ -87,22 +88,23 @@
                             2 * settings.periods.config_reread,
                             settings.config_relays},
             [this](const std::shared_ptr<const Catalog>& newest) {
-              this->Follow(newest);
+              this->ApplyCatalog(newest);
             },
             clock),
         keeper(
-            kv, peers, membership, shares, catalog, audit,
+            kv, peers, membership, rate_limiter, catalog, audit,
             settings.periods.allotments,
-            settings.shares.max_reservation_wait + settings.shares.min_hold,
+            settings.rate_limiter.max_reservation_wait +
+                settings.rate_limiter.min_hold,
             [this](const MemberStatus& member) {
               return this->heartbeat_loop.ExchangeHeartbeats(member);
             },
             clock),
         placement(kv, peers, membership, targets, catalog, demand, audit,
                   settings.target_calls, settings.placement, clock),
-        poller(lists, targets, catalog, settings.target_calls,
-               settings.periods.lists, settings.periods.reports),
-        peer_server(settings.peer_listen, heartbeats, membership, shares,
+        poller(discovery, targets, catalog, settings.target_calls,
+               settings.periods.discovery, settings.periods.reports),
+        peer_server(settings.peer_listen, heartbeats, membership, rate_limiter,
                     records, freshness, demand,
                     [this](std::string_view name) {
                       const auto member = this->membership.Find(name);
@@ -111,28 +113,28 @@
                     }),
         operators(settings.operator_listen,
                   [this] { return this->ReadStatus(); }),
-        list_worker([this] { return this->ListRound(); }),
+        instance_list_worker([this] { return this->RefreshInstanceList(); }),
         audit_worker([this] {
           const auto flushed = this->audit.Flush();
           if (!flushed.Ok()) {
             LogFor(LogPart::kOperator).debug("{}.", flushed.Error().ToString());
           }
-          return kAuditPeriod;
+          return kAuditFlushPeriod;
         }),
         load_worker([this] {
-          const double load =
-              this->callers.Active() * kFullLoad / this->settings.threads;
-          this->membership.SetLoad(
-              std::min(static_cast<int>(kFullLoad), static_cast<int>(load)));
+          const double load = this->callers.Active() * kFullLoadPermille /
+                              this->settings.threads;
+          this->membership.SetLoad(std::min(static_cast<int>(kFullLoadPermille),
+                                            static_cast<int>(load)));
           this->targets.SetInstanceCount(
               static_cast<int>(this->membership.ActiveNames().size()));
-          return kLoadPeriod;
+          return kLoadUpdatePeriod;
         }) {}
 
-  void Follow(const std::shared_ptr<const Catalog>& newest);
-  absl::Duration ListRound();
+  void ApplyCatalog(const std::shared_ptr<const Catalog>& newest);
+  absl::Duration RefreshInstanceList();
   nlohmann::json ReadStatus() const;
-  bool HoldsShares() const;
+  bool OwnsShares() const;
   void AddGauges();
 
   const Settings settings;
@@ -140,10 +142,10 @@
   const MemberStatus self;
   const std::uint64_t seed;
   const KvClient kv;
-  const DiscoveryClient lists;
+  const DiscoveryClient discovery;
   Metrics metrics;
   Membership membership;
-  DistributedRateLimiter shares;
+  DistributedRateLimiter rate_limiter;
   RecordStore records;
   ConfigFreshness freshness;
   TargetRegistry targets;
@@ -168,62 +170,65 @@
   TargetPoller poller;
   PeerServer peer_server;
   StatusServer operators;
-  PeriodicWorker list_worker;
+  PeriodicWorker instance_list_worker;
   PeriodicWorker audit_worker;
   PeriodicWorker load_worker;
-  std::set<std::string> rated;  ///< workspaces with a rate; follower's thread
+  std::set<std::string>
+      rated_workspaces;  ///< workspaces with a rate; see ApplyCatalog
   std::atomic<bool> stopped{false};
 };
 
-// Brings a new configuration into force. Called by one thread at a time.
-void Instance::Parts::Follow(const std::shared_ptr<const Catalog>& newest) {
-  std::set<std::string> now_rated;
+// Applies a new configuration. ConfigFollower calls this on one thread at a
+// time, so `rated_workspaces` needs no lock.
+void Instance::Parts::ApplyCatalog(
+    const std::shared_ptr<const Catalog>& newest) {
+  std::set<std::string> new_rated_workspaces;
   for (const auto& [workspace, rate] : newest->rates) {
-    this->shares.SetRate(workspace, rate.limit);
-    now_rated.insert(workspace);
+    this->rate_limiter.SetRate(workspace, rate.limit);
+    new_rated_workspaces.insert(workspace);
   }
-  for (const std::string& workspace : this->rated) {
-    if (now_rated.count(workspace) == 0) {
-      this->shares.SetRate(workspace, std::nullopt);
+  for (const std::string& workspace : this->rated_workspaces) {
+    if (new_rated_workspaces.count(workspace) == 0) {
+      this->rate_limiter.SetRate(workspace, std::nullopt);
     }
   }
-  this->rated = std::move(now_rated);
+  this->rated_workspaces = std::move(new_rated_workspaces);
   for (const auto& [workspace, allotment] : newest->allotments) {
-    this->shares.ApplyAllotment(allotment);
+    this->rate_limiter.ApplyAllotment(allotment);
   }
   for (const std::string& key_id : this->registry.KeysInUse()) {
     const KeyRecord* key = FindRecord(newest->keys, key_id);
     if (key != nullptr && !key->withdrawn) continue;
     const std::size_t ended = this->registry.EndAll(key_id);
     LogFor(LogPart::kCaller)
-        .info("Ended {} calls of withdrawn key {}.", ended, key_id);
+        .info("Ended {} calls that used the withdrawn key {}.", ended, key_id);
   }
   this->heartbeat_loop.PropagateUpdates();
 }
 
-absl::Duration Instance::Parts::ListRound() {
-  const Result<InstanceList> list = this->lists.FetchInstances();
+absl::Duration Instance::Parts::RefreshInstanceList() {
+  const Result<InstanceList> list = this->discovery.FetchInstances();
   if (list.Ok()) {
     this->membership.ApplyInstanceList(list.Value());
   } else {
     LogFor(LogPart::kStore).debug("{}.", list.Error().ToString());
   }
-  return this->settings.periods.lists;
+  return this->settings.periods.discovery;
 }
 
 nlohmann::json Instance::Parts::ReadStatus() const {
-  return InstanceStatus(
-      StatusSources{this->membership, this->records, this->freshness,
-                    this->targets, this->shares, this->catalog, this->metrics,
-                    this->follower.IsRelay(), this->dispatcher.Waiting()});
+  return InstanceStatus(StatusSources{
+      this->membership, this->records, this->freshness, this->targets,
+      this->rate_limiter, this->catalog, this->metrics,
+      this->follower.IsRelay(), this->dispatcher.Waiting()});
 }
 
-bool Instance::Parts::HoldsShares() const {
+bool Instance::Parts::OwnsShares() const {
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [workspace, allotment] : catalog->allotments) {
-    for (const OwnerShare& holder : allotment.owners) {
-      if (holder.instance == this->settings.name &&
-          holder.incarnation == this->self.incarnation) {
+    for (const OwnerShare& owner : allotment.owners) {
+      if (owner.instance == this->settings.name &&
+          owner.incarnation == this->self.incarnation) {
         return true;
       }
     }
@@ -269,7 +274,7 @@
   ports.operators = operators.Value();
   p.membership.SetPorts(ports.peer, ports.caller);
 
-  p.list_worker.Start();
+  p.instance_list_worker.Start();
   p.heartbeat_loop.Start();
   p.follower.Start();
   p.keeper.Start();
@@ -284,10 +289,11 @@
   return ports;
 }
 
-// Failure: callers keep a which-instance answer for a while and connect by
-// themselves, so one that stops listening at once turns them away although
-// its siblings could serve them. Leaving is announced first, and everything
-// that comes within the keep time is still served.
+// Failure: callers remember for a while which instance was selected for them
+// and connect to it directly. If that instance stopped listening at once, it
+// would refuse requests that other instances could serve. It therefore first
+// announces that it is leaving, and still serves every request that arrives
+// within the lifetime of a selection.
 void Instance::Drain() {
   Parts& p = *this->parts;
   LogFor(LogPart::kInstance).info("Draining.");
@@ -297,21 +303,24 @@
   p.heartbeat_loop.PropagateUpdates();
   p.callers.CloseAfterResponses();
   const Instant start = p.clock.Now();
-  const Instant limit = start + p.settings.drain_limit;
-  const Instant keep_until = std::min(limit, start + p.settings.keep);
-  while (p.clock.Now() < keep_until) absl::SleepFor(kDrainPoll);
+  const Instant drain_deadline = start + p.settings.drain_timeout;
+  const Instant accept_until =
+      std::min(drain_deadline, start + p.settings.selection_lifetime);
+  while (p.clock.Now() < accept_until) absl::SleepFor(kDrainPollInterval);
   const auto busy = [&p] {
     return p.callers.Active() > 0 || p.completions.Running() > 0;
   };
-  while (busy() && p.clock.Now() < limit) absl::SleepFor(kDrainPoll);
-  // The keeper takes the shares of a leaving instance away; waiting for that
-  // lets the others grow at once instead of after the list's lag.
-  const Instant share_limit =
-      std::min(limit, p.clock.Now() + kShareReleaseLimit);
-  while (p.HoldsShares() && p.clock.Now() < share_limit) {
-    absl::SleepFor(kDrainPoll);
+  while (busy() && p.clock.Now() < drain_deadline)
+    absl::SleepFor(kDrainPollInterval);
+  // AllotmentKeeper reassigns the shares of a leaving instance. Waiting for
+  // that gives the shares to other instances at once, not only after the
+  // instance list is updated.
+  const Instant share_deadline =
+      std::min(drain_deadline, p.clock.Now() + kShareReleaseTimeout);
+  while (p.OwnsShares() && p.clock.Now() < share_deadline) {
+    absl::SleepFor(kDrainPollInterval);
   }
-  p.claims.Flush(std::min(kClaimFlushLimit, limit - p.clock.Now()));
+  p.claims.Flush(std::min(kClaimFlushTimeout, drain_deadline - p.clock.Now()));
   p.audit.Flush();
   LogFor(LogPart::kInstance).info("Drained.");
   this->Stop();
@@ -329,7 +338,7 @@
   p.poller.Stop();
   p.follower.Stop();
   p.heartbeat_loop.Stop();
-  p.list_worker.Stop();
+  p.instance_list_worker.Stop();
   p.audit_worker.Stop();
   p.load_worker.Stop();
   p.operators.Stop();
--- a/dragonflyglade/instance/instance.h
+++ b/dragonflyglade/instance/instance.h
@@ -10,33 +10,35 @@
 
 namespace dragonflyglade {
 
-/// The ports on which an instance answers.
+/// The ports on which an instance listens.
 struct BoundPorts {
   int caller = 0;
   int peer = 0;
   int operators = 0;
 };
 
-/// One instance: all packages wired together.
+/// One instance of the service. Constructs and connects all its components.
 class Instance {
  public:
   explicit Instance(Settings settings);
-  /// Stops at once, if it was not drained before.
+  /// Stops without finishing open requests, unless the instance was drained.
   ~Instance();
   Instance(const Instance&) = delete;
   Instance& operator=(const Instance&) = delete;
 
-  /// Binds the listeners and begins to serve.
+  /// Binds the listening sockets and starts serving.
   Result<BoundPorts> Start();
 
-  /// Leaves the fleet: takes work on until callers' answers have run out,
-  /// finishes it, hands shares back, and stops. Returns when done.
+  /// Announces that the instance is leaving, accepts requests until callers no
+  /// longer use a previous selection of this instance, finishes open requests,
+  /// waits until its shares are reassigned, and stops. Blocks until done; the
+  /// drain timeout bounds each of these waits.
   void Drain();
 
-  /// Stops without finishing work.
+  /// Stops without finishing open requests.
   void Stop();
 
-  /// What the instance sees.
+  /// The instance's status: its configuration, members, targets, workspaces.
   nlohmann::json StatusJson() const;
 
  private:
--- a/dragonflyglade/instance/instance_status.cc
+++ b/dragonflyglade/instance/instance_status.cc
@@ -5,13 +5,14 @@
 
 using nlohmann::json;
 
-std::int64_t Milliseconds(absl::Duration duration) {
+// Returns -1 for an infinite duration, which JSON cannot represent.
+std::int64_t MillisecondsOrMinusOne(absl::Duration duration) {
   if (duration == absl::InfiniteDuration()) return -1;
   return absl::ToInt64Milliseconds(duration);
 }
 
-const char* NameOf(ConfigFreshnessState right) {
-  switch (right) {
+const char* DescribeState(ConfigFreshnessState state) {
+  switch (state) {
     case ConfigFreshnessState::kFresh:
       return "fresh";
     case ConfigFreshnessState::kStoreOutage:
@@ -49,9 +50,9 @@
   }
   const auto [listed, alive] = sources.membership.CountListedAndAlive();
   return {{"revision", sources.records.CompleteRevision()},
-          {"age_ms", Milliseconds(sources.freshness.Age())},
-          {"right",
-           NameOf(sources.freshness.StateFor(PeerReachability{listed, alive}))},
+          {"age_ms", MillisecondsOrMinusOne(sources.freshness.Age())},
+          {"right", DescribeState(sources.freshness.StateFor(
+                        PeerReachability{listed, alive}))},
           {"relay", sources.is_relay},
           {"schemas", sources.catalog.Get()->schema_in_use},
           {"rejected", rejected}};
@@ -78,16 +79,17 @@
     const char* state = target.leaving   ? "leaving"
                         : target.ejected ? "ejected"
                                          : "in use";
-    targets.push_back({{"name", target.listed.name},
-                       {"pool", target.listed.pool},
-                       {"availability_zone", target.listed.zone},
-                       {"state", state},
-                       {"in_flight", target.in_flight},
-                       {"outstanding_tokens", target.outstanding_tokens},
-                       {"report_age_ms", Milliseconds(target.report_age)},
-                       {"boot_id", target.boot_id},
-                       {"role", target.role},
-                       {"resident", target.resident}});
+    targets.push_back(
+        {{"name", target.listed.name},
+         {"pool", target.listed.pool},
+         {"availability_zone", target.listed.zone},
+         {"state", state},
+         {"in_flight", target.in_flight},
+         {"outstanding_tokens", target.outstanding_tokens},
+         {"report_age_ms", MillisecondsOrMinusOne(target.report_age)},
+         {"boot_id", target.boot_id},
+         {"role", target.role},
+         {"resident", target.resident}});
   }
   return targets;
 }
@@ -96,23 +98,23 @@
   json workspaces = json::array();
   const std::shared_ptr<const Catalog> catalog = sources.catalog.Get();
   for (const auto& [name, rate] : catalog->rates) {
-    json holders = json::object();
-    const auto followed = sources.shares.CurrentAllotment(name);
-    if (followed.has_value()) {
-      for (const OwnerShare& holder : followed->owners) {
-        holders[holder.instance] = {{"share", holder.share},
-                                    {"held", holder.in_use}};
+    json owners = json::object();
+    const auto allotment = sources.rate_limiter.CurrentAllotment(name);
+    if (allotment.has_value()) {
+      for (const OwnerShare& owner : allotment->owners) {
+        owners[owner.instance] = {{"share", owner.share},
+                                  {"held", owner.in_use}};
       }
     }
-    const auto bucket = sources.shares.BalanceOf(name);
+    const auto bucket = sources.rate_limiter.BalanceOf(name);
     workspaces.push_back(
         {{"name", name},
          {"tokens_per_second", rate.limit.tokens_per_second},
          {"burst_tokens", rate.limit.burst_tokens},
-         {"epoch", followed.has_value() ? followed->epoch : 0},
+         {"epoch", allotment.has_value() ? allotment->epoch : 0},
          {"bucket_level", bucket.has_value() ? bucket->level : 0},
          {"bucket_cap", bucket.has_value() ? bucket->cap : 0},
-         {"holders", holders}});
+         {"holders", owners}});
   }
   return workspaces;
 }
@@ -129,7 +131,7 @@
       {"members", MembersOf(sources)},
       {"targets", TargetsOf(sources)},
       {"workspaces", WorkspacesOf(sources)},
-      {"waiting", sources.waiting},
+      {"waiting", sources.waiting_requests},
       {"refusals", sources.metrics.Counters("dragonflyglade_refusals_total")}};
 }
 
--- a/dragonflyglade/instance/instance_status.h
+++ b/dragonflyglade/instance/instance_status.h
@@ -13,20 +13,20 @@
 
 namespace dragonflyglade {
 
-/// What an instance's status is put together from.
+/// The components and values from which an instance's status is built.
 struct StatusSources {
   const Membership& membership;
   const RecordStore& records;
   const ConfigFreshness& freshness;
   const TargetRegistry& targets;
-  const DistributedRateLimiter& shares;
+  const DistributedRateLimiter& rate_limiter;
   const CatalogHolder& catalog;
   const Metrics& metrics;
   bool is_relay = false;
-  std::size_t waiting = 0;
+  std::size_t waiting_requests = 0;
 };
 
-/// An instance's status as JSON. It holds no secrets.
+/// Builds an instance's status as JSON. The status contains no secrets.
 nlohmann::json InstanceStatus(const StatusSources& sources);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/instance/main.cc
+++ b/dragonflyglade/instance/main.cc
@@ -44,18 +44,18 @@
   };
 }
 
-std::string Use() {
-  std::string use = "use: dragonflyglade COMMAND [--help]\n";
+std::string Usage() {
+  std::string usage = "use: dragonflyglade COMMAND [--help]\n";
   for (const Command& command : Commands()) {
-    use += fmt::format("  {:<8} {}\n", command.name, command.purpose);
+    usage += fmt::format("  {:<8} {}\n", command.name, command.purpose);
   }
-  return use;
+  return usage;
 }
 
 int Run(const Arguments& all) {
   const CommandOutput output{std::cout, std::cerr};
   if (all.empty()) {
-    fmt::print(std::cerr, "{}", Use());
+    fmt::print(std::cerr, "{}", Usage());
     return kExitBadUse;
   }
   const Arguments arguments(all.begin() + 1, all.end());
@@ -63,10 +63,10 @@
     if (command.name == all.front()) return command.run(arguments, output);
   }
   if (all.front() == "--help" || all.front() == "help") {
-    fmt::print(std::cout, "{}", Use());
+    fmt::print(std::cout, "{}", Usage());
     return kExitDone;
   }
-  fmt::print(std::cerr, "no such command: {}\n{}", all.front(), Use());
+  fmt::print(std::cerr, "no such command: {}\n{}", all.front(), Usage());
   return kExitBadUse;
 }
 
--- a/dragonflyglade/instance/placement_options.h
+++ b/dragonflyglade/instance/placement_options.h
@@ -6,14 +6,15 @@
 
 namespace dragonflyglade {
 
-/// Paces and limits of placement.
+/// Intervals and limits of placement.
 struct PlacementOptions {
   absl::Duration period = absl::Seconds(1);
+  /// Lease of the placement role for one pool.
   absl::Duration lease = absl::Seconds(10);
-  /// Reports older than this say nothing about memory.
-  absl::Duration report_limit = absl::Seconds(10);
-  /// Time that an order has to take effect before it is repeated.
-  absl::Duration settle = absl::Seconds(8);
+  /// Reports older than this are not used to determine resident models.
+  absl::Duration max_report_age = absl::Seconds(10);
+  /// Time for an order to take effect before it may be repeated.
+  absl::Duration settle_time = absl::Seconds(8);
   PlannerOptions plan;
 };
 
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -13,11 +13,11 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr int kSettleAttempts = 40;
-constexpr absl::Duration kSettlePause = absl::Milliseconds(100);
-constexpr absl::Duration kLongestSettlePause = absl::Seconds(2);
-constexpr absl::Duration kDemandEvery = absl::Seconds(5);
-// How many instances try to hold one pool's role.
+constexpr int kLedgerUpdateAttempts = 40;
+constexpr absl::Duration kInitialLedgerRetryDelay = absl::Milliseconds(100);
+constexpr absl::Duration kMaxLedgerRetryDelay = absl::Seconds(2);
+constexpr absl::Duration kDemandRefreshPeriod = absl::Seconds(5);
+// Number of instances that try to acquire the placement role of one pool.
 constexpr std::size_t kRoleCandidates = 2;
 
 }  // namespace
@@ -43,7 +43,7 @@
       call_options(call_options),
       options(options),
       clock(clock),
-      worker([this] { return this->Round(); }) {}
+      worker([this] { return this->RunRound(); }) {}
 
 PlacementRunner::~PlacementRunner() { this->Stop(); }
 
@@ -55,7 +55,7 @@
   this->pools.clear();
 }
 
-absl::Duration PlacementRunner::Round() {
+absl::Duration PlacementRunner::RunRound() {
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   const std::string self = this->membership.Self().info.name;
   for (const auto& [name, record] : catalog->pools) {
@@ -77,13 +77,13 @@
       this->pools.erase(name);
       continue;
     }
-    const std::optional<std::int64_t> fence = pool.role->AcquireOrRenew();
-    if (!fence.has_value()) continue;
-    if (pool.noted_fence != *fence) {
-      pool.noted_fence = *fence;
-      this->audit.Add("role taken", role, {{"fence", *fence}});
+    const std::optional<std::int64_t> fence_token = pool.role->AcquireOrRenew();
+    if (!fence_token.has_value()) continue;
+    if (pool.audited_fence_token != *fence_token) {
+      pool.audited_fence_token = *fence_token;
+      this->audit.Add("role taken", role, {{"fence", *fence_token}});
     }
-    PoolRound round{name, record, pool, *fence, {}, {}};
+    PoolRound round{name, record, pool, *fence_token, {}, {}};
     this->PlanPool(round);
   }
   return this->options.period;
@@ -98,9 +98,10 @@
   for (const KvEntry& entry : range.Value().entries) {
     const Result<TargetLedger> ledger = DecodeLedger(entry.value);
     if (!ledger.Ok()) {
-      // Without the ledger nothing may be ordered at this target.
+      // Without a readable ledger no order may be sent to this target.
       LogFor(LogPart::kPlacement)
-          .error("{}: {}.", entry.key, ledger.Error().ToString());
+          .error("Ledger {} is unreadable, so its target gets no orders: {}.",
+                 entry.key, ledger.Error().ToString());
       continue;
     }
     round.ledgers[ledger.Value().target] =
@@ -117,7 +118,7 @@
     stored.ledger.capacity = round.record.memory_bytes;
   }
   for (const auto& [target, stored] : round.ledgers) {
-    auto& [orders, since] = round.pool.orders_seen[target];
+    auto& [orders, since] = round.pool.observed_orders[target];
     const bool is_new = since == Instant() || orders != stored.ledger.orders;
     if (!is_new) continue;
     orders = stored.ledger.orders;
@@ -126,22 +127,23 @@
   return true;
 }
 
-bool PlacementRunner::ReportIsAfter(const PoolRound& round,
-                                    const TargetStatus& status,
-                                    absl::Duration settle) const {
-  if (status.report_age > this->options.report_limit) return false;
-  const Instant made_at = this->clock.Now() - status.report_age;
-  const auto seen = round.pool.orders_seen.find(status.listed.name);
-  return seen != round.pool.orders_seen.end() &&
-         made_at > seen->second.second + settle;
+bool PlacementRunner::IsReportAfterOrders(const PoolRound& round,
+                                          const TargetStatus& status,
+                                          absl::Duration settle_time) const {
+  if (status.report_age > this->options.max_report_age) return false;
+  const Instant report_time = this->clock.Now() - status.report_age;
+  const auto observed = round.pool.observed_orders.find(status.listed.name);
+  return observed != round.pool.observed_orders.end() &&
+         report_time > observed->second.second + settle_time;
 }
 
-// Failure: an engine has models in memory that no ledger knows, because it is
-// older than the ledger or somebody loaded them by hand. Loads planned on an
-// empty ledger then overcommit its memory. What a report shows is booked with
-// its record's size; a name without a record takes all that is free, so
-// nothing is loaded there until it is gone.
-void PlacementRunner::BookUnordered(
+// Failure: an engine has resident models that are not in its ledger, because
+// the engine started before the ledger was created or someone loaded them
+// manually. Loads planned from the incomplete ledger would then overcommit its
+// memory. Each reported model is therefore added to the ledger with the size
+// from its record. A model without a record is counted as using all free
+// memory, so nothing is loaded at that target until the model is unloaded.
+void PlacementRunner::RecordUnorderedCopies(
     TargetLedger& ledger, const std::set<std::string>& resident) const {
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const std::string& name : resident) {
@@ -163,28 +165,31 @@
   }
 }
 
-void PlacementRunner::TakeReports(PoolRound& round) {
+void PlacementRunner::ApplyReports(PoolRound& round) {
   for (auto& [target, stored] : round.ledgers) {
     const auto found = round.statuses.find(target);
     if (found == round.statuses.end()) continue;
     const TargetStatus& status = found->second;
-    const bool after = this->ReportIsAfter(round, status, absl::ZeroDuration());
-    const std::string before = EncodeLedger(stored.ledger);
-    ApplyResidencyReport(stored.ledger, status.boot_id, status.resident, after);
-    if (after) this->BookUnordered(stored.ledger, status.resident);
-    const bool is_first = after && stored.mod_revision == 0;
-    if (!is_first && EncodeLedger(stored.ledger) == before) continue;
-    if (!this->Store(round, stored, {})) {
-      stored.ledger = DecodeLedger(before).Value();
+    const bool is_after_orders =
+        this->IsReportAfterOrders(round, status, absl::ZeroDuration());
+    const std::string encoded_before = EncodeLedger(stored.ledger);
+    ApplyResidencyReport(stored.ledger, status.boot_id, status.resident,
+                         is_after_orders);
+    if (is_after_orders)
+      this->RecordUnorderedCopies(stored.ledger, status.resident);
+    const bool is_first = is_after_orders && stored.mod_revision == 0;
+    if (!is_first && EncodeLedger(stored.ledger) == encoded_before) continue;
+    if (!this->WriteLedger(round, stored, {})) {
+      stored.ledger = DecodeLedger(encoded_before).Value();
     }
   }
 }
 
-// One call to every instance, so not in every round: demand is an average over
-// several seconds anyway.
+// Fetches the demand with one call to every instance. It is not done in every
+// round because demand is an average over several seconds.
 void PlacementRunner::RefreshDemand() {
   const Instant now = this->clock.Now();
-  if (now - this->demand_read_at < kDemandEvery) return;
+  if (now - this->demand_read_at < kDemandRefreshPeriod) return;
   this->demand_read_at = now;
   this->fleet_demand = this->demand.Rates();
   const std::string self = this->membership.Self().info.name;
@@ -205,9 +210,10 @@
   const std::shared_ptr<const Catalog> catalog = this->catalog.Get();
   for (const auto& [name, model] : catalog->models) {
     if (model.pool != round.name) continue;
-    const PlacementRecord* wish = FindRecord(catalog->placements, name);
-    input.models.push_back(PlannerModel{name, model.version, model.bytes,
-                                        wish == nullptr ? 1 : wish->copies});
+    const PlacementRecord* requested = FindRecord(catalog->placements, name);
+    input.models.push_back(
+        PlannerModel{name, model.version, model.bytes,
+                     requested == nullptr ? 1 : requested->copies});
   }
   for (const auto& [name, adapter] : catalog->adapters) {
     const ModelRecord* base = FindRecord(catalog->models, adapter.model);
@@ -219,13 +225,15 @@
     PlannerTarget planned;
     planned.ledger = stored.ledger;
     const auto status = round.statuses.find(target);
-    // Before its first report was booked, nothing is known of its memory.
+    // A target's memory usage is unknown until its first report has been
+    // written to the ledger.
     planned.usable = stored.mod_revision != 0 &&
                      status != round.statuses.end() &&
                      !status->second.leaving && !status->second.ejected &&
-                     status->second.report_age <= this->options.report_limit;
+                     status->second.report_age <= this->options.max_report_age;
     if (planned.usable &&
-        this->ReportIsAfter(round, status->second, this->options.settle)) {
+        this->IsReportAfterOrders(round, status->second,
+                                  this->options.settle_time)) {
       planned.resident = status->second.resident;
     }
     input.targets.push_back(std::move(planned));
@@ -238,19 +246,20 @@
 
 void PlacementRunner::PlanPool(PoolRound& round) {
   if (!this->ReadLedgers(round)) return;
-  this->TakeReports(round);
+  this->ApplyReports(round);
   this->RefreshDemand();
   const std::vector<PlanStep> steps =
       round.pool.planner->Plan(this->InputFor(round));
   this->CorrectRoles(round);
   for (const PlanStep& step : steps) {
     if (!round.pool.role->IsHeld()) return;
-    std::visit([&](const auto& known) { this->CarryOut(round, known); }, step);
+    std::visit([&](const auto& known) { this->Execute(round, known); }, step);
   }
 }
 
-// Engines that report another role than their pool's are told. A lost order is
-// repeated once a report made after its settle time still shows the old role.
+// Sends a role order to each engine whose reported role differs from that of
+// its pool. The order is repeated if a report made after the settle time still
+// shows the old role, for example because the order was lost.
 void PlacementRunner::CorrectRoles(PoolRound& round) {
   if (round.record.role.empty()) return;
   for (auto& [target, stored] : round.ledgers) {
@@ -258,8 +267,8 @@
     if (status == round.statuses.end() || stored.mod_revision == 0) continue;
     const std::string& role = status->second.role;
     if (role.empty() || role == round.record.role) continue;
-    const bool has_settled =
-        this->ReportIsAfter(round, status->second, this->options.settle);
+    const bool has_settled = this->IsReportAfterOrders(
+        round, status->second, this->options.settle_time);
     if (has_settled && round.pool.role->IsHeld()) {
       this->CorrectRole(round, stored, status->second);
     }
@@ -269,43 +278,46 @@
 void PlacementRunner::CorrectRole(PoolRound& round, Stored& stored,
                                   const TargetStatus& status) {
   Stored changed = stored;
-  const Result<std::string> id = BeginRoleChange(changed.ledger, round.fence);
-  if (!id.Ok() || !this->Store(round, changed, {})) return;
+  const Result<std::string> id =
+      BeginRoleChange(changed.ledger, round.fence_token);
+  if (!id.Ok() || !this->WriteLedger(round, changed, {})) return;
   stored = changed;
   this->audit.Add("placement role", status.listed.name,
                   {{"role", round.record.role}});
-  this->Send(NewOrder(round, status.listed, OrderKind::kSetRole, id.Value(),
-                      round.record.role));
+  this->Send(MakeOrder(round, status.listed, OrderKind::kSetRole, id.Value(),
+                       round.record.role));
 }
 
-bool PlacementRunner::Store(const PoolRound& round, Stored& stored,
-                            const std::vector<KvCondition>& also) {
+bool PlacementRunner::WriteLedger(
+    const PoolRound& round, Stored& stored,
+    const std::vector<KvCondition>& extra_conditions) {
   const std::string key = LedgerKey(round.name, stored.ledger.target);
-  std::vector<KvCondition> expects = {KvCondition{key, stored.mod_revision}};
-  expects.insert(expects.end(), also.begin(), also.end());
-  const Result<KvTxnResult> reply = this->kv.Txn(
-      expects, {KvWrite{key, EncodeLedger(stored.ledger), 0, false}});
-  // After a lost answer the booking may stand in the service without its
-  // order; the next round reads it and repeats the order.
-  if (!reply.Ok() || !reply.Value().succeeded) return false;
-  stored.mod_revision = reply.Value().revision;
-  round.pool.orders_seen[stored.ledger.target] = {stored.ledger.orders,
-                                                  this->clock.Now()};
+  std::vector<KvCondition> conditions = {KvCondition{key, stored.mod_revision}};
+  conditions.insert(conditions.end(), extra_conditions.begin(),
+                    extra_conditions.end());
+  const Result<KvTxnResult> response = this->kv.Txn(
+      conditions, {KvWrite{key, EncodeLedger(stored.ledger), 0, false}});
+  // If the response was lost, the update may have been stored although its
+  // order is not sent. The next round reads the ledger and repeats the order.
+  if (!response.Ok() || !response.Value().succeeded) return false;
+  stored.mod_revision = response.Value().revision;
+  round.pool.observed_orders[stored.ledger.target] = {stored.ledger.orders,
+                                                      this->clock.Now()};
   return true;
 }
 
-PlacementRunner::Order PlacementRunner::NewOrder(const PoolRound& round,
-                                                 const ListedTarget& target,
-                                                 OrderKind kind,
-                                                 std::string_view id,
-                                                 std::string_view name) {
+PlacementRunner::Order PlacementRunner::MakeOrder(const PoolRound& round,
+                                                  const ListedTarget& target,
+                                                  OrderKind kind,
+                                                  std::string_view id,
+                                                  std::string_view name) {
   Order order;
   order.pool = round.name;
   order.target = target;
   order.fenced = round.record.fenced;
   order.order.kind = kind;
   order.order.id = std::string(id);
-  order.order.fence_token = round.fence;
+  order.order.fence_token = round.fence_token;
   order.order.name = std::string(name);
   return order;
 }
@@ -314,9 +326,9 @@
                                const CopySpec& spec) {
   const bool is_adapter = !spec.base.empty();
   Order order =
-      NewOrder(round, round.statuses.at(stored.ledger.target).listed,
-               is_adapter ? OrderKind::kLoadAdapter : OrderKind::kLoadModel,
-               FindCopy(stored.ledger, spec.name)->order_id, spec.name);
+      MakeOrder(round, round.statuses.at(stored.ledger.target).listed,
+                is_adapter ? OrderKind::kLoadAdapter : OrderKind::kLoadModel,
+                FindCopy(stored.ledger, spec.name)->order_id, spec.name);
   order.is_load = true;
   order.is_adapter = is_adapter;
   order.order.version = spec.version;
@@ -324,84 +336,87 @@
   this->Send(std::move(order));
 }
 
-void PlacementRunner::CarryOut(PoolRound& round, const PlanLoad& step) {
+void PlacementRunner::Execute(PoolRound& round, const PlanLoad& step) {
   Stored stored = round.ledgers.at(step.target);
-  if (!BeginLoad(stored.ledger, step.spec, round.fence).Ok()) return;
-  if (!this->Store(round, stored, {})) return;
+  if (!BeginLoad(stored.ledger, step.spec, round.fence_token).Ok()) return;
+  if (!this->WriteLedger(round, stored, {})) return;
   round.ledgers[step.target] = stored;
   this->audit.Add("placement load", step.target,
                   {{"name", step.spec.name}, {"bytes", step.spec.bytes}});
   this->SendLoad(round, stored, step.spec);
 }
 
-void PlacementRunner::CarryOut(PoolRound& round, const PlanReload& step) {
+void PlacementRunner::Execute(PoolRound& round, const PlanReload& step) {
   Stored stored = round.ledgers.at(step.target);
-  if (!RepeatLoad(stored.ledger, step.spec.name, round.fence).Ok()) return;
-  if (!this->Store(round, stored, {})) return;
+  if (!RepeatLoad(stored.ledger, step.spec.name, round.fence_token).Ok())
+    return;
+  if (!this->WriteLedger(round, stored, {})) return;
   round.ledgers[step.target] = stored;
   this->audit.Add("placement reload", step.target, {{"name", step.spec.name}});
   this->SendLoad(round, stored, step.spec);
 }
 
-// Failure: two planners, one of them woken from a pause, each unload one of a
-// model's two copies, because each relies on the other copy; the model is
-// gone. The ledger with the copy that is relied on is compared in the same
-// transaction, so the second of the two fails.
-void PlacementRunner::CarryOut(PoolRound& round, const PlanUnload& step) {
+// Failure: two planners, one of them resumed after its process was paused, each
+// unload one of a model's two copies because each relies on the other copy
+// remaining. No copy would be left. The transaction therefore also compares the
+// ledger of the target that retains its copy, so the second unload fails.
+void PlacementRunner::Execute(PoolRound& round, const PlanUnload& step) {
   Stored stored = round.ledgers.at(step.target);
   const LedgerCopy* copy = FindCopy(stored.ledger, step.name);
   if (copy == nullptr) return;
   const bool is_adapter = !copy->base.empty();
-  if (!BeginUnload(stored.ledger, step.name, round.fence).Ok()) return;
-  std::vector<KvCondition> also;
+  if (!BeginUnload(stored.ledger, step.name, round.fence_token).Ok()) return;
+  std::vector<KvCondition> extra_conditions;
   if (!step.retained_copy_target.empty()) {
-    also.push_back(
+    extra_conditions.push_back(
         KvCondition{LedgerKey(round.name, step.retained_copy_target),
                     round.ledgers.at(step.retained_copy_target).mod_revision});
   }
-  if (!this->Store(round, stored, also)) return;
+  if (!this->WriteLedger(round, stored, extra_conditions)) return;
   round.ledgers[step.target] = stored;
   this->audit.Add("placement unload", step.target, {{"name", step.name}});
   const auto status = round.statuses.find(step.target);
   if (status == round.statuses.end()) return;
-  this->Send(
-      NewOrder(round, status->second.listed,
-               is_adapter ? OrderKind::kUnloadAdapter : OrderKind::kUnloadModel,
-               FindCopy(stored.ledger, step.name)->order_id, step.name));
+  this->Send(MakeOrder(
+      round, status->second.listed,
+      is_adapter ? OrderKind::kUnloadAdapter : OrderKind::kUnloadModel,
+      FindCopy(stored.ledger, step.name)->order_id, step.name));
 }
 
 void PlacementRunner::Send(Order order) {
-  std::atomic<int>& open =
+  std::atomic<int>& open_loads =
       order.is_adapter ? this->open_adapter_loads : this->open_model_loads;
-  if (order.is_load) ++open;
-  this->orders.Run([this, &open, order = std::move(order)] {
+  if (order.is_load) ++open_loads;
+  this->orders.Run([this, &open_loads, order = std::move(order)] {
     const EngineClient engine(Endpoint{order.target.address, order.target.port},
                               order.target.name, this->call_options);
-    const Result<OrderResult> reply = engine.SendOrder(order.order);
-    if (order.is_load) --open;
-    if (reply.Ok()) {
-      this->Settle(order, reply.Value());
+    const Result<OrderResult> response = engine.SendOrder(order.order);
+    if (order.is_load) --open_loads;
+    if (response.Ok()) {
+      this->RecordOutcome(order, response.Value());
       return;
     }
-    LogFor(LogPart::kPlacement).warn("{}.", reply.Error().ToString());
-    if (reply.Error().code != Errc::kConnectFailed) return;
-    // Nothing arrived, which is as good as a refusal by nobody.
-    this->Settle(order, OrderResult{});
+    LogFor(LogPart::kPlacement).warn("{}.", response.Error().ToString());
+    if (response.Error().code != Errc::kConnectFailed) return;
+    // The order was not delivered, so it counts as not executed. The result
+    // names no boot because no target responded.
+    this->RecordOutcome(order, OrderResult{});
   });
 }
 
-void PlacementRunner::Settle(const Order& order, const OrderResult& reply) {
-  if (!reply.explanation.empty()) {
+void PlacementRunner::RecordOutcome(const Order& order,
+                                    const OrderResult& response) {
+  if (!response.explanation.empty()) {
     LogFor(LogPart::kPlacement)
-        .warn("{} refused {}: {}.", order.target.name, order.order.name,
-              reply.explanation);
+        .warn("Target {} refused the order for {}: {}.", order.target.name,
+              order.order.name, response.explanation);
   }
   const std::string key = LedgerKey(order.pool, order.target.name);
   const OrderOutcome outcome{order.order.id, order.order.name,
-                             order.order.fence_token, reply.done,
-                             reply.boot_id};
-  absl::Duration pause = kSettlePause;
-  for (int attempt = 0; attempt < kSettleAttempts; ++attempt) {
+                             order.order.fence_token, response.done,
+                             response.boot_id};
+  absl::Duration retry_delay = kInitialLedgerRetryDelay;
+  for (int attempt = 0; attempt < kLedgerUpdateAttempts; ++attempt) {
     if (this->worker.Stopping()) return;
     KvQuery query;
     query.key = key;
@@ -421,8 +436,8 @@
                        {KvWrite{key, EncodeLedger(ledger), 0, false}});
       if (stored.Ok() && stored.Value().succeeded) return;
     }
-    absl::SleepFor(pause);
-    pause = std::min(2 * pause, kLongestSettlePause);
+    absl::SleepFor(retry_delay);
+    retry_delay = std::min(2 * retry_delay, kMaxLedgerRetryDelay);
   }
 }
 
--- a/dragonflyglade/instance/placement_runner.h
+++ b/dragonflyglade/instance/placement_runner.h
@@ -25,10 +25,11 @@
 
 namespace dragonflyglade {
 
-/// Carries out placement for the engine pools whose role this instance holds.
+/// Plans and executes model placement for the engine pools whose placement role
+/// this instance holds.
 ///
-/// A ledger is changed by compare-and-swap before an order is sent, and again
-/// when the order's fate is known.
+/// A target's ledger is updated by compare-and-swap before an order is sent to
+/// the target, and again when the outcome of the order is known.
 class PlacementRunner {
  public:
   PlacementRunner(const KvClient& kv, PeerClient& peers, Membership& membership,
@@ -42,21 +43,21 @@
   void Stop();
 
  private:
-  /// A ledger as it is stored.
+  /// A target's ledger and the store revision for compare-and-swap.
   struct Stored {
     TargetLedger ledger;
     std::int64_t mod_revision = 0;
   };
-  /// One pool that this instance may plan.
+  /// A pool for which this instance is a candidate for the placement role.
   struct Pool {
     std::unique_ptr<RoleLease> role;
     std::unique_ptr<PlacementPlanner> planner;
-    std::int64_t noted_fence = 0;  ///< the last one in the audit trail
-    /// For each target: how many orders its ledger counts, and when this
-    /// instance first saw that many.
-    std::map<std::string, std::pair<std::int64_t, Instant>> orders_seen;
+    std::int64_t audited_fence_token = 0;  ///< newest one in the audit trail
+    /// By target, the number of orders in its ledger and the time at which
+    /// this instance first observed that number.
+    std::map<std::string, std::pair<std::int64_t, Instant>> observed_orders;
   };
-  /// What an order needs to be sent after its ledger was written.
+  /// An order to be sent once the target's ledger has been written.
   struct Order {
     std::string pool;
     ListedTarget target;
@@ -66,40 +67,40 @@
     bool is_adapter = false;
   };
 
-  /// What one round for one pool works on.
+  /// The data of one planning round for one pool.
   struct PoolRound {
     const std::string& name;
     const PoolRecord& record;
     Pool& pool;
-    std::int64_t fence = 0;
+    std::int64_t fence_token = 0;
     std::map<std::string, Stored> ledgers;
     std::map<std::string, TargetStatus> statuses;
   };
 
-  absl::Duration Round();
+  absl::Duration RunRound();
   void PlanPool(PoolRound& round);
   bool ReadLedgers(PoolRound& round);
-  void TakeReports(PoolRound& round);
-  void BookUnordered(TargetLedger& ledger,
-                     const std::set<std::string>& resident) const;
-  bool ReportIsAfter(const PoolRound& round, const TargetStatus& status,
-                     absl::Duration settle) const;
+  void ApplyReports(PoolRound& round);
+  void RecordUnorderedCopies(TargetLedger& ledger,
+                             const std::set<std::string>& resident) const;
+  bool IsReportAfterOrders(const PoolRound& round, const TargetStatus& status,
+                           absl::Duration settle_time) const;
   PlannerInput InputFor(const PoolRound& round) const;
   void RefreshDemand();
-  void CarryOut(PoolRound& round, const PlanLoad& step);
-  void CarryOut(PoolRound& round, const PlanReload& step);
-  void CarryOut(PoolRound& round, const PlanUnload& step);
+  void Execute(PoolRound& round, const PlanLoad& step);
+  void Execute(PoolRound& round, const PlanReload& step);
+  void Execute(PoolRound& round, const PlanUnload& step);
   void CorrectRoles(PoolRound& round);
   void CorrectRole(PoolRound& round, Stored& stored,
                    const TargetStatus& status);
-  bool Store(const PoolRound& round, Stored& stored,
-             const std::vector<KvCondition>& also);
-  static Order NewOrder(const PoolRound& round, const ListedTarget& target,
-                        OrderKind kind, std::string_view id,
-                        std::string_view name);
+  bool WriteLedger(const PoolRound& round, Stored& stored,
+                   const std::vector<KvCondition>& extra_conditions);
+  static Order MakeOrder(const PoolRound& round, const ListedTarget& target,
+                         OrderKind kind, std::string_view id,
+                         std::string_view name);
   void SendLoad(PoolRound& round, const Stored& stored, const CopySpec& spec);
   void Send(Order order);
-  void Settle(const Order& order, const OrderResult& reply);
+  void RecordOutcome(const Order& order, const OrderResult& response);
 
   const KvClient& kv;
   PeerClient& peers;
@@ -120,7 +121,7 @@
   PeriodicWorker worker;
 };
 
-/// Where a target's ledger is kept.
+/// The key of a target's ledger in the key-value service.
 std::string LedgerKey(std::string_view pool, std::string_view target);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/instance/serve_command.cc
+++ b/dragonflyglade/instance/serve_command.cc
@@ -13,18 +13,19 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr const char* kServeUse =
+constexpr const char* kServeUsage =
     "use: dragonflyglade serve --settings FILE [--check]\n";
 
-// The signals that drain the instance, kept back from all threads so that
-// only the waiting one takes them.
+// Blocks the signals that start a drain in all threads, so that only the
+// thread in sigwait receives them.
 sigset_t BlockDrainSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
   sigaddset(&signals, SIGINT);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A caller or target that closes its end must not end the process.
+  // Writing to a connection that a caller or target closed must not terminate
+  // the process.
   signal(SIGPIPE, SIG_IGN);
   return signals;
 }
@@ -43,7 +44,7 @@
   output.out.flush();
   int received = 0;
   sigwait(&signals, &received);
-  // The signals stay blocked, so a second one changes nothing.
+  // The signals stay blocked, so a second one does not interrupt the drain.
   instance.Drain();
   return kExitDone;
 }
@@ -53,7 +54,7 @@
 int RunServeCommand(const std::vector<std::string>& arguments,
                     const CommandOutput& output) {
   const std::variant<SettingsOptions, int> parsed =
-      ParseSettingsOptions(arguments, kServeUse, output);
+      ParseSettingsOptions(arguments, kServeUsage, output);
   if (const int* exit_code = std::get_if<int>(&parsed)) return *exit_code;
   const auto& options = std::get<SettingsOptions>(parsed);
   const Result<Settings> settings = ReadSettings(options.settings);
--- a/dragonflyglade/instance/serve_command.h
+++ b/dragonflyglade/instance/serve_command.h
@@ -8,8 +8,8 @@
 
 namespace dragonflyglade {
 
-/// Runs one instance until SIGTERM or SIGINT, which drain it.
-/// @return an exit code
+/// Runs one instance until SIGTERM or SIGINT, then drains it.
+/// @return the exit code of the process
 int RunServeCommand(const std::vector<std::string>& arguments,
                     const CommandOutput& output);
 
--- a/dragonflyglade/instance/settings.cc
+++ b/dragonflyglade/instance/settings.cc
@@ -14,12 +14,14 @@
 
 using nlohmann::json;
 
-constexpr const char* kPeer = "settings";
+constexpr const char* kFailurePeer = "settings";
 
 Failure Invalid(std::string_view why) {
-  return MakeFailure(Errc::kInvalidSettings, "read settings", kPeer, why);
+  return MakeFailure(Errc::kInvalidSettings, "read settings", kFailurePeer,
+                     why);
 }
 
+// Both overloads leave `value` unchanged if the field is absent.
 void Read(const json& object, const char* field, absl::Duration unit,
           absl::Duration& value) {
   if (object.contains(field)) {
@@ -32,13 +34,14 @@
   if (object.contains(field)) value = object.at(field).get<T>();
 }
 
-// Collects the addresses that are not IP numbers.
-class Addresses {
+// Parses addresses and collects a description of each that is not an IP
+// address.
+class AddressParser {
  public:
-  Endpoint Listen(const json& listen, const std::string& path) {
+  Endpoint ParseListen(const json& listen, const std::string& path) {
     Endpoint endpoint{listen.at("address"), listen.at("port")};
     if (!IsIpAddress(endpoint.address)) {
-      this->Complain(path + ".address", endpoint.address);
+      this->AddProblem(path + ".address", endpoint.address);
     }
     return endpoint;
   }
@@ -46,14 +49,14 @@
   Endpoint Parse(const std::string& text, const std::string& path) {
     const Result<Endpoint> endpoint = ParseEndpoint(text);
     if (endpoint.Ok()) return endpoint.Value();
-    this->Complain(path, text);
+    this->AddProblem(path, text);
     return {};
   }
 
   const std::string& Problems() const { return this->problems; }
 
  private:
-  void Complain(const std::string& path, const std::string& found) {
+  void AddProblem(const std::string& path, const std::string& found) {
     if (!this->problems.empty()) this->problems += "; ";
     this->problems +=
         fmt::format("{}: expected an IP number; found \"{}\"", path, found);
@@ -62,11 +65,12 @@
   std::string problems;
 };
 
-void ReadClass(const json& limits, const char* name, ClassLimits& waits) {
+void ReadClassLimits(const json& limits, const char* name,
+                     ClassLimits& class_limits) {
   if (!limits.contains(name)) return;
   const absl::Duration unit = absl::Milliseconds(1);
-  Read(limits.at(name), "token_wait_ms", unit, waits.token_wait);
-  Read(limits.at(name), "place_wait_ms", unit, waits.reservation_wait);
+  Read(limits.at(name), "token_wait_ms", unit, class_limits.token_wait);
+  Read(limits.at(name), "place_wait_ms", unit, class_limits.reservation_wait);
 }
 
 void ReadLimits(const json& limits, Settings& settings) {
@@ -75,9 +79,9 @@
   Read(limits, "threads", settings.threads);
   Read(limits, "queue", settings.dispatch.queue_limit);
   Read(limits, "in_flight_per_target", settings.targets.max_in_flight);
-  ReadClass(limits, "urgent", settings.limits.urgent);
-  ReadClass(limits, "chat", settings.limits.chat);
-  ReadClass(limits, "batch", settings.limits.batch);
+  ReadClassLimits(limits, "urgent", settings.limits.urgent);
+  ReadClassLimits(limits, "chat", settings.limits.chat);
+  ReadClassLimits(limits, "batch", settings.limits.batch);
 }
 
 void ReadTimeouts(const json& timeouts, Settings& settings) {
@@ -87,25 +91,25 @@
   Read(timeouts, "kv_watch_silence_ms", ms, settings.kv.watch_read_timeout);
   Read(timeouts, "peer_ms", ms, settings.peers.call_timeout);
   Read(timeouts, "borrow_ms", ms, settings.peers.borrow_timeout);
-  Read(timeouts, "hold_ms", ms, settings.shares.min_hold);
+  Read(timeouts, "hold_ms", ms, settings.rate_limiter.min_hold);
   Read(timeouts, "target_connect_ms", ms,
        settings.target_calls.connect_timeout);
   Read(timeouts, "target_read_ms", ms, settings.target_calls.read_timeout);
   Read(timeouts, "order_ms", ms, settings.target_calls.order_timeout);
   Read(timeouts, "suspicion_ms", ms, settings.membership.suspicion);
-  Read(timeouts, "config_fresh_ms", ms, settings.fresh_bound);
+  Read(timeouts, "config_fresh_ms", ms, settings.max_config_age);
   Read(timeouts, "ejection_ms", ms, settings.targets.ejection);
   Read(timeouts, "slow_return_ms", ms, settings.targets.recovery_ramp);
-  Read(timeouts, "claim_keep_s", s, settings.claim_keep);
-  Read(timeouts, "answer_keep_s", s, settings.keep);
-  Read(timeouts, "drain_s", s, settings.drain_limit);
+  Read(timeouts, "claim_keep_s", s, settings.claim_retention);
+  Read(timeouts, "answer_keep_s", s, settings.selection_lifetime);
+  Read(timeouts, "drain_s", s, settings.drain_timeout);
 }
 
 void ReadPlacement(const json& placement, PlacementOptions& out) {
   const absl::Duration ms = absl::Milliseconds(1);
   Read(placement, "period_ms", ms, out.period);
   Read(placement, "lease_ms", ms, out.lease);
-  Read(placement, "settle_ms", ms, out.settle);
+  Read(placement, "settle_ms", ms, out.settle_time);
   Read(placement, "drop_after_ms", ms, out.plan.drop_after);
   Read(placement, "copy_tokens_per_second", out.plan.copy_tokens_per_second);
   Read(placement, "add_above", out.plan.add_above);
@@ -118,29 +122,31 @@
 void ReadPeriods(const json& periods, Periods& out) {
   const absl::Duration ms = absl::Milliseconds(1);
   Read(periods, "config_reread_ms", ms, out.config_reread);
-  Read(periods, "lists_ms", ms, out.lists);
+  Read(periods, "lists_ms", ms, out.discovery);
   Read(periods, "reports_ms", ms, out.reports);
   Read(periods, "allotments_ms", ms, out.allotments);
 }
 
-Result<Settings> FromDocument(const json& document) {
+Result<Settings> SettingsFromJson(const json& document) {
   Settings settings;
-  Addresses addresses;
+  AddressParser address_parser;
   settings.name = document.at("name");
   settings.zone = document.at("availability_zone");
   const json& listen = document.at("listen");
   settings.caller_listen =
-      addresses.Listen(listen.at("caller"), "listen.caller");
-  settings.peer_listen = addresses.Listen(listen.at("peer"), "listen.peer");
+      address_parser.ParseListen(listen.at("caller"), "listen.caller");
+  settings.peer_listen =
+      address_parser.ParseListen(listen.at("peer"), "listen.peer");
   settings.operator_listen =
-      addresses.Listen(listen.at("operator"), "listen.operator");
+      address_parser.ParseListen(listen.at("operator"), "listen.operator");
   for (const json& endpoint : document.at("kv").at("endpoints")) {
     settings.kv.endpoints.push_back(
-        addresses.Parse(endpoint.get<std::string>(), "kv.endpoints"));
+        address_parser.Parse(endpoint.get<std::string>(), "kv.endpoints"));
   }
-  settings.lists = addresses.Parse(
+  settings.discovery = address_parser.Parse(
       document.at("lists").at("endpoint").get<std::string>(), "lists.endpoint");
-  if (!addresses.Problems().empty()) return Invalid(addresses.Problems());
+  if (!address_parser.Problems().empty())
+    return Invalid(address_parser.Problems());
   ReadLimits(document.value("limits", json::object()), settings);
   ReadTimeouts(document.value("timeouts", json::object()), settings);
   const json periods = document.value("periods", json::object());
@@ -179,7 +185,7 @@
   const std::vector<SchemaProblem> problems =
       CheckSchema(SettingsSchema(), document);
   if (!problems.empty()) return Invalid(Describe(problems));
-  return FromDocument(document);
+  return SettingsFromJson(document);
 }
 
 Result<Settings> ReadSettings(const std::string& path) {
--- a/dragonflyglade/instance/settings.h
+++ b/dragonflyglade/instance/settings.h
@@ -20,10 +20,12 @@
 
 namespace dragonflyglade {
 
-/// How often an instance does what nobody asked it to.
+/// Periods of an instance's background work: re-reading the configuration,
+/// fetching the instance and target lists, polling target load reports, and
+/// updating allotments.
 struct Periods {
   absl::Duration config_reread = absl::Seconds(1);
-  absl::Duration lists = absl::Seconds(1);
+  absl::Duration discovery = absl::Seconds(1);
   absl::Duration reports = absl::Milliseconds(500);
   absl::Duration allotments = absl::Milliseconds(500);
 };
@@ -35,35 +37,37 @@
   Endpoint caller_listen;
   Endpoint peer_listen;
   Endpoint operator_listen;
-  Endpoint lists;
+  Endpoint discovery;  ///< service that lists the instances and targets
   KvOptions kv;
   PeerOptions peers;
   TargetCallOptions target_calls;
   TargetOptions targets;
   DispatcherOptions dispatch;
-  RateLimiterOptions shares;
+  RateLimiterOptions rate_limiter;
   MembershipOptions membership;
   CallerLimits limits;
   PlacementOptions placement;
   Periods periods;
   LogOptions log;
-  int threads = 128;
+  int threads = 128;  ///< that serve callers
   int config_relays = 2;
-  absl::Duration fresh_bound = absl::Seconds(5);
-  absl::Duration claim_keep = absl::Hours(24);
-  absl::Duration keep = absl::Seconds(10);  ///< of a which-instance answer
-  absl::Duration drain_limit = absl::Minutes(10);
+  absl::Duration max_config_age = absl::Seconds(5);
+  absl::Duration claim_retention = absl::Hours(24);
+  /// How long a caller may use the instance that was selected for it.
+  absl::Duration selection_lifetime = absl::Seconds(10);
+  absl::Duration drain_timeout = absl::Minutes(10);
 };
 
 /// Reads settings from JSON text.
-/// Errors: kInvalidSettings, naming each path, what was expected and found.
+/// Errors: kInvalidSettings, with the path, expected and found value of each
+/// problem.
 Result<Settings> ParseSettings(std::string_view text);
 
-/// Reads settings from a file. Errors also: kUnknownRecord if it cannot be
-/// read.
+/// Reads settings from a file. Errors: those of ParseSettings, and
+/// kUnknownRecord if the file cannot be read.
 Result<Settings> ReadSettings(const std::string& path);
 
-/// Reads a whole file. Errors: kUnknownRecord.
+/// Reads a whole file. Errors: kUnknownRecord if it cannot be read.
 Result<std::string> ReadFile(const std::string& path);
 
 }  // namespace dragonflyglade
--- a/dragonflyglade/instance/settings_schema.h
+++ b/dragonflyglade/instance/settings_schema.h
@@ -5,7 +5,7 @@
 
 namespace dragonflyglade {
 
-/// The JSON schema of the settings.
+/// The JSON schema of one instance's settings.
 nlohmann::json SettingsSchema();
 
 }  // namespace dragonflyglade
