--- a/dragonflyglade/instance/config_follower.cc
+++ b/dragonflyglade/instance/config_follower.cc
@@ -137,7 +137,7 @@
   const bool caught_up = this->watched_revision >= read_revision;
   if (this->watch == nullptr || delivered_revision == 0 || caught_up) return;
   LogFor(LogPart::kStore)
-      .warn("The configuration watch missed a change; reopening the watch.");
+      .warn("The configuration watch is behind; reopening it.");
   this->watch->Stop();
 }
 
