--- a/dragonflyglade/instance/allotment_keeper.cc
+++ b/dragonflyglade/instance/allotment_keeper.cc
@@ -98,9 +98,10 @@
     if (member.state == MemberState::kDead) state = "dead";
     if (member.incarnation == 0) continue;
     std::string& audited = this->audited_members[member.info.name];
-    const std::string seen = state + " " + std::to_string(member.incarnation);
-    if (audited == seen) continue;
-    audited = seen;
+    const std::string current =
+        state + " " + std::to_string(member.incarnation);
+    if (audited == current) continue;
+    audited = current;
     this->audit.Add("member", member.info.name,
                     {{"state", state}, {"incarnation", member.incarnation}});
   }
@@ -108,21 +109,21 @@
 
 // In a large fleet, this instance may have had no heartbeat yet from a selected
 // owner. The owner gets its share in the round after it has responded.
-void AllotmentKeeper::ContactUnheardOwners(
+void AllotmentKeeper::ContactNewOwners(
     std::map<std::string, AllotmentInputs>& inputs_by_workspace) {
-  std::set<std::string> uncontacted;
+  std::set<std::string> unknown_instances;
   for (auto& [workspace, inputs] : inputs_by_workspace) {
-    std::vector<OwnerCandidate> contacted;
+    std::vector<OwnerCandidate> known_candidates;
     for (const OwnerCandidate& candidate : inputs.candidates) {
       if (candidate.incarnation != 0) {
-        contacted.push_back(candidate);
+        known_candidates.push_back(candidate);
       } else {
-        uncontacted.insert(candidate.instance);
+        unknown_instances.insert(candidate.instance);
       }
     }
-    inputs.candidates = std::move(contacted);
+    inputs.candidates = std::move(known_candidates);
   }
-  for (const std::string& instance : uncontacted) {
+  for (const std::string& instance : unknown_instances) {
     const std::optional<MemberStatus> member = this->membership.Find(instance);
     if (member.has_value()) this->contact_instance(*member);
   }
@@ -130,7 +131,7 @@
 
 // Asks each owner whose share is being reduced which epochs it has applied.
 void AllotmentKeeper::QueryConfirmedEpochs(
-    const std::map<std::string, Stored>& stored,
+    const std::map<std::string, StoredAllotment>& stored,
     std::map<std::string, AllotmentInputs>& inputs_by_workspace) {
   std::map<std::string, std::vector<std::string>> workspaces_by_owner;
   for (const auto& [workspace, entry] : stored) {
@@ -163,7 +164,7 @@
 }
 
 void AllotmentKeeper::StoreNextAllotment(const std::string& workspace,
-                                         const Stored& stored,
+                                         const StoredAllotment& stored,
                                          const AllotmentInputs& inputs) {
   const std::optional<Allotment> next =
       PlanNextAllotment(stored.allotment, inputs);
@@ -190,14 +191,14 @@
   query.prefix = true;
   const Result<KvRange> range = this->kv.Range(query);
   if (!range.Ok()) return this->period;
-  std::map<std::string, Stored> stored;
+  std::map<std::string, StoredAllotment> stored;
   for (const KvEntry& entry : range.Value().entries) {
     const Result<RecordKey> key = ParseRecordKey(entry.key);
     if (!key.Ok()) continue;
     const Result<Record> record = ParseRecord(key.Value(), entry.value);
     if (!record.Ok()) continue;
-    stored[key.Value().name] =
-        Stored{std::get<Allotment>(record.Value()), entry.mod_revision};
+    stored[key.Value().name] = StoredAllotment{
+        std::get<Allotment>(record.Value()), entry.mod_revision};
   }
   const AllotmentInputs common = this->CommonInputs();
   std::map<std::string, AllotmentInputs> inputs_by_workspace;
@@ -208,7 +209,7 @@
     inputs_by_workspace[workspace].candidates =
         SelectShareOwners(workspace, common.candidates);
   }
-  this->ContactUnheardOwners(inputs_by_workspace);
+  this->ContactNewOwners(inputs_by_workspace);
   this->QueryConfirmedEpochs(stored, inputs_by_workspace);
   for (const auto& [workspace, entry] : stored) {
     // The allotment of a workspace without a rate record stays unchanged.
--- a/dragonflyglade/instance/allotment_keeper.h
+++ b/dragonflyglade/instance/allotment_keeper.h
@@ -42,7 +42,7 @@
 
  private:
   /// A stored allotment and the store revision for compare-and-swap.
-  struct Stored {
+  struct StoredAllotment {
     Allotment allotment;
     std::int64_t mod_revision = 0;
   };
@@ -51,12 +51,13 @@
   bool IsKeeper() const;
   AllotmentInputs CommonInputs() const;
   void AuditMembershipChanges();
-  void ContactUnheardOwners(
+  void ContactNewOwners(
       std::map<std::string, AllotmentInputs>& inputs_by_workspace);
   void QueryConfirmedEpochs(
-      const std::map<std::string, Stored>& stored,
+      const std::map<std::string, StoredAllotment>& stored,
       std::map<std::string, AllotmentInputs>& inputs_by_workspace);
-  void StoreNextAllotment(const std::string& workspace, const Stored& stored,
+  void StoreNextAllotment(const std::string& workspace,
+                          const StoredAllotment& stored,
                           const AllotmentInputs& inputs);
 
   const KvClient& kv;
--- a/dragonflyglade/instance/placement_runner.cc
+++ b/dragonflyglade/instance/placement_runner.cc
@@ -105,13 +105,13 @@
       continue;
     }
     round.ledgers[ledger.Value().target] =
-        Stored{ledger.Value(), entry.mod_revision};
+        StoredLedger{ledger.Value(), entry.mod_revision};
   }
   const Instant now = this->clock.Now();
   for (const TargetStatus& status : this->targets.Status()) {
     if (status.listed.pool != round.name) continue;
     round.statuses[status.listed.name] = status;
-    Stored& stored = round.ledgers[status.listed.name];
+    StoredLedger& stored = round.ledgers[status.listed.name];
     if (stored.ledger.target.empty()) {
       stored.ledger.target = status.listed.name;
     }
@@ -275,9 +275,9 @@
   }
 }
 
-void PlacementRunner::CorrectRole(PoolRound& round, Stored& stored,
+void PlacementRunner::CorrectRole(PoolRound& round, StoredLedger& stored,
                                   const TargetStatus& status) {
-  Stored changed = stored;
+  StoredLedger changed = stored;
   const Result<std::string> id =
       BeginRoleChange(changed.ledger, round.fence_token);
   if (!id.Ok() || !this->WriteLedger(round, changed, {})) return;
@@ -289,7 +289,7 @@
 }
 
 bool PlacementRunner::WriteLedger(
-    const PoolRound& round, Stored& stored,
+    const PoolRound& round, StoredLedger& stored,
     const std::vector<KvCondition>& extra_conditions) {
   const std::string key = LedgerKey(round.name, stored.ledger.target);
   std::vector<KvCondition> conditions = {KvCondition{key, stored.mod_revision}};
@@ -322,7 +322,7 @@
   return order;
 }
 
-void PlacementRunner::SendLoad(PoolRound& round, const Stored& stored,
+void PlacementRunner::SendLoad(PoolRound& round, const StoredLedger& stored,
                                const CopySpec& spec) {
   const bool is_adapter = !spec.base.empty();
   Order order =
@@ -337,7 +337,7 @@
 }
 
 void PlacementRunner::Execute(PoolRound& round, const PlanLoad& step) {
-  Stored stored = round.ledgers.at(step.target);
+  StoredLedger stored = round.ledgers.at(step.target);
   if (!BeginLoad(stored.ledger, step.spec, round.fence_token).Ok()) return;
   if (!this->WriteLedger(round, stored, {})) return;
   round.ledgers[step.target] = stored;
@@ -347,7 +347,7 @@
 }
 
 void PlacementRunner::Execute(PoolRound& round, const PlanReload& step) {
-  Stored stored = round.ledgers.at(step.target);
+  StoredLedger stored = round.ledgers.at(step.target);
   if (!RepeatLoad(stored.ledger, step.spec.name, round.fence_token).Ok())
     return;
   if (!this->WriteLedger(round, stored, {})) return;
@@ -361,7 +361,7 @@
 // remaining. No copy would be left. The transaction therefore also compares the
 // ledger of the target that retains its copy, so the second unload fails.
 void PlacementRunner::Execute(PoolRound& round, const PlanUnload& step) {
-  Stored stored = round.ledgers.at(step.target);
+  StoredLedger stored = round.ledgers.at(step.target);
   const LedgerCopy* copy = FindCopy(stored.ledger, step.name);
   if (copy == nullptr) return;
   const bool is_adapter = !copy->base.empty();
--- a/dragonflyglade/instance/placement_runner.h
+++ b/dragonflyglade/instance/placement_runner.h
@@ -44,7 +44,7 @@
 
  private:
   /// A target's ledger and the store revision for compare-and-swap.
-  struct Stored {
+  struct StoredLedger {
     TargetLedger ledger;
     std::int64_t mod_revision = 0;
   };
@@ -73,7 +73,7 @@
     const PoolRecord& record;
     Pool& pool;
     std::int64_t fence_token = 0;
-    std::map<std::string, Stored> ledgers;
+    std::map<std::string, StoredLedger> ledgers;
     std::map<std::string, TargetStatus> statuses;
   };
 
@@ -91,14 +91,15 @@
   void Execute(PoolRound& round, const PlanReload& step);
   void Execute(PoolRound& round, const PlanUnload& step);
   void CorrectRoles(PoolRound& round);
-  void CorrectRole(PoolRound& round, Stored& stored,
+  void CorrectRole(PoolRound& round, StoredLedger& stored,
                    const TargetStatus& status);
-  bool WriteLedger(const PoolRound& round, Stored& stored,
+  bool WriteLedger(const PoolRound& round, StoredLedger& stored,
                    const std::vector<KvCondition>& extra_conditions);
   static Order MakeOrder(const PoolRound& round, const ListedTarget& target,
                          OrderKind kind, std::string_view id,
                          std::string_view name);
-  void SendLoad(PoolRound& round, const Stored& stored, const CopySpec& spec);
+  void SendLoad(PoolRound& round, const StoredLedger& stored,
+                const CopySpec& spec);
   void Send(Order order);
   void RecordOutcome(const Order& order, const OrderResult& response);
 
