--- a/tests/fleet/caller.cc
+++ b/tests/fleet/caller.cc
@@ -17,19 +17,19 @@
 
 using nlohmann::json;
 
-constexpr int kTokens = 12;
-constexpr int kMostTries = 40;
-// A paused instance takes connections and never answers.
-constexpr absl::Duration kPatience = absl::Seconds(5);
+constexpr int kMaxTokens = 12;
+constexpr int kMaxAttempts = 40;
+// The kernel accepts connections for a paused instance, which never responds.
+constexpr absl::Duration kReadTimeout = absl::Seconds(5);
 constexpr absl::Duration kRetryPause = absl::Milliseconds(100);
 
 }  // namespace
 
 CallResult CallInstance(const Endpoint& instance, const std::string& key,
-                        const CallSpec& spec, absl::Duration silence) {
+                        const CallSpec& spec, absl::Duration read_timeout) {
   HttpOptions options;
   options.connect_timeout = absl::Seconds(1);
-  options.read_timeout = silence;
+  options.read_timeout = read_timeout;
   HttpCall call(instance, options, "instance");
   HttpRequest request;
   request.method = spec.method;
@@ -39,16 +39,17 @@
   if (!key.empty()) {
     request.headers.emplace_back("Authorization", "Bearer " + key);
   }
-  const Result<HttpResponse> reply = call.Run(request);
+  const Result<HttpResponse> response = call.Run(request);
   CallResult result;
-  if (!reply.Ok()) {
-    // Nothing was sent if there was no connection.
-    result.ran = reply.Error().code == Errc::kConnectFailed ? "no" : "unknown";
-    result.failure = reply.Error().ToString();
+  if (!response.Ok()) {
+    // Without a connection nothing was sent, so the call did not run.
+    result.ran =
+        response.Error().code == Errc::kConnectFailed ? "no" : "unknown";
+    result.failure = response.Error().ToString();
     return result;
   }
-  result.status = reply.Value().head.status;
-  result.body = reply.Value().body;
+  result.status = response.Value().head.status;
+  result.body = response.Value().body;
   const json document = json::parse(result.body, nullptr, false);
   if (document.is_object() && document.contains("error")) {
     result.code = document.at("error").value("code", std::string());
@@ -64,7 +65,7 @@
   SseReader reader;
   for (const std::string& data : reader.Feed(body)) {
     if (data == kStreamEndMarker) {
-      stream.whole = true;
+      stream.complete = true;
       continue;
     }
     const json event = json::parse(data, nullptr, false);
@@ -82,16 +83,17 @@
   return text;
 }
 
-// One caller with its own picture of the fleet.
-class Load::OneCaller {
+// One simulated caller, with its own list of instances.
+class Load::SimulatedCaller {
  public:
-  OneCaller(Load& load, int number)
+  SimulatedCaller(Load& load, int number)
       : load(load),
         number(number),
         random(static_cast<std::uint64_t>(number) + 17) {}
 
   void CallOnce() {
-    const std::string name = fmt::format("c{}-{}", this->number, ++this->made);
+    const std::string name =
+        fmt::format("c{}-{}", this->number, ++this->calls_made);
     CallSpec spec;
     std::string prompt;
     if (this->load.kind == LoadKind::kBalance) {
@@ -107,76 +109,76 @@
       spec.path = "/v1/completions";
       spec.body = json({{"model", "letters"},
                         {"prompt", prompt},
-                        {"max_tokens", kTokens},
+                        {"max_tokens", kMaxTokens},
                         {"stream", true}})
                       .dump();
     }
-    const CallResult result = this->UntilSettled(spec);
-    this->Count(name, prompt, result);
+    const CallResult result = this->CallWithRetries(spec);
+    this->RecordResult(name, prompt, result);
   }
 
  private:
-  void Refresh() {
-    std::vector<Endpoint> asked;
-    for (const Place& place : this->places) asked.push_back(place.endpoint);
-    asked.insert(asked.end(), this->load.seeds.begin(), this->load.seeds.end());
-    for (const Endpoint& endpoint : asked) {
+  void RefreshInstances() {
+    std::vector<Endpoint> seeds;
+    for (const Entry& entry : this->instances) seeds.push_back(entry.endpoint);
+    seeds.insert(seeds.end(), this->load.seeds.begin(), this->load.seeds.end());
+    for (const Endpoint& endpoint : seeds) {
       CallSpec spec;
       spec.path = "/v1/instances?zone=zone-a";
-      const CallResult answer =
+      const CallResult response =
           CallInstance(endpoint, "", spec, absl::Seconds(2));
-      if (answer.status != 200) continue;
-      const json document = json::parse(answer.body);
-      std::vector<Place> found;
+      if (response.status != 200) continue;
+      const json document = json::parse(response.body);
+      std::vector<Entry> found;
       for (const json& item : document.at("instances")) {
-        found.push_back(Place{Endpoint{item.at("address"), item.at("port")},
+        found.push_back(Entry{Endpoint{item.at("address"), item.at("port")},
                               item.at("weight")});
       }
       if (found.empty()) continue;
-      this->places = std::move(found);
-      const absl::Duration keep =
+      this->instances = std::move(found);
+      const absl::Duration keep_time =
           absl::Seconds(document.at("keep_seconds").get<int>());
-      this->refresh_at = absl::Now() + 0.8 * keep;
+      this->refresh_at = absl::Now() + 0.8 * keep_time;
       return;
     }
   }
 
-  const Endpoint& Choose() {
-    if (this->places.empty() || absl::Now() >= this->refresh_at) {
-      this->Refresh();
+  const Endpoint& ChooseInstance() {
+    if (this->instances.empty() || absl::Now() >= this->refresh_at) {
+      this->RefreshInstances();
     }
-    if (this->places.empty()) return this->load.seeds.front();
+    if (this->instances.empty()) return this->load.seeds.front();
     double total = 0;
-    for (const Place& place : this->places) total += place.weight;
+    for (const Entry& entry : this->instances) total += entry.weight;
     double at = absl::Uniform(this->random, 0.0, total);
-    for (const Place& place : this->places) {
-      at -= place.weight;
-      if (at <= 0) return place.endpoint;
+    for (const Entry& entry : this->instances) {
+      at -= entry.weight;
+      if (at <= 0) return entry.endpoint;
     }
-    return this->places.back().endpoint;
+    return this->instances.back().endpoint;
   }
 
-  // Tries again as long as the call certainly did not run; a payout also when
-  // it may have, since its key keeps it from running twice.
-  CallResult UntilSettled(const CallSpec& spec) {
+  // Retries while the call certainly did not run. Retries a payout also when it
+  // may have run, since its idempotency key prevents a second execution.
+  CallResult CallWithRetries(const CallSpec& spec) {
     CallResult result;
-    for (int i = 0; i < kMostTries; ++i) {
-      const Endpoint endpoint = this->Choose();
-      result = CallInstance(endpoint, this->load.key, spec, kPatience);
+    for (int i = 0; i < kMaxAttempts; ++i) {
+      const Endpoint endpoint = this->ChooseInstance();
+      result = CallInstance(endpoint, this->load.key, spec, kReadTimeout);
       if (result.status >= 200 && result.status < 300) return result;
       const bool is_payout = this->load.kind == LoadKind::kPayout;
-      const bool again =
+      const bool retry =
           result.ran == "no"
               ? result.status == 0 || result.status == 503
               : is_payout && (result.status == 0 || result.status >= 500);
-      if (!again) return result;
+      if (!retry) return result;
       if (result.status == 0) {
-        this->places.erase(
-            std::remove_if(this->places.begin(), this->places.end(),
-                           [&](const Place& place) {
-                             return place.endpoint.port == endpoint.port;
+        this->instances.erase(
+            std::remove_if(this->instances.begin(), this->instances.end(),
+                           [&](const Entry& entry) {
+                             return entry.endpoint.port == endpoint.port;
                            }),
-            this->places.end());
+            this->instances.end());
         this->refresh_at = absl::InfinitePast();
       }
       absl::SleepFor(kRetryPause);
@@ -184,15 +186,15 @@
     return result;
   }
 
-  void Count(const std::string& name, const std::string& prompt,
-             const CallResult& result) {
+  void RecordResult(const std::string& name, const std::string& prompt,
+                    const CallResult& result) {
     bool good = result.status >= 200 && result.status < 300;
     std::string detail = result.failure;
     if (good && this->load.kind == LoadKind::kChat) {
       const StreamText stream = ReadStream(result.body);
-      const std::string expected = ExpectedText(prompt, kTokens);
-      good = stream.whole && stream.text == expected;
-      if (stream.whole) {
+      const std::string expected = ExpectedText(prompt, kMaxTokens);
+      good = stream.complete && stream.text == expected;
+      if (stream.complete) {
         this->load.history.Add(AnswerEvent{expected, stream.text});
       }
       if (!good) detail = "stream: " + stream.error;
@@ -227,8 +229,8 @@
   Load& load;
   const int number;
   std::mt19937_64 random;
-  int made = 0;
-  std::vector<Place> places;
+  int calls_made = 0;
+  std::vector<Entry> instances;
   absl::Time refresh_at = absl::InfinitePast();
 };
 
@@ -247,7 +249,7 @@
 Load::~Load() { this->Stop(); }
 
 void Load::Run(int number) {
-  OneCaller caller(*this, number);
+  SimulatedCaller caller(*this, number);
   while (!this->stopping) {
     caller.CallOnce();
     absl::SleepFor(this->pause);
--- a/tests/fleet/caller.h
+++ b/tests/fleet/caller.h
@@ -17,16 +17,16 @@
 
 namespace dragonflyglade {
 
-/// How one call ended, as its caller sees it.
+/// The result of one call, as its caller sees it.
 struct CallResult {
-  int status = 0;  ///< 0: no whole answer
+  int status = 0;  ///< 0: no complete response
   std::string body;
-  std::string code;  ///< of a refusal
-  std::string ran;   ///< of a refusal
-  std::string failure;
+  std::string code;     ///< error code of a refusal
+  std::string ran;      ///< whether the call ran, by the error's field ran
+  std::string failure;  ///< why there is no complete response
 };
 
-/// One call.
+/// A request to make.
 struct CallSpec {
   std::string method = "GET";
   std::string path;
@@ -34,55 +34,60 @@
   HttpHeaders headers;
 };
 
-/// Makes one call to an instance.
+/// Sends one request to an instance and waits for the response.
+/// @param key bearer key of the caller; empty sends none
+/// @param read_timeout longest time between two reads
 CallResult CallInstance(const Endpoint& instance, const std::string& key,
                         const CallSpec& spec,
-                        absl::Duration silence = absl::Seconds(30));
+                        absl::Duration read_timeout = absl::Seconds(30));
 
-/// The data of all events of a stream, and whether it ended whole.
+/// The concatenated text of a stream's events.
 struct StreamText {
   std::string text;
-  bool whole = false;
-  std::string error;  ///< data of an error event
+  bool complete = false;  ///< the end marker was received
+  std::string error;      ///< the error event, if any
 };
 StreamText ReadStream(const std::string& body);
 
-/// The text that an engine stand-in makes of a prompt.
+/// The text that an engine stand-in generates for a prompt.
 std::string ExpectedText(const std::string& prompt, int tokens);
 
-/// What a load asks for.
+/// The kind of requests that a load sends.
 enum class LoadKind { kBalance, kPayout, kChat };
 
-/// How a load's calls ended.
+/// The results of a load's calls; each call counts once, after its retries.
 struct LoadCounts {
   int calls = 0;
   int good = 0;
-  int refused = 0;  ///< told "not run" to the end
-  int unknown = 0;  ///< told that it may have run
-  int failed = 0;   ///< no whole answer, or a wrong one
+  int refused = 0;  ///< refused as not run in the last attempt
+  int unknown = 0;  ///< the error says that the call may have run
+  int failed = 0;   ///< no complete response, or a wrong one
 };
 
-/// Callers that follow the which-instance answer, keep it as long as it says,
-/// and try again what was certainly not run. They run until they are stopped.
+/// Callers that choose instances from the which-instance response, keep that
+/// response for as long as it allows, and retry calls that certainly did not
+/// run. They run until they are stopped.
 class Load {
  public:
-  /// @param seeds instances to ask first
+  /// @param seeds instances that are asked for the list of instances first
+  /// @param pause between two calls of one caller
   Load(LoadKind kind, std::string key, std::vector<Endpoint> seeds, int callers,
        absl::Duration pause, History& history);
   ~Load();
 
-  /// Lets the calls under way end. Returns how all of them went.
+  /// Stops the callers after the calls in progress. Returns the final counts.
   LoadCounts Stop();
   LoadCounts Counts() const;
-  /// What the calls that did not go well ended with.
+  /// The status and error of each call that did not succeed, one a line.
   std::string Problems() const;
 
  private:
-  struct Place {
+  /// An instance in the which-instance response.
+  struct Entry {
     Endpoint endpoint;
     double weight = 0;
   };
-  class OneCaller;
+  class SimulatedCaller;
 
   void Run(int number);
 
--- a/tests/fleet/fleet.cc
+++ b/tests/fleet/fleet.cc
@@ -18,14 +18,15 @@
 
 using nlohmann::json;
 
-constexpr absl::Duration kPoll = absl::Milliseconds(20);
+constexpr absl::Duration kPollInterval = absl::Milliseconds(20);
 constexpr const char* kEnginePool = "drafting";
 constexpr const char* kLedgerPool = "ledger";
 constexpr std::int64_t kModelBytes = 300'000;
 
 std::string MakeFolder() {
   std::string name = std::filesystem::temp_directory_path() / "glade-XXXXXX";
-  if (mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder");
+  if (mkdtemp(name.data()) == nullptr)
+    throw std::runtime_error("cannot create a temporary folder");
   return name;
 }
 
@@ -36,7 +37,7 @@
           {"value", std::move(value)}};
 }
 
-// The records that every test begins with.
+// The configuration records that every test starts with.
 json BaseRecords(const FleetOptions& options) {
   const json routes = json::array(
       {{{"method", "GET"}, {"path", "/balance/*"}, {"repeatable", true}},
@@ -76,24 +77,24 @@
 }
 
 bool WaitUntil(const std::function<bool()>& condition, absl::Duration limit) {
-  const absl::Time until = absl::Now() + limit;
+  const absl::Time deadline = absl::Now() + limit;
   while (!condition()) {
-    if (absl::Now() > until) return false;
-    absl::SleepFor(kPoll);
+    if (absl::Now() > deadline) return false;
+    absl::SleepFor(kPollInterval);
   }
   return true;
 }
 
 Fleet::Fleet(FleetOptions options) : options(options), folder(MakeFolder()) {
-  this->kv_at = this->kv.Start();
-  this->list_at = this->list.Start();
+  this->kv_endpoint = this->kv.Start();
+  this->list_endpoint = this->list.Start();
   KvOptions kv_options;
-  kv_options.endpoints = {this->kv_at};
+  kv_options.endpoints = {this->kv_endpoint};
   this->kv_client = std::make_unique<KvClient>(kv_options);
   for (int i = 1; i <= options.engines; ++i) {
     this->engines.push_back(std::make_unique<EngineStandIn>(options.engine));
-    if (options.preloaded > 0) {
-      this->engines.back()->Preload("unknown", options.preloaded);
+    if (options.preloaded_bytes > 0) {
+      this->engines.back()->Preload("unknown", options.preloaded_bytes);
     }
     this->AddTarget(fmt::format("engine-{}", i), kEnginePool,
                     this->engines.back()->Start());
@@ -119,21 +120,22 @@
 
 void Fleet::AddTarget(const std::string& name, const std::string& pool,
                       const Endpoint& at) {
-  auto relay = std::make_unique<FaultyTcpProxy>(at);
-  const Endpoint through = relay->Start();
-  this->target_links[name] = std::move(relay);
-  this->list.PutTarget(
-      ListedTarget{name, through.address, through.port, "zone-a", pool, false});
+  auto proxy = std::make_unique<FaultyTcpProxy>(at);
+  const Endpoint proxy_endpoint = proxy->Start();
+  this->target_links[name] = std::move(proxy);
+  this->list.PutTarget(ListedTarget{name, proxy_endpoint.address,
+                                    proxy_endpoint.port, "zone-a", pool,
+                                    false});
 }
 
-std::string Fleet::WriteSettings(int number, const Endpoint& kv_at) {
+std::string Fleet::WriteSettings(int number, const Endpoint& kv_endpoint) {
   const json listen = {{"address", "127.0.0.1"}, {"port", 0}};
   json settings = {
       {"name", this->NameOf(number)},
       {"availability_zone", number % 2 == 0 ? "zone-b" : "zone-a"},
       {"listen", {{"caller", listen}, {"peer", listen}, {"operator", listen}}},
-      {"kv", {{"endpoints", {kv_at.ToString()}}}},
-      {"lists", {{"endpoint", this->list_at.ToString()}}},
+      {"kv", {{"endpoints", {kv_endpoint.ToString()}}}},
+      {"lists", {{"endpoint", this->list_endpoint.ToString()}}},
       {"limits", {{"threads", 64}}},
       {"timeouts",
        {{"kv_ms", 500},
@@ -165,29 +167,31 @@
 }
 
 void Fleet::StartInstance(int number) {
-  auto relay = std::make_unique<FaultyTcpProxy>(this->kv_at);
-  const Endpoint through = relay->Start();
-  this->kv_links[number] = std::move(relay);
+  auto proxy = std::make_unique<FaultyTcpProxy>(this->kv_endpoint);
+  const Endpoint proxy_endpoint = proxy->Start();
+  this->kv_links[number] = std::move(proxy);
   auto process = std::make_unique<Process>(
       std::vector<std::string>{ProgramPath(), "serve", "--settings",
-                               this->WriteSettings(number, through)},
+                               this->WriteSettings(number, proxy_endpoint)},
       fmt::format("{}/instance-{}.log", this->folder, number));
   const std::string line = process->ReadLine();
-  Ports bound;
+  Ports bound_ports;
   if (std::sscanf(line.c_str(), "serving callers=%d peers=%d operators=%d",
-                  &bound.caller, &bound.peer, &bound.operators) != 3) {
+                  &bound_ports.caller, &bound_ports.peer,
+                  &bound_ports.operators) != 3) {
     throw std::runtime_error("instance did not start: " + line);
   }
-  this->ports[number] = bound;
+  this->ports[number] = bound_ports;
   this->processes[number] = std::move(process);
   ListedInstance listed;
-  listed.info = MemberInfo{this->NameOf(number), "127.0.0.1", bound.peer,
-                           bound.caller, number % 2 == 0 ? "zone-b" : "zone-a"};
+  listed.info =
+      MemberInfo{this->NameOf(number), "127.0.0.1", bound_ports.peer,
+                 bound_ports.caller, number % 2 == 0 ? "zone-b" : "zone-a"};
   this->list.PutInstance(listed);
 }
 
 void Fleet::WaitReady() {
-  const auto serves = [this](int number) {
+  const auto is_ready = [this](int number) {
     const json status = this->Status(number);
     if (!status.is_object()) return false;
     std::size_t alive = 0;
@@ -208,8 +212,8 @@
            loaded >= this->engines.size();
   };
   for (const int number : this->Running()) {
-    if (!WaitUntil([&] { return serves(number); })) {
-      throw std::runtime_error("instance never ready: " +
+    if (!WaitUntil([&] { return is_ready(number); })) {
+      throw std::runtime_error("instance did not become ready: " +
                                this->Status(number).dump(2));
     }
   }
@@ -253,16 +257,16 @@
 
 void Fleet::Withdraw(const CallerKey& key) {
   ConfigEditor editor(*this->kv_client, "tester");
-  const Result<std::int64_t> done = editor.WithdrawKey(key.id);
-  if (!done.Ok()) throw std::runtime_error(done.Error().ToString());
+  const Result<std::int64_t> result = editor.WithdrawKey(key.id);
+  if (!result.Ok()) throw std::runtime_error(result.Error().ToString());
 }
 
 void Fleet::Apply(const std::string& records) {
   const auto drafts = ParseDrafts(records);
   if (!drafts.Ok()) throw std::runtime_error(drafts.Error().ToString());
   ConfigEditor editor(*this->kv_client, "tester");
-  const auto done = editor.Apply(drafts.Value(), "config apply");
-  if (!done.Ok()) throw std::runtime_error(done.Error().ToString());
+  const auto result = editor.Apply(drafts.Value(), "config apply");
+  if (!result.Ok()) throw std::runtime_error(result.Error().ToString());
 }
 
 std::string Fleet::Logs() const {
@@ -282,7 +286,7 @@
   return all;
 }
 
-void Fleet::AddMemory(std::vector<HistoryEvent>& events) const {
+void Fleet::AddPeakMemoryEvents(std::vector<HistoryEvent>& events) const {
   for (std::size_t i = 0; i < this->engines.size(); ++i) {
     events.emplace_back(MemoryEvent{fmt::format("engine-{}", i + 1),
                                     this->engines[i]->PeakMemoryBytes(),
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -21,48 +21,51 @@
 
 namespace dragonflyglade {
 
-/// What a fleet is made of.
+/// The size and the settings of a fleet.
 struct FleetOptions {
   int instances = 3;
   int engines = 2;
   int ledgers = 1;
   EngineBehaviour engine;
-  /// Bytes of a model that each engine has in memory to begin with, and that
-  /// no record names.
-  std::int64_t preloaded = 0;
-  int fresh_bound_ms = 1500;
-  /// Whether instances keep the default periods; tests use shorter ones.
+  /// Size in bytes of a model that is resident at each engine from the start
+  /// and that no configuration record names; 0 for none.
+  std::int64_t preloaded_bytes = 0;
+  int fresh_bound_ms = 1500;  ///< the instances' setting config_fresh_ms
+  /// Whether instances use the default periods instead of short ones.
   bool default_periods = false;
-  int keep_seconds = 1;
-  double rate = 100'000;
-  double burst = 200'000;
+  int keep_seconds = 1;    ///< the instances' setting answer_keep_s
+  double rate = 100'000;   ///< of each workspace, in tokens per second
+  double burst = 200'000;  ///< of each workspace, in tokens
 };
 
-/// Real instances, each a process, against stand-ins in this process. Each
-/// instance reaches the key-value service, and each target is reached,
-/// through a relay of its own.
+/// Real instances, one process each, with stand-ins of the other services in
+/// this process. A proxy stands between each instance and the key-value
+/// service, and another one in front of each target.
 class Fleet {
  public:
   explicit Fleet(FleetOptions options);
   ~Fleet();
 
-  /// Starts an instance that does not run, and lists it.
+  /// Starts an instance that is not running and adds it to the list of
+  /// instances.
   void StartInstance(int number);
-  /// Waits until every running instance serves; throws after a minute.
+  /// Waits until every running instance sees all others alive, all quotas
+  /// shared and the model resident at every engine; throws after a minute.
   void WaitReady();
 
   Process& Instance(int number);
-  /// Ends the process without notice; the list still names it.
+  /// Ends the process with SIGKILL; it stays on the list of instances.
   void Kill(int number);
+  /// Removes an instance from the list of instances.
   void Unlist(int number);
   Endpoint CallerEndpoint(int number) const;
   std::vector<int> Running();
   nlohmann::json Status(int number) const;
 
-  /// A new key for a workspace.
+  /// Grants a new key for a workspace.
   CallerKey Grant(const std::string& workspace);
   void Withdraw(const CallerKey& key);
-  /// Writes records; throws if that fails.
+  /// Writes configuration records, given as JSON; throws if that fails.
   void Apply(const std::string& records);
 
   KvStandIn& Kv() { return this->kv; }
@@ -73,14 +76,14 @@
   FaultyTcpProxy& TargetLink(const std::string& name) {
     return *this->target_links.at(name);
   }
-  Endpoint KvEndpoint() const { return this->kv_at; }
+  Endpoint KvEndpoint() const { return this->kv_endpoint; }
   /// All keys and values in the key-value service.
   std::string KvText() const;
-  /// Notes the most memory that each engine was ever asked for.
-  void AddMemory(std::vector<HistoryEvent>& events) const;
-  /// What all instances logged.
+  /// Adds an event with the most memory that each engine was ever asked for.
+  void AddPeakMemoryEvents(std::vector<HistoryEvent>& events) const;
+  /// The concatenated logs of all instances.
   std::string Logs() const;
-  /// What all targets received.
+  /// The concatenated requests that all targets received.
   std::string ReceivedRequests() const;
 
  private:
@@ -91,7 +94,7 @@
   };
 
   std::string NameOf(int number) const;
-  std::string WriteSettings(int number, const Endpoint& kv_at);
+  std::string WriteSettings(int number, const Endpoint& kv_endpoint);
   void AddTarget(const std::string& name, const std::string& pool,
                  const Endpoint& at);
 
@@ -99,8 +102,8 @@
   std::string folder;
   KvStandIn kv;
   DiscoveryStandIn list;
-  Endpoint kv_at;
-  Endpoint list_at;
+  Endpoint kv_endpoint;
+  Endpoint list_endpoint;
   std::vector<std::unique_ptr<EngineStandIn>> engines;
   std::vector<std::unique_ptr<LedgerStandIn>> ledgers;
   std::map<int, std::unique_ptr<FaultyTcpProxy>> kv_links;
@@ -113,8 +116,8 @@
 /// The path of the program under test.
 std::string ProgramPath();
 
-/// Waits until a condition holds; false if it does not within the limit,
-/// which is only there to end a run that went wrong.
+/// Polls until a condition holds. Returns false if it does not hold within the
+/// limit, which only ends a failing run and is no expectation of speed.
 bool WaitUntil(const std::function<bool()>& condition,
                absl::Duration limit = absl::Seconds(60));
 
--- a/tests/fleet/process.cc
+++ b/tests/fleet/process.cc
@@ -18,7 +18,7 @@
                  const std::string& log, Output output) {
   std::array<int, 2> pipe_ends;
   if (pipe2(pipe_ends.data(), O_CLOEXEC) != 0) {
-    throw std::runtime_error("no pipe");
+    throw std::runtime_error("cannot create a pipe");
   }
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
@@ -28,16 +28,16 @@
   posix_spawn_file_actions_adddup2(&actions, to, STDOUT_FILENO);
   std::vector<char*> arguments;
   arguments.reserve(command.size() + 1);
-  for (const std::string& word : command) {
-    arguments.push_back(const_cast<char*>(word.c_str()));
+  for (const std::string& argument : command) {
+    arguments.push_back(const_cast<char*>(argument.c_str()));
   }
   arguments.push_back(nullptr);
-  const int problem = posix_spawn(&this->pid, command[0].c_str(), &actions,
-                                  nullptr, arguments.data(), environ);
+  const int spawn_error = posix_spawn(&this->pid, command[0].c_str(), &actions,
+                                      nullptr, arguments.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   close(pipe_ends[1]);
   this->output = pipe_ends[0];
-  if (problem != 0) throw std::runtime_error("cannot start " + command[0]);
+  if (spawn_error != 0) throw std::runtime_error("cannot start " + command[0]);
 }
 
 Process::~Process() {
@@ -63,7 +63,7 @@
   if (this->exit_code.has_value()) return *this->exit_code;
   int status = 0;
   waitpid(this->pid, &status, 0);
-  this->Ended(status);
+  this->RecordExit(status);
   return *this->exit_code;
 }
 
@@ -71,22 +71,22 @@
   if (this->exit_code.has_value()) return false;
   int status = 0;
   if (waitpid(this->pid, &status, WNOHANG) == 0) return true;
-  this->Ended(status);
+  this->RecordExit(status);
   return false;
 }
 
-void Process::Ended(int status) {
+void Process::RecordExit(int status) {
   this->exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
-  this->ended_by = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
+  this->term_signal = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
 }
 
-std::string Process::HowEnded() const {
+std::string Process::ExitDescription() const {
   if (!this->exit_code.has_value()) return "not ended";
-  if (this->ended_by == 0) {
+  if (this->term_signal == 0) {
     return "exit code " + std::to_string(*this->exit_code);
   }
-  return "signal " + std::to_string(this->ended_by) + " (" +
-         strsignal(this->ended_by) + ")";
+  return "signal " + std::to_string(this->term_signal) + " (" +
+         strsignal(this->term_signal) + ")";
 }
 
 }  // namespace dragonflyglade
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -10,36 +10,39 @@
 
 namespace dragonflyglade {
 
-/// A program that a test runs. Killed when it goes out of scope.
+/// A child process of a test. The destructor kills it if it still runs.
 class Process {
  public:
-  /// Where standard output goes: to ReadLine, through a pipe that fills up
-  /// if nobody reads, or to the same file as standard error.
+  /// Where standard output goes: to a pipe for ReadLine, which fills up if
+  /// nobody reads it, or to the same file as standard error.
   enum class Output { kPipe, kLog };
 
-  /// Starts the program; what it writes to standard error goes to a file.
+  /// Starts a program.
+  /// @param command its path and arguments
+  /// @param log file to which its standard error is appended
   Process(const std::vector<std::string>& command, const std::string& log,
           Output output = Output::kPipe);
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  /// Waits for a line of its output.
+  /// Waits for a line of its standard output, or for the end of it.
   std::string ReadLine();
   void Signal(int signal);
-  /// Waits for its end. Returns the exit code, or -1 if a signal ended it.
+  /// Waits until the process exits. Returns the exit code, or -1 if a signal
+  /// terminated it.
   int Wait();
   bool Running();
-  /// How it ended, e.g. "exit code 1" or "signal 6 (Aborted)".
-  std::string HowEnded() const;
+  /// How the process ended, e.g. "exit code 1" or "signal 6 (Aborted)".
+  std::string ExitDescription() const;
 
  private:
-  void Ended(int status);
+  void RecordExit(int status);
 
   pid_t pid = -1;
   int output = -1;
   std::optional<int> exit_code;
-  int ended_by = 0;  ///< a signal, or 0
+  int term_signal = 0;  ///< the signal that terminated it, or 0
 };
 
 }  // namespace dragonflyglade
--- a/tests/scenario/main.cc
+++ b/tests/scenario/main.cc
@@ -1,4 +1,5 @@
-// Runs the scenario file that is named on the command line.
+// Runs the scenario file named on the command line. Exits with 1 if an
+// expectation fails, with 2 if the file is not valid.
 
 #include <signal.h>
 
--- a/tests/scenario/parser.cc
+++ b/tests/scenario/parser.cc
@@ -16,12 +16,12 @@
 
 namespace x3 = boost::spirit::x3;
 
-// What may follow a verb.
+// The syntax of one verb's command line.
 struct VerbRule {
-  std::size_t least_words;
-  std::size_t most_words;
+  std::size_t min_words;
+  std::size_t max_words;
   std::set<std::string> arguments;
-  std::set<std::string> second_words;  ///< what the last word may be
+  std::set<std::string> last_words;  ///< allowed last words; empty: any
 };
 
 const std::map<std::string, VerbRule>& Verbs() {
@@ -88,8 +88,8 @@
     x3::rule<struct ArgumentTag, ScenarioArgument>("name=value") =
         x3::lexeme[(+kNameChar >> kComparison) > +x3::graph];
 
-// The whole line; the place of the first character that does not fit is left
-// in `first`.
+// Parses a whole line. On an error `first` is the position of the first
+// character that does not match.
 bool ParseLine(std::string_view text, Line& line, std::size_t& first) {
   auto begin = text.begin();
   const auto add_word = [&line](auto& context) {
@@ -111,8 +111,8 @@
   return matched && begin == text.end();
 }
 
-Failure Bad(std::string_view file, int line, std::string_view expected,
-            std::string_view found) {
+Failure SyntaxFailure(std::string_view file, int line,
+                      std::string_view expected, std::string_view found) {
   return MakeFailure(Errc::kInvalidArgument, "read scenario",
                      fmt::format("{}:{}", file, line),
                      fmt::format("expected {}; found '{}'", expected, found));
@@ -123,8 +123,9 @@
   std::vector<std::string> verbs;
   for (const auto& [verb, rule] : Verbs()) verbs.push_back(verb);
   if (line.words.empty() || Verbs().count(line.words.front()) == 0) {
-    return Bad(file, number, fmt::format("one of {}", fmt::join(verbs, ", ")),
-               line.words.empty() ? "" : line.words.front());
+    return SyntaxFailure(file, number,
+                         fmt::format("one of {}", fmt::join(verbs, ", ")),
+                         line.words.empty() ? "" : line.words.front());
   }
   ScenarioCommand command;
   command.line = number;
@@ -133,24 +134,26 @@
   command.arguments = line.arguments;
   const VerbRule& rule = Verbs().at(command.verb);
   const std::size_t words = command.words.size();
-  if (words < rule.least_words || words > rule.most_words) {
-    return Bad(file, number,
-               fmt::format("{} to {} words after {}", rule.least_words,
-                           rule.most_words, command.verb),
-               fmt::format("{} words", words));
+  if (words < rule.min_words || words > rule.max_words) {
+    return SyntaxFailure(file, number,
+                         fmt::format("{} to {} words after {}", rule.min_words,
+                                     rule.max_words, command.verb),
+                         fmt::format("{} words", words));
   }
-  const bool fixed = !rule.second_words.empty();
-  if (fixed && rule.second_words.count(command.words.back()) == 0) {
-    return Bad(file, number,
-               fmt::format("one of {}", fmt::join(rule.second_words, ", ")),
-               command.words.back());
+  const bool restricted = !rule.last_words.empty();
+  if (restricted && rule.last_words.count(command.words.back()) == 0) {
+    return SyntaxFailure(
+        file, number,
+        fmt::format("one of {}", fmt::join(rule.last_words, ", ")),
+        command.words.back());
   }
   for (const ScenarioArgument& argument : command.arguments) {
     if (rule.arguments.count(argument.name) > 0) continue;
-    return Bad(file, number,
-               fmt::format("only {} after {}", fmt::join(rule.arguments, ", "),
-                           command.verb),
-               argument.name);
+    return SyntaxFailure(
+        file, number,
+        fmt::format("only {} after {}", fmt::join(rule.arguments, ", "),
+                    command.verb),
+        argument.name);
   }
   return command;
 }
@@ -158,16 +161,17 @@
 }  // namespace
 
 std::string ScenarioCommand::Value(std::string_view name,
-                                   std::string_view otherwise) const {
+                                   std::string_view default_value) const {
   for (const ScenarioArgument& argument : this->arguments) {
     if (argument.name == name) return argument.value;
   }
-  return std::string(otherwise);
+  return std::string(default_value);
 }
 
-double ScenarioCommand::Number(std::string_view name, double otherwise) const {
+double ScenarioCommand::Number(std::string_view name,
+                               double default_value) const {
   const std::string value = this->Value(name, "");
-  return value.empty() ? otherwise : std::stod(value);
+  return value.empty() ? default_value : std::stod(value);
 }
 
 Result<std::vector<ScenarioCommand>> ParseScenario(std::string_view file,
@@ -176,17 +180,18 @@
   int number = 0;
   while (!text.empty()) {
     const std::size_t end = text.find('\n');
-    const std::string_view raw = text.substr(0, end);
+    const std::string_view line_text = text.substr(0, end);
     text = end == std::string_view::npos ? "" : text.substr(end + 1);
     ++number;
-    const std::size_t start = raw.find_first_not_of(" \t");
-    if (start == std::string_view::npos || raw[start] == '#') continue;
+    const std::size_t start = line_text.find_first_not_of(" \t");
+    if (start == std::string_view::npos || line_text[start] == '#') continue;
     Line line;
-    std::size_t place = 0;
-    if (!ParseLine(raw, line, place)) {
-      return Bad(file, number,
-                 fmt::format("words and name=value at column {}", place + 1),
-                 raw.substr(place));
+    std::size_t error_position = 0;
+    if (!ParseLine(line_text, line, error_position)) {
+      return SyntaxFailure(
+          file, number,
+          fmt::format("words and name=value at column {}", error_position + 1),
+          line_text.substr(error_position));
     }
     Result<ScenarioCommand> command = CheckLine(file, number, line);
     if (!command.Ok()) return command.Error();
--- a/tests/scenario/runner.cc
+++ b/tests/scenario/runner.cc
@@ -20,9 +20,9 @@
 
 constexpr double kDefaultCallers = 4;
 constexpr double kDefaultPauseMs = 20;
-constexpr int kRacers = 6;
+constexpr int kDefaultOperators = 6;
 
-// A stream that a scenario opened and has not judged yet.
+// A stream that a scenario opened and has not checked yet.
 struct OpenStream {
   std::thread reader;
   std::string prompt;
@@ -52,23 +52,23 @@
  private:
   using Action = void (Runner::*)(const ScenarioCommand&);
 
-  [[noreturn]] void Fail(const std::string& what) const {
+  [[noreturn]] void Fail(const std::string& message) const {
     throw std::runtime_error(fmt::format("{}:{}: {}: {}", this->file,
                                          this->current->line,
-                                         this->current->verb, what));
+                                         this->current->verb, message));
   }
 
-  void Require(bool holds, const std::string& what) const {
-    if (!holds) this->Fail(what);
+  void Require(bool holds, const std::string& message) const {
+    if (!holds) this->Fail(message);
   }
 
-  void Eventually(const std::function<bool()>& condition,
-                  const std::string& what) const {
-    this->Require(WaitUntil(condition), "never came: " + what);
+  void WaitFor(const std::function<bool()>& condition,
+               const std::string& expected) const {
+    this->Require(WaitUntil(condition), "timed out waiting for " + expected);
   }
 
-  Fleet& Instances() {
-    if (this->fleet == nullptr) this->Fail("there is no fleet yet");
+  Fleet& CurrentFleet() {
+    if (this->fleet == nullptr) this->Fail("no fleet command before this line");
     return *this->fleet;
   }
 
@@ -83,22 +83,22 @@
 
   std::vector<Endpoint> Seeds() {
     std::vector<Endpoint> seeds;
-    for (const int number : this->Instances().Running()) {
-      seeds.push_back(this->Instances().CallerEndpoint(number));
+    for (const int number : this->CurrentFleet().Running()) {
+      seeds.push_back(this->CurrentFleet().CallerEndpoint(number));
     }
     return seeds;
   }
 
-  Endpoint TargetOf(const ScenarioCommand& command) {
+  Endpoint InstanceOf(const ScenarioCommand& command) {
     const int number = static_cast<int>(command.Number("on", 0));
     return number == 0 ? this->Seeds().front()
-                       : this->Instances().CallerEndpoint(number);
+                       : this->CurrentFleet().CallerEndpoint(number);
   }
 
-  bool Holds(const ScenarioArgument& wanted, int actual) const {
-    const int value = std::stoi(wanted.value);
-    if (wanted.comparison == ">=") return actual >= value;
-    if (wanted.comparison == "<=") return actual <= value;
+  bool Satisfies(const ScenarioArgument& expectation, int actual) const {
+    const int value = std::stoi(expectation.value);
+    if (expectation.comparison == ">=") return actual >= value;
+    if (expectation.comparison == "<=") return actual <= value;
     return actual == value;
   }
 
@@ -113,7 +113,7 @@
     options.engine.token_delay =
         absl::Milliseconds(command.Number("token_delay_ms", 5));
     options.default_periods = command.Value("periods", "short") == "default";
-    options.preloaded =
+    options.preloaded_bytes =
         static_cast<std::int64_t>(command.Number("preloaded", 0));
     options.rate = command.Number("rate", options.rate);
     options.burst = command.Number("burst", options.burst);
@@ -123,21 +123,21 @@
 
   void DoKey(const ScenarioCommand& command) {
     const CallerKey key =
-        this->Instances().Grant(command.Value("workspace", "gallery"));
+        this->CurrentFleet().Grant(command.Value("workspace", "gallery"));
     this->keys[command.words[0]] = key;
     for (const Endpoint& endpoint : this->Seeds()) {
-      this->Eventually(
+      this->WaitFor(
           [&] {
             CallSpec spec;
             spec.path = "/v1/models";
             return CallInstance(endpoint, key.ToString(), spec).status == 200;
           },
-          "the key in force");
+          "the new key to be accepted");
     }
   }
 
   void DoWithdraw(const ScenarioCommand& command) {
-    this->Instances().Withdraw(this->keys.at(command.words[0]));
+    this->CurrentFleet().Withdraw(this->keys.at(command.words[0]));
   }
 
   void DoLoad(const ScenarioCommand& command) {
@@ -146,7 +146,8 @@
         {"payout", LoadKind::kPayout},
         {"chat", LoadKind::kChat}};
     const auto kind = kKinds.find(command.Value("kind", "balance"));
-    this->Require(kind != kKinds.end(), "kind is balance, payout or chat");
+    this->Require(kind != kKinds.end(),
+                  "expected kind=balance, payout or chat");
     this->loads[command.words[0]] = std::make_unique<Load>(
         kind->second, this->KeyText(command.Value("key", "")), this->Seeds(),
         static_cast<int>(command.Number("callers", kDefaultCallers)),
@@ -154,14 +155,13 @@
         this->history);
   }
 
-  // Waits for that many more good calls of a load.
+  // calls LOAD COUNT: waits for that many more successful calls of a load.
   void DoCalls(const ScenarioCommand& command) {
     Load& load = *this->loads.at(command.words[0]);
     const int more = std::stoi(command.words[1]);
-    const int until = load.Counts().good + more;
-    this->Eventually(
-        [&] { return load.Counts().good >= until; },
-        fmt::format("{} more good calls; {}", more, load.Problems()));
+    const int expected_good = load.Counts().good + more;
+    this->WaitFor([&] { return load.Counts().good >= expected_good; },
+                  fmt::format("{} more good calls; {}", more, load.Problems()));
   }
 
   void DoStop(const ScenarioCommand& command) {
@@ -172,102 +172,104 @@
                                                {"unknown", counts.unknown},
                                                {"failed", counts.failed},
                                                {"calls", counts.calls}};
-    for (const ScenarioArgument& wanted : command.arguments) {
-      const int value = actual.at(wanted.name);
-      this->Require(
-          this->Holds(wanted, value),
-          fmt::format("{} is {}\n{}", wanted.name, value, load.Problems()));
+    for (const ScenarioArgument& expectation : command.arguments) {
+      const int value = actual.at(expectation.name);
+      this->Require(this->Satisfies(expectation, value),
+                    fmt::format("{} is {}\n{}", expectation.name, value,
+                                load.Problems()));
     }
   }
 
   void DoKill(const ScenarioCommand& command) {
-    this->Instances().Kill(this->Number(command));
+    this->CurrentFleet().Kill(this->Number(command));
   }
   void DoPause(const ScenarioCommand& command) {
-    this->Instances().Instance(this->Number(command)).Signal(SIGSTOP);
+    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGSTOP);
   }
   void DoResume(const ScenarioCommand& command) {
-    this->Instances().Instance(this->Number(command)).Signal(SIGCONT);
+    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGCONT);
   }
   void DoTerm(const ScenarioCommand& command) {
-    this->Instances().Instance(this->Number(command)).Signal(SIGTERM);
+    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGTERM);
   }
   void DoEnded(const ScenarioCommand& command) {
-    const int code = this->Instances().Instance(this->Number(command)).Wait();
+    const int code =
+        this->CurrentFleet().Instance(this->Number(command)).Wait();
     this->Require(code == command.Number("code", 0),
                   fmt::format("exit code {}", code));
   }
   void DoUnlist(const ScenarioCommand& command) {
-    this->Instances().Unlist(this->Number(command));
+    this->CurrentFleet().Unlist(this->Number(command));
   }
   void DoStart(const ScenarioCommand& command) {
-    this->Instances().StartInstance(this->Number(command));
+    this->CurrentFleet().StartInstance(this->Number(command));
   }
-  void DoReady(const ScenarioCommand&) { this->Instances().WaitReady(); }
+  void DoReady(const ScenarioCommand&) { this->CurrentFleet().WaitReady(); }
 
-  // Times are printed to be read, never judged: machines differ.
+  // Times are only printed. No check depends on them, since they vary with the
+  // speed of the machine.
   void DoMark(const ScenarioCommand& command) {
-    this->marks[command.words[0]] = absl::Now();
+    this->start_times[command.words[0]] = absl::Now();
   }
   void DoSince(const ScenarioCommand& command) {
-    const absl::Time mark = this->marks.at(command.words[0]);
+    const absl::Time start = this->start_times.at(command.words[0]);
     fmt::print("line {}: {:.2f} s since {}\n", command.line,
-               absl::ToDoubleSeconds(absl::Now() - mark), command.words[0]);
+               absl::ToDoubleSeconds(absl::Now() - start), command.words[0]);
   }
 
   void DoKv(const ScenarioCommand& command) {
-    KvStandIn& kv = this->Instances().Kv();
-    const std::string& what = command.words[0];
-    if (what == "out") kv.SetUnavailable(true);
-    if (what == "back") kv.SetUnavailable(false);
-    if (what == "slow")
+    KvStandIn& kv = this->CurrentFleet().Kv();
+    const std::string& action = command.words[0];
+    if (action == "out") kv.SetUnavailable(true);
+    if (action == "back") kv.SetUnavailable(false);
+    if (action == "slow")
       kv.SetDelay(absl::Milliseconds(command.Number("ms", 0)));
-    if (what == "lose") {
+    if (action == "lose") {
       kv.DropResponses(static_cast<int>(command.Number("count", 1)));
     }
-    if (what == "silence") kv.StallWatches();
-    if (what == "lapse") kv.ExpireAllLeases();
+    if (action == "silence") kv.StallWatches();
+    if (action == "lapse") kv.ExpireAllLeases();
   }
 
   void DoList(const ScenarioCommand& command) {
-    DiscoveryStandIn& list = this->Instances().List();
-    const std::string& what = command.words[0];
-    if (what == "lag") {
+    DiscoveryStandIn& list = this->CurrentFleet().List();
+    const std::string& action = command.words[0];
+    if (action == "lag") {
       list.SetLag(absl::Milliseconds(command.Number("ms", 0)));
     } else {
-      list.SetUnavailable(what == "out");
+      list.SetUnavailable(action == "out");
     }
   }
 
   void DoLink(const ScenarioCommand& command) {
-    FaultyTcpProxy& link = this->Instances().KvLink(this->Number(command));
+    FaultyTcpProxy& link = this->CurrentFleet().KvLink(this->Number(command));
     if (command.words[1] == "silence") return link.StallOpenConnections();
     link.SetPartitioned(command.words[1] == "cut");
   }
 
   void DoTarget(const ScenarioCommand& command) {
     const std::string& name = command.words[0];
-    const std::string& what = command.words[1];
-    FaultyTcpProxy& link = this->Instances().TargetLink(name);
-    if (what == "cut") return link.SetPartitioned(true);
-    if (what == "heal") return link.SetPartitioned(false);
-    if (what == "silence") return link.StallOpenConnections();
+    const std::string& action = command.words[1];
+    FaultyTcpProxy& link = this->CurrentFleet().TargetLink(name);
+    if (action == "cut") return link.SetPartitioned(true);
+    if (action == "heal") return link.SetPartitioned(false);
+    if (action == "silence") return link.StallOpenConnections();
     EngineStandIn& engine =
-        this->Instances().Engine(std::stoi(name.substr(name.find('-') + 1)));
-    if (what == "mute") engine.SetUnresponsive(true);
-    if (what == "speak") engine.SetUnresponsive(false);
-    if (what == "refuse") engine.SetRefusing(true);
-    if (what == "accept") engine.SetRefusing(false);
-    if (what == "leaving") engine.SetLeaving(true);
-    if (what == "restart") engine.Restart();
-    if (what == "break") {
+        this->CurrentFleet().Engine(std::stoi(name.substr(name.find('-') + 1)));
+    if (action == "mute") engine.SetUnresponsive(true);
+    if (action == "speak") engine.SetUnresponsive(false);
+    if (action == "refuse") engine.SetRefusing(true);
+    if (action == "accept") engine.SetRefusing(false);
+    if (action == "leaving") engine.SetLeaving(true);
+    if (action == "restart") engine.Restart();
+    if (action == "break") {
       engine.BreakStreamsAfter(static_cast<int>(command.Number("after", 3)),
                                static_cast<int>(command.Number("times", 1)));
     }
   }
 
   void DoLedger(const ScenarioCommand& command) {
-    LedgerStandIn& ledger = this->Instances().Ledger();
+    LedgerStandIn& ledger = this->CurrentFleet().Ledger();
     if (command.words[0] == "lose") {
       ledger.DropResponses(static_cast<int>(command.Number("count", 1)));
     } else {
@@ -275,22 +277,24 @@
     }
   }
 
-  // Several operators change one record, each from the same revision.
+  // Lets several operators change one record at once, all from the same
+  // revision. One of them succeeds and the others get a conflict.
   void DoRace(const ScenarioCommand& command) {
-    const int racers = static_cast<int>(command.Number("operators", kRacers));
+    const int operators =
+        static_cast<int>(command.Number("operators", kDefaultOperators));
     KvOptions options;
-    options.endpoints = {this->Instances().KvEndpoint()};
+    options.endpoints = {this->CurrentFleet().KvEndpoint()};
     options.call_timeout = absl::Seconds(5);
     const KvClient kv(options);
     ConfigEditor reader(kv, "reader");
     const auto entry = reader.Get("rate", "gallery");
-    this->Require(entry.Ok(), "the rate is there");
+    this->Require(entry.Ok(), "expected the record of the rate to exist");
     const std::int64_t revision = entry.Value().front().mod_revision;
-    std::atomic<int> won{0};
+    std::atomic<int> succeeded{0};
     std::atomic<int> conflicts{0};
     std::vector<std::thread> threads;
-    threads.reserve(static_cast<std::size_t>(racers));
-    for (int i = 0; i < racers; ++i) {
+    threads.reserve(static_cast<std::size_t>(operators));
+    for (int i = 0; i < operators; ++i) {
       threads.emplace_back([&, i] {
         ConfigEditor editor(kv, fmt::format("racer-{}", i));
         RecordDraft draft;
@@ -299,18 +303,20 @@
                        {"burst_tokens", 100'000}};
         draft.expected_revision = revision;
         const auto done = editor.Apply({draft}, "config apply");
-        if (done.Ok()) ++won;
+        if (done.Ok()) ++succeeded;
         if (!done.Ok() && done.Error().code == Errc::kConflict) ++conflicts;
       });
     }
     for (std::thread& thread : threads) thread.join();
-    this->Require(won == 1 && conflicts == racers - 1,
-                  fmt::format("{} won, {} conflicts", won, conflicts));
+    this->Require(
+        succeeded == 1 && conflicts == operators - 1,
+        fmt::format("{} succeeded, {} conflicts", succeeded, conflicts));
   }
 
-  // apply KIND/vN NAME JSON: written straight to the service.
+  // apply KIND/vN NAME JSON: writes a record to the key-value service without
+  // validating it.
   void DoApply(const ScenarioCommand& command) {
-    this->Instances().Kv().Put(
+    this->CurrentFleet().Kv().Put(
         fmt::format("config/{}/{}", command.words[0], command.words[1]),
         command.words[2]);
   }
@@ -328,51 +334,53 @@
                       {"max_tokens", open.tokens},
                       {"stream", true}})
                     .dump();
-    const Endpoint endpoint = this->TargetOf(command);
+    const Endpoint endpoint = this->InstanceOf(command);
     const std::string key = this->KeyText(command.words[1]);
-    const double before = this->Instances().Engine(1).StartedCompletions() +
-                          this->Instances().Engine(2).StartedCompletions();
+    const double before = this->CurrentFleet().Engine(1).StartedCompletions() +
+                          this->CurrentFleet().Engine(2).StartedCompletions();
     open.reader = std::thread([&open, spec, endpoint, key] {
       open.result = CallInstance(endpoint, key, spec);
     });
     this->streams[command.words[0]] = std::move(stream);
-    this->Eventually(
+    this->WaitFor(
         [&] {
-          return this->Instances().Engine(1).StartedCompletions() +
-                     this->Instances().Engine(2).StartedCompletions() >
+          return this->CurrentFleet().Engine(1).StartedCompletions() +
+                     this->CurrentFleet().Engine(2).StartedCompletions() >
                  before;
         },
-        "the stream at an engine");
+        "an engine to start the stream");
   }
 
   void DoEnds(const ScenarioCommand& command) {
     OpenStream& open = *this->streams.at(command.words[0]);
     open.reader.join();
     const StreamText stream = ReadStream(open.result.body);
-    const bool whole = command.Value("whole", "yes") == "yes";
-    const std::string seen =
+    const bool complete = command.Value("whole", "yes") == "yes";
+    const std::string observed =
         open.result.failure + " " + stream.error + " " + open.result.body;
-    this->Require(stream.whole == whole, "stream ended: " + seen);
-    if (whole) {
+    this->Require(stream.complete == complete, "stream ended: " + observed);
+    if (complete) {
       this->Require(stream.text == ExpectedText(open.prompt, open.tokens),
-                    "stream text: " + seen);
+                    "stream text: " + observed);
     }
     const std::string error = command.Value("error", "");
-    // Before its first event a stream ends with an ordinary error answer.
-    this->Require(seen.find(error) != std::string::npos,
-                  "stream error: " + seen);
+    // A stream that fails before its first event gets an ordinary error
+    // response instead of an error event, so the whole body is searched.
+    this->Require(observed.find(error) != std::string::npos,
+                  "stream error: " + observed);
   }
 
-  // call KEY METHOD PATH: until it ends as the arguments say.
+  // call KEY METHOD PATH: repeats the call until the response is as the
+  // arguments say.
   void DoCall(const ScenarioCommand& command) {
     CallSpec spec;
     spec.method = command.words[1];
     spec.path = command.words[2];
     spec.body = command.Value("body", "");
-    const Endpoint endpoint = this->TargetOf(command);
+    const Endpoint endpoint = this->InstanceOf(command);
     const std::string key = this->KeyText(command.words[0]);
     CallResult result;
-    this->Eventually(
+    this->WaitFor(
         [&] {
           result = CallInstance(endpoint, key, spec);
           const bool status = result.status == command.Number("status", 200);
@@ -385,45 +393,47 @@
                     command.Value("status", ""), result.status, result.body));
   }
 
-  // status POINTER TEXT: until the status of an instance holds the text there.
+  // status POINTER TEXT: waits until the value at a JSON pointer into
+  // an instance's status contains a text.
   void DoStatus(const ScenarioCommand& command) {
     const int number = static_cast<int>(command.Number("on", 1));
-    std::string seen;
-    const bool holds = WaitUntil([&] {
-      const json status = this->Instances().Status(number);
+    std::string observed;
+    const bool found = WaitUntil([&] {
+      const json status = this->CurrentFleet().Status(number);
       const json::json_pointer pointer(command.words[0]);
       if (!status.is_object() || !status.contains(pointer)) return false;
-      seen = status.at(pointer).dump();
-      return seen.find(command.words[1]) != std::string::npos;
+      observed = status.at(pointer).dump();
+      return observed.find(command.words[1]) != std::string::npos;
     });
-    this->Require(holds, "the status was " + seen);
+    this->Require(found, "the status was " + observed);
   }
 
   void DoCheck(const ScenarioCommand& command) {
-    const std::string& what = command.words[0];
-    if (what == "key") {
+    const std::string& check = command.words[0];
+    if (check == "key") {
       const std::string& secret = this->keys.at(command.words[1]).secret;
       for (const std::string& text :
-           {this->Instances().ReceivedRequests(), this->Instances().Logs(),
-            this->Instances().KvText()}) {
+           {this->CurrentFleet().ReceivedRequests(),
+            this->CurrentFleet().Logs(), this->CurrentFleet().KvText()}) {
         this->Require(text.find(secret) == std::string::npos,
-                      "the key was seen");
+                      "the key appears in target requests, logs or the store");
       }
       return;
     }
     std::vector<HistoryEvent> events = this->history.Events();
-    for (const auto& [payout, runs] : this->Instances().Ledger().AllRuns()) {
+    for (const auto& [payout, runs] : this->CurrentFleet().Ledger().AllRuns()) {
       events.insert(events.end(), static_cast<std::size_t>(runs),
                     RanEvent{payout});
     }
-    this->Instances().AddMemory(events);
+    this->CurrentFleet().AddPeakMemoryEvents(events);
     const std::map<std::string,
                    std::function<Violations(const std::vector<HistoryEvent>&)>>
         rules = {{"once", CheckAtMostOnce},
                  {"answers", CheckOwnAnswers},
                  {"memory", CheckMemory}};
-    const auto rule = rules.find(what);
-    this->Require(rule != rules.end(), "key, once, answers or memory");
+    const auto rule = rules.find(check);
+    this->Require(rule != rules.end(),
+                  "expected one of key, once, answers, memory");
     const Violations violations = rule->second(events);
     this->Require(violations.empty(),
                   violations.empty() ? "" : violations.front());
@@ -433,7 +443,7 @@
   const ScenarioCommand* current = nullptr;
   History history;
   std::unique_ptr<Fleet> fleet;
-  std::map<std::string, absl::Time> marks;
+  std::map<std::string, absl::Time> start_times;
   std::map<std::string, CallerKey> keys;
   std::map<std::string, std::unique_ptr<Load>> loads;
   std::map<std::string, std::unique_ptr<OpenStream>> streams;
--- a/tests/scenario/scenario.h
+++ b/tests/scenario/scenario.h
@@ -9,34 +9,36 @@
 
 namespace dragonflyglade {
 
-/// "name=value", "name>=value" or "name<=value".
+/// An argument: "name=value", "name>=value" or "name<=value".
 struct ScenarioArgument {
   std::string name;
-  std::string comparison;
+  std::string comparison;  ///< "=", ">=" or "<="
   std::string value;
 };
 
-/// One line of a scenario: a verb, its words, its arguments.
+/// One line of a scenario: a verb, followed by words and arguments.
 struct ScenarioCommand {
-  int line = 0;
+  int line = 0;  ///< line number in the file, from 1
   std::string verb;
   std::vector<std::string> words;
   std::vector<ScenarioArgument> arguments;
 
   /// The value of an argument, or a default.
-  std::string Value(std::string_view name, std::string_view otherwise) const;
-  /// The number that an argument or a word stands for.
-  double Number(std::string_view name, double otherwise) const;
+  std::string Value(std::string_view name,
+                    std::string_view default_value) const;
+  /// The value of an argument as a number, or a default.
+  double Number(std::string_view name, double default_value) const;
 };
 
-/// Reads a scenario. Blank lines and lines that begin with '#' are left out.
-/// @param file its name, for errors
-/// Errors: kInvalidArgument, with file, line, what was expected and found.
+/// Parses a scenario. Skips blank lines and lines that begin with '#'.
+/// @param file name of the file, for error messages
+/// Errors: kInvalidArgument, with the file, the line, and the expected and the
+/// actual text.
 Result<std::vector<ScenarioCommand>> ParseScenario(std::string_view file,
                                                    std::string_view text);
 
-/// Carries a scenario out against a fleet of its own; throws
-/// std::runtime_error with file and line when an expectation fails.
+/// Runs a scenario against the fleet that its commands start. Throws
+/// std::runtime_error with file and line if an expectation fails.
 void RunScenario(const std::string& file,
                  const std::vector<ScenarioCommand>& commands);
 
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -196,7 +196,7 @@
 void World::CheckRuns(const Instance& instance) const {
   if (instance.process->Running()) return;
   this->promises.Broken(instance.name + " ended by itself, " +
-                        instance.process->HowEnded() + ", see " +
+                        instance.process->ExitDescription() + ", see " +
                         instance.log_file);
 }
 
@@ -221,7 +221,8 @@
   const int code = process->Wait();
   if (code != 0) {
     this->promises.Broken(instance.name + " was asked to stop and ended with " +
-                          process->HowEnded() + ", see " + instance.log_file);
+                          process->ExitDescription() + ", see " +
+                          instance.log_file);
   }
   this->Start(index, false);
 }
