--- a/tests/soak/caller.cc
+++ b/tests/soak/caller.cc
@@ -14,17 +14,18 @@
 namespace dragonflyglade::soak {
 namespace {
 
-// Longer than any route's timeout, so that silence is the gateway's.
-constexpr timeval kPatience = {5, 0};
+// Longer than the timeout of any route, so that a response that does not come
+// in this time is a fault of the gateway.
+constexpr timeval kSocketTimeout = {5, 0};
 
-// The value of a field of a head, or nothing.
-std::string FieldOf(const std::string& head, const std::string& name) {
+// Returns the value of a header field, or an empty string.
+std::string HeaderField(const std::string& head, const std::string& name) {
   return RawRequest{head, ""}.Field(name);
 }
 
-// "Keep-Alive: timeout=SECONDS", or nothing.
-absl::Duration StatedTime(const std::string& head) {
-  const std::string field = FieldOf(head, "Keep-Alive");
+// Returns the timeout of a field "Keep-Alive: timeout=SECONDS", or zero.
+absl::Duration KeepAliveTimeout(const std::string& head) {
+  const std::string field = HeaderField(head, "Keep-Alive");
   const std::size_t equals = field.find('=');
   if (equals == std::string::npos) return absl::ZeroDuration();
   return absl::Seconds(std::stoi(field.substr(equals + 1)));
@@ -32,28 +33,30 @@
 
 }  // namespace
 
-std::string PathOf(Kind kind) {
+std::string PathOf(RequestKind kind) {
   switch (kind) {
-    case Kind::kOnce:
+    case RequestKind::kNonIdempotent:
       return "/once/x";
-    case Kind::kRepeatable:
+    case RequestKind::kIdempotent:
       return "/any/x";
-    case Kind::kStream:
+    case RequestKind::kStream:
       return "/stream/x";
-    case Kind::kResumable:
+    case RequestKind::kResumable:
       return "/resumed/x";
   }
   return "/";
 }
 
-Connection::Connection(const Endpoint& to) : used(absl::Now()) {
+Connection::Connection(const Endpoint& endpoint) : last_used(absl::Now()) {
   this->fd = socket(AF_INET, SOCK_STREAM, 0);
-  setsockopt(this->fd, SOL_SOCKET, SO_RCVTIMEO, &kPatience, sizeof kPatience);
-  setsockopt(this->fd, SOL_SOCKET, SO_SNDTIMEO, &kPatience, sizeof kPatience);
+  setsockopt(this->fd, SOL_SOCKET, SO_RCVTIMEO, &kSocketTimeout,
+             sizeof kSocketTimeout);
+  setsockopt(this->fd, SOL_SOCKET, SO_SNDTIMEO, &kSocketTimeout,
+             sizeof kSocketTimeout);
   sockaddr_in address{};
   address.sin_family = AF_INET;
-  address.sin_port = htons(static_cast<std::uint16_t>(to.port));
-  inet_pton(AF_INET, to.address.c_str(), &address.sin_addr);
+  address.sin_port = htons(static_cast<std::uint16_t>(endpoint.port));
+  inet_pton(AF_INET, endpoint.address.c_str(), &address.sin_addr);
   const int connected = connect(
       this->fd, reinterpret_cast<const sockaddr*>(&address), sizeof address);
   if (connected != 0) this->Close();
@@ -67,16 +70,16 @@
 }
 
 bool Connection::Receive() {
-  char space[4096];
-  errno = 0;  // an end leaves it as it was
-  const ssize_t got = recv(this->fd, space, sizeof space, 0);
-  if (got <= 0) return false;
-  this->buffer.append(space, static_cast<std::size_t>(got));
+  char chunk[4096];
+  errno = 0;  // recv does not set it when the peer closed the connection
+  const ssize_t received = recv(this->fd, chunk, sizeof chunk, 0);
+  if (received <= 0) return false;
+  this->buffer.append(chunk, static_cast<std::size_t>(received));
   return true;
 }
 
 bool Connection::ReadBody(const std::string& head, Outcome& outcome) {
-  const std::string length = FieldOf(head, "Content-Length");
+  const std::string length = HeaderField(head, "Content-Length");
   if (!length.empty()) {
     const std::size_t size = std::stoul(length);
     while (this->buffer.size() < size) {
@@ -103,7 +106,7 @@
 
 bool Connection::Send(const std::string& text, absl::Duration pause,
                       Outcome& outcome) {
-  const absl::Time begun = absl::Now();
+  const absl::Time start = absl::Now();
   const auto send_part = [this](const std::string& part) {
     return send(this->fd, part.data(), part.size(), MSG_NOSIGNAL) ==
            static_cast<ssize_t>(part.size());
@@ -111,14 +114,14 @@
   const std::size_t first =
       pause > absl::ZeroDuration() ? text.size() / 2 : text.size();
   bool sent = send_part(text.substr(0, first));
-  outcome.kept = absl::Now() - this->used;
-  outcome.stated = this->stated;
+  outcome.idle_time = absl::Now() - this->last_used;
+  outcome.keep_alive_timeout = this->keep_alive_timeout;
   if (sent && first < text.size()) {
     absl::SleepFor(pause);
     sent = send_part(text.substr(first));
   }
-  outcome.head = absl::Now() - begun;
-  this->used = begun;
+  outcome.head_time = absl::Now() - start;
+  this->last_used = start;
   return sent;
 }
 
@@ -126,8 +129,8 @@
   std::size_t end = 0;
   while ((end = this->buffer.find("\r\n\r\n")) == std::string::npos) {
     if (this->Receive()) continue;
-    const bool silent = errno == EAGAIN || errno == EWOULDBLOCK;
-    outcome.cut = !silent && this->buffer.empty();
+    const bool timed_out = errno == EAGAIN || errno == EWOULDBLOCK;
+    outcome.closed_early = !timed_out && this->buffer.empty();
     return false;
   }
   head = this->buffer.substr(0, end + 4);
@@ -135,7 +138,7 @@
   return true;
 }
 
-void Connection::ReadAnswer(Outcome& outcome) {
+void Connection::ReadResponse(Outcome& outcome) {
   std::string head;
   if (!this->ReadHead(outcome, head)) {
     this->Close();
@@ -143,33 +146,34 @@
   }
   outcome.status = std::stoi(head.substr(head.find(' ') + 1));
   outcome.is_signed =
-      !FieldOf(head, "X-Dragonflyglade-Server-Signature").empty();
-  this->stated = StatedTime(head);
-  outcome.whole = this->ReadBody(head, outcome);
+      !HeaderField(head, "X-Dragonflyglade-Server-Signature").empty();
+  this->keep_alive_timeout = KeepAliveTimeout(head);
+  outcome.complete = this->ReadBody(head, outcome);
   const bool closes =
-      absl::EqualsIgnoreCase(FieldOf(head, "Connection"), "close");
-  if (!outcome.whole || closes) this->Close();
+      absl::EqualsIgnoreCase(HeaderField(head, "Connection"), "close");
+  if (!outcome.complete || closes) this->Close();
 }
 
-// Bytes that are no answer end up as an exception of the parser.
-Outcome Connection::Ask(const std::string& id, Kind kind,
-                        const std::string& key, absl::Duration pause) {
+// The parsing functions throw on bytes that are no HTTP response, which is
+// reported as kUnreadable.
+Outcome Connection::Call(const std::string& id, RequestKind kind,
+                         const std::string& key, absl::Duration pause) {
   const std::string text =
-      (kind == Kind::kRepeatable ? "GET " : "POST ") + PathOf(kind) +
+      (kind == RequestKind::kIdempotent ? "GET " : "POST ") + PathOf(kind) +
       " HTTP/1.1\r\nHost: soak.example\r\nX-Dragonflyglade-Attempt-Id: " + id +
       "\r\nX-Dragonflyglade-Deadline-Ms: 4000\r\nAuthorization: Bearer " + key +
       "\r\nContent-Length: 0\r\n\r\n";
   Outcome outcome;
   if (!this->Send(text, pause, outcome)) {
-    outcome.cut = true;
+    outcome.closed_early = true;
     this->Close();
     return outcome;
   }
   try {
-    this->ReadAnswer(outcome);
+    this->ReadResponse(outcome);
   } catch (const std::exception&) {
     this->Close();
-    outcome.status = kUnreadable;
+    outcome.status = kMalformedStatus;
     outcome.body = this->buffer;
   }
   return outcome;
--- a/tests/soak/calls.cc
+++ b/tests/soak/calls.cc
@@ -10,105 +10,116 @@
 namespace {
 
 constexpr const char* kKey = "secret-key-1";
-// One wait in so many ends just at a limit, where the instance's timer and the
-// request's bytes meet.
-constexpr int kOneInAtLimit = 3;
-constexpr int kOneHeadInSlow = 3;
-// Instances keep idle connections for this much longer than they state.
-constexpr absl::Duration kGrace = absl::Seconds(1);
-constexpr int kOneInAtClose = 3;
-constexpr int kAroundLimitMs = 15;
-// Sending takes time too, and late requests are judged by nothing.
-constexpr int kMarginMs = 20;
+// One wait in this many ends near a limit, so that the instance's timer and the
+// bytes of the request race.
+constexpr int kAtLimitOneIn = 3;
+constexpr int kSlowHeadOneIn = 3;
+// Instances close idle connections this much later than the Keep-Alive timeout
+// that they state.
+constexpr absl::Duration kCloseGrace = absl::Seconds(1);
+constexpr int kAtCloseOneIn = 3;
+constexpr int kLimitJitterMs = 15;
+// Left for sending itself: a request that arrives after its limit is not
+// checked.
+constexpr int kSendMarginMs = 20;
 
 int Milliseconds(absl::Duration time) {
   return static_cast<int>(absl::ToInt64Milliseconds(time));
 }
 
-absl::Duration Around(std::mt19937& random, absl::Duration limit) {
-  return limit +
-         absl::Milliseconds(Between(random, -kAroundLimitMs, kAroundLimitMs));
+absl::Duration NearLimit(std::mt19937& random, absl::Duration limit) {
+  return limit + absl::Milliseconds(
+                     UniformInt(random, -kLimitJitterMs, kLimitJitterMs));
 }
 
-// Within what callers may use of a limit, or around the limit.
-absl::Duration Within(std::mt19937& random, absl::Duration limit) {
-  if (Between(random, 1, kOneInAtLimit) == 1) return Around(random, limit);
-  const int usable = Milliseconds(kUsableShare * limit) - kMarginMs;
-  return absl::Milliseconds(Between(random, 0, usable));
+// Returns a wait within the share of a limit that callers may use, or one near
+// the limit.
+absl::Duration WaitWithin(std::mt19937& random, absl::Duration limit) {
+  if (UniformInt(random, 1, kAtLimitOneIn) == 1)
+    return NearLimit(random, limit);
+  const int usable = Milliseconds(kUsableShare * limit) - kSendMarginMs;
+  return absl::Milliseconds(UniformInt(random, 0, usable));
 }
 
 }  // namespace
 
-int Between(std::mt19937& random, int least, int most) {
+int UniformInt(std::mt19937& random, int least, int most) {
   return std::uniform_int_distribution<int>(least, most)(random);
 }
 
-Session::Session(const World& world, Promises& promises, int index)
+Session::Session(const World& world, GuaranteeChecker& checker, int index)
     : world(world),
-      promises(promises),
+      checker(checker),
       index(index),
-      harms(world.HarmsOf(index)),
+      faults_before(world.FaultCountsOf(index)),
       connection(world.At(index).Callers()) {}
 
-int Session::Ask(const std::string& id, Kind kind, absl::Duration pause) {
-  const Harms before = this->world.HarmsOf(this->index);
-  this->promises.Sent(id, kind, kKey);
-  const Outcome outcome = this->connection.Ask(id, kind, kKey, pause);
-  this->promises.Answered(id, outcome,
-                          this->world.HarmSince(this->index, this->harms));
-  this->harms = before;
+int Session::Call(const std::string& id, RequestKind kind,
+                  absl::Duration pause) {
+  const FaultCounts before = this->world.FaultCountsOf(this->index);
+  this->checker.RecordSent(id, kind, kKey);
+  const Outcome outcome = this->connection.Call(id, kind, kKey, pause);
+  this->checker.RecordOutcome(
+      id, outcome, this->world.FaultSince(this->index, this->faults_before));
+  this->faults_before = before;
   return outcome.status;
 }
 
-Calls::Calls(const World& world, Promises& promises, std::mt19937 random,
-             int number)
+SimulatedCaller::SimulatedCaller(const World& world, GuaranteeChecker& checker,
+                                 std::mt19937 random, int number)
     : world(world),
-      promises(promises),
+      checker(checker),
       random(std::move(random)),
       number(number) {}
 
-Session Calls::Connect() {
-  return {this->world, this->promises,
-          Between(this->random, 0, this->world.Instances() - 1)};
+Session SimulatedCaller::Connect() {
+  return {this->world, this->checker,
+          UniformInt(this->random, 0, this->world.Instances() - 1)};
 }
 
-std::string Calls::NextId() {
+std::string SimulatedCaller::NextId() {
   return fmt::format("c{}n{}", this->number, ++this->count);
 }
 
-Kind Calls::AnyKind() { return static_cast<Kind>(Between(this->random, 0, 3)); }
+RequestKind SimulatedCaller::RandomKind() {
+  return static_cast<RequestKind>(UniformInt(this->random, 0, 3));
+}
 
-// Some waits end where instances close, which is later than they state.
-absl::Duration Calls::IdleTime() {
-  if (Between(this->random, 1, kOneInAtClose) == 1) {
-    return Around(this->random, kLeastIdle + kGrace);
+// Some waits end when instances close idle connections, which is later than the
+// timeout that they state.
+absl::Duration SimulatedCaller::IdleTime() {
+  if (UniformInt(this->random, 1, kAtCloseOneIn) == 1) {
+    return NearLimit(this->random, kMinIdleTimeout + kCloseGrace);
   }
-  return Within(this->random, kLeastIdle);
+  return WaitWithin(this->random, kMinIdleTimeout);
 }
 
-absl::Duration Calls::HeadPause() {
-  const bool slow = Between(this->random, 1, kOneHeadInSlow) == 1;
-  return slow ? Within(this->random, kLeastHead) : absl::ZeroDuration();
+absl::Duration SimulatedCaller::HeadPause() {
+  const bool slow = UniformInt(this->random, 1, kSlowHeadOneIn) == 1;
+  return slow ? WaitWithin(this->random, kMinHeaderTimeout)
+              : absl::ZeroDuration();
 }
 
-void Calls::Hurry(const std::atomic<bool>& stop) {
+void SimulatedCaller::RunBusy(const std::atomic<bool>& stop) {
   while (!stop) {
     Session session = this->Connect();
-    for (int i = Between(this->random, 1, 20); i > 0 && session.Open(); --i) {
-      session.Ask(this->NextId(), this->AnyKind());
+    for (int i = UniformInt(this->random, 1, 20); i > 0 && session.Open();
+         --i) {
+      session.Call(this->NextId(), this->RandomKind());
     }
-    absl::SleepFor(absl::Milliseconds(Between(this->random, 0, 20)));
+    absl::SleepFor(absl::Milliseconds(UniformInt(this->random, 0, 20)));
   }
 }
 
-void Calls::Keep(const std::atomic<bool>& stop) {
+void SimulatedCaller::RunWithIdleTimes(const std::atomic<bool>& stop) {
   while (!stop) {
     Session session = this->Connect();
-    // Instances that are away refuse at once.
-    absl::SleepFor(absl::Milliseconds(Between(this->random, 0, 20)));
+    // A terminated instance refuses connections at once; the wait avoids a busy
+    // loop.
+    absl::SleepFor(absl::Milliseconds(UniformInt(this->random, 0, 20)));
     while (!stop && session.Open()) {
       absl::SleepFor(this->IdleTime());
-      session.Ask(this->NextId(), this->AnyKind(), this->HeadPause());
+      session.Call(this->NextId(), this->RandomKind(), this->HeadPause());
     }
   }
 }
--- a/tests/soak/calls.h
+++ b/tests/soak/calls.h
@@ -12,57 +12,60 @@
 
 namespace dragonflyglade::soak {
 
-/// A connection to an instance, with what befell the instance since it was last
-/// used. Tells the promises what was sent and answered.
+/// A connection to an instance and the faults of that instance since the
+/// connection was last used. Records requests and responses with the checker.
 class Session {
  public:
-  Session(const World& world, Promises& promises, int index);
+  Session(const World& world, GuaranteeChecker& checker, int index);
 
   bool Open() const { return this->connection.Open(); }
 
-  /// @param pause in the middle of the head
-  /// @return the answer's status, 0 without one
-  int Ask(const std::string& id, Kind kind,
-          absl::Duration pause = absl::ZeroDuration());
+  /// @param pause time to wait in the middle of the request head
+  /// @return the status of the response, 0 without one
+  int Call(const std::string& id, RequestKind kind,
+           absl::Duration pause = absl::ZeroDuration());
 
  private:
   const World& world;
-  Promises& promises;
+  GuaranteeChecker& checker;
   const int index;
-  Harms harms;  ///< when the connection was used last, or opened
+  FaultCounts
+      faults_before;  ///< at the last use of the connection, or its opening
   Connection connection;
 };
 
-/// A caller. One thread.
-class Calls {
+/// A caller that sends random requests. For use by one thread.
+class SimulatedCaller {
  public:
-  /// @param random draws instances, requests and pauses
-  Calls(const World& world, Promises& promises, std::mt19937 random,
-        int number);
+  /// @param random source for instances, requests and pauses
+  /// @param number of the caller, part of its request ids
+  SimulatedCaller(const World& world, GuaranteeChecker& checker,
+                  std::mt19937 random, int number);
 
-  /// Request after request; a connection carries some twenty.
-  void Hurry(const std::atomic<bool>& stop);
+  /// Sends requests without pauses, up to twenty on one connection.
+  void RunBusy(const std::atomic<bool>& stop);
 
-  /// Uses a connection until it ends, with pauses up to what instances promise
-  /// to keep it for, some of them just at the limit. Sends some heads slowly.
-  void Keep(const std::atomic<bool>& stop);
+  /// Uses each connection until it is closed, with idle times up to the timeout
+  /// for which instances guarantee to keep it open, some of them near the
+  /// limit. Sends some request heads slowly.
+  void RunWithIdleTimes(const std::atomic<bool>& stop);
 
  private:
   Session Connect();
   std::string NextId();
-  Kind AnyKind();
+  RequestKind RandomKind();
   absl::Duration IdleTime();
   absl::Duration HeadPause();
 
   const World& world;
-  Promises& promises;
+  GuaranteeChecker& checker;
   std::mt19937 random;
   const int number;
   int count = 0;
 };
 
-/// A number drawn evenly, both ends included.
-int Between(std::mt19937& random, int least, int most);
+/// Returns a uniformly distributed number from `least` to `most`, inclusive.
+int UniformInt(std::mt19937& random, int least, int most);
 
 }  // namespace dragonflyglade::soak
 
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -1,6 +1,7 @@
-// Runs real gateways as processes of their own and injects faults from outside
-// them, in overlapping series drawn from a seed, while callers go on. Checks
-// what callers and targets see. Prints the seed; exits 1 on a broken promise.
+// Soak test: runs gateways as separate processes and injects faults from
+// outside, in overlapping random series drawn from a seed, while callers send
+// requests. Checks the gateway's guarantees by what callers and targets
+// observe. Prints the seed; exits with 1 if a guarantee was violated.
 #include <execinfo.h>
 #include <fmt/format.h>
 #include <signal.h>
@@ -31,25 +32,26 @@
   unsigned seed = 1;
   int seconds = 10;
   int instances = 3;
-  bool keep = false;  ///< the logs, also of a sound run
+  bool keep = false;  ///< keep the logs also of a run without violations
 };
 
-constexpr int kCallers = 6;
-constexpr int kKeepers = 60;  // they mostly wait
+constexpr int kBusyCallers = 6;
+constexpr int kIdleCallers = 60;  // mostly idle
 constexpr int kFaultSeries = 3;
-constexpr int kChanges = 8;      // of the configuration, in a series
-constexpr int kHindrances = 16;  // of an instance, in a series
-// Processes start, leases end and targets are back within this.
+constexpr int kConfigChanges =
+    8;                            // quick changes of the configuration in a row
+constexpr int kShortPauses = 16;  // short pauses of an instance in a row
+// Enough for processes to start, leases to expire and targets to return.
 constexpr absl::Duration kRecovery = absl::Seconds(20);
 
-// Deterministic streams of one seed for each thread.
-std::mt19937 StreamOf(unsigned seed, int thread) {
+// Returns a deterministic random generator for one thread of a seed's run.
+std::mt19937 RandomFor(unsigned seed, int thread) {
   std::seed_seq sequence{seed, static_cast<unsigned>(thread)};
   return std::mt19937(sequence);
 }
 
-// Faults, one after the other; several series overlap. An instance or target
-// is in the hands of one series at a time.
+// Injects faults one after the other. Several series run at the same time; a
+// mutex for each instance and target keeps two series from using the same one.
 class FaultSeries {
  public:
   FaultSeries(World& world, std::mt19937 random,
@@ -62,13 +64,13 @@
 
   void Run(const std::atomic<bool>& stop) {
     while (!stop) {
-      const int what = Between(this->random, 0, 11);
+      const int what = UniformInt(this->random, 0, 11);
       if (what < 7) {
-        this->HarmInstance(what);
+        this->InjectInstanceFault(what);
       } else if (what < 10) {
-        this->HarmTarget(what);
+        this->InjectTargetFault(what);
       } else {
-        this->ChangeConfig(what == 10 ? 1 : kChanges);
+        this->ChangeConfig(what == 10 ? 1 : kConfigChanges);
       }
       this->Pause(400);
     }
@@ -76,7 +78,7 @@
 
  private:
   void Pause(int most_ms) {
-    absl::SleepFor(absl::Milliseconds(Between(this->random, 20, most_ms)));
+    absl::SleepFor(absl::Milliseconds(UniformInt(this->random, 20, most_ms)));
   }
 
   void ChangeConfig(int times) {
@@ -86,9 +88,10 @@
     }
   }
 
-  // As on a machine that others use up: bytes and timers wait for each other.
-  void Hinder(int index) {
-    for (int i = 0; i < kHindrances; ++i) {
+  // Simulates an overloaded machine, on which bytes arrive and timers expire
+  // while the process does not run.
+  void PauseRepeatedly(int index) {
+    for (int i = 0; i < kShortPauses; ++i) {
       this->world.Pause(index);
       this->Pause(80);
       this->world.Resume(index);
@@ -96,8 +99,8 @@
     }
   }
 
-  void HarmInstance(int what) {
-    const int index = Between(this->random, 0, this->world.Instances() - 1);
+  void InjectInstanceFault(int what) {
+    const int index = UniformInt(this->random, 0, this->world.Instances() - 1);
     absl::Mutex& mutex = *this->instances[index];
     if (!mutex.TryLock()) return;
     switch (what) {
@@ -118,33 +121,33 @@
         this->world.Reload(index);
         break;
       case 4:
-        this->world.StoreRelay(index).SetPartitioned(true);
+        this->world.StoreProxy(index).SetPartitioned(true);
         this->Pause(2500);
-        this->world.StoreRelay(index).SetPartitioned(false);
+        this->world.StoreProxy(index).SetPartitioned(false);
         break;
       case 5:
-        this->Hinder(index);
+        this->PauseRepeatedly(index);
         break;
       default:
-        this->world.StoreRelay(index).StallOpenConnections();
+        this->world.StoreProxy(index).StallOpenConnections();
         break;
     }
     mutex.Unlock();
   }
 
-  void HarmTarget(int what) {
-    const int index = Between(this->random, 0, this->world.Targets() - 1);
+  void InjectTargetFault(int what) {
+    const int index = UniformInt(this->random, 0, this->world.Targets() - 1);
     absl::Mutex& mutex = *this->targets[index];
     if (!mutex.TryLock()) return;
     if (what == 7) {
-      this->world.SetFaults(index, 0.4);
+      this->world.SetFailureRate(index, 0.4);
       this->Pause(1500);
-      this->world.SetFaults(index, 0);
+      this->world.SetFailureRate(index, 0);
     } else if (what == 8) {
-      this->world.TargetRelay(index).SetPartitioned(true);
+      this->world.TargetProxy(index).SetPartitioned(true);
       this->Pause(600);
-      this->world.TargetRelay(index).SetPartitioned(false);
-      this->world.TargetRelay(index).StallOpenConnections();
+      this->world.TargetProxy(index).SetPartitioned(false);
+      this->world.TargetProxy(index).StallOpenConnections();
     } else {
       this->world.PutTarget(index, "draining");
       this->Pause(800);
@@ -161,18 +164,21 @@
   std::vector<std::unique_ptr<absl::Mutex>>& targets;
 };
 
-// Every instance serves again once the faults are over.
-void CheckRecovery(const World& world, Promises& promises) {
+// Checks that every instance serves requests once no more faults are injected.
+void CheckRecovery(const World& world, GuaranteeChecker& checker) {
   for (int i = 0; i < world.Instances(); ++i) {
     const absl::Time end = absl::Now() + kRecovery;
     bool served = false;
     for (int n = 0; !served && absl::Now() < end; ++n) {
-      Session session(world, promises, i);
+      Session session(world, checker, i);
       const std::string id = fmt::format("recovered{}n{}", i, n);
-      served = session.Open() && session.Ask(id, Kind::kRepeatable) == 200;
+      served =
+          session.Open() && session.Call(id, RequestKind::kIdempotent) == 200;
       if (!served) absl::SleepFor(absl::Milliseconds(100));
     }
-    if (!served) promises.Broken(world.At(i).name + " does not recover");
+    if (!served)
+      checker.AddViolation(world.At(i).name +
+                           " did not serve requests again after the faults");
   }
 }
 
@@ -186,10 +192,10 @@
 }
 
 void Soak(const Options& options, const std::string& directory,
-          Promises& promises) {
+          GuaranteeChecker& checker) {
   World world(options.program, directory, options.seed, options.instances,
-              promises);
-  CheckRecovery(world, promises);
+              checker);
+  CheckRecovery(world, checker);
   auto instances = Mutexes(world.Instances());
   auto targets = Mutexes(world.Targets());
   std::atomic<bool> stop_faults = false;
@@ -202,50 +208,53 @@
     }
   });
   std::vector<std::thread> callers;
-  callers.reserve(kCallers + kKeepers);
-  for (int i = 0; i < kCallers + kKeepers; ++i) {
+  callers.reserve(kBusyCallers + kIdleCallers);
+  for (int i = 0; i < kBusyCallers + kIdleCallers; ++i) {
     callers.emplace_back([&, i] {
-      Calls calls(world, promises, StreamOf(options.seed, kFaultSeries + i), i);
-      i < kCallers ? calls.Hurry(stop_callers) : calls.Keep(stop_callers);
+      SimulatedCaller caller(world, checker,
+                             RandomFor(options.seed, kFaultSeries + i), i);
+      i < kBusyCallers ? caller.RunBusy(stop_callers)
+                       : caller.RunWithIdleTimes(stop_callers);
     });
   }
   std::vector<std::thread> faults;
   faults.reserve(kFaultSeries);
   for (int i = 0; i < kFaultSeries; ++i) {
     faults.emplace_back([&, i] {
-      FaultSeries series(world, StreamOf(options.seed, i), instances, targets);
+      FaultSeries series(world, RandomFor(options.seed, i), instances, targets);
       series.Run(stop_faults);
     });
   }
   absl::SleepFor(absl::Seconds(options.seconds));
   stop_faults = true;
   for (std::thread& series : faults) series.join();
-  CheckRecovery(world, promises);
+  CheckRecovery(world, checker);
   stop_callers = true;
   for (std::thread& caller : callers) caller.join();
   stop_leases = true;
   leases.join();
-  promises.CheckEnd();
+  checker.CheckAtEnd();
 }
 
-// Names the signal that ends the soak and where it was then. addr2line reads
-// the offsets.
-void SayWhereEnded(int signal) {
-  constexpr int kMostFrames = 64;
-  void* frames[kMostFrames];
-  const int count = backtrace(frames, kMostFrames);
+// Signal handler: prints the signal and a stack trace, whose offsets addr2line
+// resolves, and lets the signal end the process.
+void PrintStackAndReraise(int signal) {
+  constexpr int kMaxFrames = 64;
+  void* frames[kMaxFrames];
+  const int count = backtrace(frames, kMaxFrames);
   dprintf(STDERR_FILENO, "the soak ended by signal %d\n", signal);
   backtrace_symbols_fd(frames, count, STDERR_FILENO);
   raise(signal);
 }
 
-// Signals that are handled already, by a sanitizer, stay so.
-void KeepStacks() {
+// Installs the handler that prints a stack trace. Keeps handlers that are
+// installed already, such as those of a sanitizer.
+void InstallStackHandler() {
   for (const int number : {SIGABRT, SIGSEGV, SIGBUS, SIGFPE, SIGILL}) {
     struct sigaction action {};
     sigaction(number, nullptr, &action);
     if (action.sa_handler != SIG_DFL) continue;
-    action.sa_handler = SayWhereEnded;
+    action.sa_handler = PrintStackAndReraise;
     action.sa_flags = static_cast<int>(SA_RESETHAND);
     sigaction(number, &action, nullptr);
   }
@@ -256,29 +265,29 @@
       std::filesystem::temp_directory_path() /
       fmt::format("dragonflyglade-soak-{}-{}", options.seed, getpid());
   std::filesystem::create_directories(directory);
-  // Said first: a soak that is aborted says nothing at its end.
+  // Printed first, since an aborted run prints nothing at its end.
   std::cout << fmt::format("seed {}, logs while it runs: {}", options.seed,
                            directory.string())
             << std::endl;
-  Promises promises;
-  Soak(options, directory.string(), promises);
-  // A soak that sees nothing served has tested nothing.
-  constexpr int kFewestServed = 100;
-  if (promises.Answers(200) < kFewestServed) {
-    promises.Broken("hardly anything was served");
+  GuaranteeChecker checker;
+  Soak(options, directory.string(), checker);
+  // A run in which hardly any request succeeded has tested nothing.
+  constexpr int kMinServed = 100;
+  if (checker.Responses(200) < kMinServed) {
+    checker.AddViolation("too few requests were served");
   }
-  constexpr int kFewestKept = 20;
-  if (promises.KeptUses() < kFewestKept) {
-    promises.Broken("hardly any connection was kept");
+  constexpr int kMinIdleConnectionUses = 20;
+  if (checker.IdleConnectionUses() < kMinIdleConnectionUses) {
+    checker.AddViolation("too few connections were reused after an idle time");
   }
   std::cout << fmt::format(
       "seed {}: {} served, {} refused, {} unknown, {} without an answer, {} on "
       "kept connections\n",
-      options.seed, promises.Answers(200),
-      promises.Answers(503) + promises.Answers(429),
-      promises.Answers(502) + promises.Answers(504), promises.Answers(0),
-      promises.KeptUses());
-  const std::vector<std::string> violations = promises.Violations();
+      options.seed, checker.Responses(200),
+      checker.Responses(503) + checker.Responses(429),
+      checker.Responses(502) + checker.Responses(504), checker.Responses(0),
+      checker.IdleConnectionUses());
+  const std::vector<std::string> violations = checker.Violations();
   for (const std::string& violation : violations) {
     std::cout << "broken: " << violation << "\n";
   }
@@ -298,10 +307,11 @@
   dragonflyglade::soak::Options options;
   po::options_description known("options");
   known.add_options()("program", po::value(&options.program)->required(),
-                      "the gateway's binary")("seed", po::value(&options.seed),
-                                              "draws faults and requests")(
-      "seconds", po::value(&options.seconds), "how long faults go on")(
-      "instances", po::value(&options.instances), "gateways")(
+                      "the gateway's binary")(
+      "seed", po::value(&options.seed),
+      "seed of the random faults and requests")(
+      "seconds", po::value(&options.seconds), "how long to inject faults")(
+      "instances", po::value(&options.instances), "number of gateways")(
       "keep", po::bool_switch(&options.keep), "keep the logs");
   po::variables_map given;
   try {
@@ -311,7 +321,7 @@
     std::cerr << error.what() << "\n" << known;
     return 2;
   }
-  dragonflyglade::soak::KeepStacks();
+  dragonflyglade::soak::InstallStackHandler();
   signal(SIGPIPE, SIG_IGN);
   return dragonflyglade::soak::Main(options);
 }
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -11,92 +11,102 @@
 
 namespace dragonflyglade::soak {
 
-/// What a caller asked for.
-enum class Kind { kOnce, kRepeatable, kStream, kResumable };
+/// The kind of a request, which selects its route.
+enum class RequestKind { kNonIdempotent, kIdempotent, kStream, kResumable };
 
-/// The status of bytes that are no answer.
-inline constexpr int kUnreadable = -1;
+/// Status of an outcome whose bytes are no HTTP response.
+inline constexpr int kMalformedStatus = -1;
 
-/// What a caller saw of one request.
+/// The result of one request, as its caller sees it.
 struct Outcome {
-  int status = 0;      ///< 0: the connection ended without an answer
-  std::string body;    ///< without chunk framing
-  bool whole = false;  ///< as the framing says
-  bool is_signed = false;
-  bool cut = false;       ///< the other end closed before an answer began
-  absl::Duration kept;    ///< at most as long was the connection idle before
-  absl::Duration head;    ///< at most as long did the head take
-  absl::Duration stated;  ///< for so long it could be idle by the last answer
+  int status = 0;          ///< 0: the connection was closed without a response
+  std::string body;        ///< without chunk framing
+  bool complete = false;   ///< the body is complete by its framing
+  bool is_signed = false;  ///< has a target's signature
+  bool closed_early = false;  ///< the instance closed before a response began
+  absl::Duration
+      idle_time;  ///< upper bound of the connection's idle time before
+  absl::Duration head_time;  ///< upper bound of the time to send the head
+  absl::Duration
+      keep_alive_timeout;  ///< Keep-Alive timeout in the previous response
 };
 
-/// What befell an instance while a request was with it, or its connection was
-/// kept for it.
-enum class Harm { kNone, kPaused, kEnded };
+/// The worst fault of an instance while it handled a request or kept the
+/// request's connection idle.
+enum class InstanceFault { kNone, kPaused, kEnded };
 
-// The lowest limits of callers in any configuration. Within four fifths of them
-// callers may use connections and send heads, whichever is in force, and
-// connections for as long as the last answer stated.
-inline constexpr absl::Duration kLeastIdle = absl::Seconds(1);
-inline constexpr absl::Duration kLeastHead = absl::Milliseconds(500);
+// The lowest limits for callers in any version of the configuration. Whichever
+// version is in force, a caller may reuse a connection and send a head within
+// four fifths of them, and may reuse a connection for as long as the last
+// response stated.
+inline constexpr absl::Duration kMinIdleTimeout = absl::Seconds(1);
+inline constexpr absl::Duration kMinHeaderTimeout = absl::Milliseconds(500);
 inline constexpr double kUsableShare = 0.8;
 
-/// Checks the gateway's promises from what callers and targets see, while the
-/// soak runs. Thread-safe.
-class Promises {
+/// Checks the gateway's guarantees by what callers and targets observe while
+/// the soak test runs. Thread-safe.
+class GuaranteeChecker {
  public:
-  /// A caller is about to send a request.
-  void Sent(const std::string& id, Kind kind, const std::string& key);
+  /// Records that a caller is about to send a request.
+  void RecordSent(const std::string& id, RequestKind kind,
+                  const std::string& key);
 
-  /// A target has a request, whether it runs it or not.
-  void Reached(const RawRequest& request);
+  /// Records that a target received a request, whether it runs it or not.
+  void RecordReached(const RawRequest& request);
 
-  /// A target begins to run a request.
-  void Runs(const RawRequest& request);
+  /// Records that a target starts to run a request, and checks that it may.
+  void RecordRun(const RawRequest& request);
 
-  /// A caller got an answer, or none.
-  void Answered(const std::string& id, const Outcome& outcome, Harm harm);
+  /// Records and checks the outcome of a request at its caller.
+  /// @param harm fault of the instance meanwhile
+  void RecordOutcome(const std::string& id, const Outcome& outcome,
+                     InstanceFault fault);
 
-  /// What only the end shows: refused requests that ran all the same, and
-  /// requests that a target had and whose connection ended.
-  void CheckEnd();
+  /// Checks what is known only after the last request: no request that was
+  /// refused as not run has run, and no request that reached a target lost its
+  /// connection without a response.
+  void CheckAtEnd();
 
-  /// A promise that the soak itself saw broken.
-  void Broken(const std::string& what);
+  /// Records a violation that the soak test itself observed.
+  void AddViolation(const std::string& what);
 
   std::vector<std::string> Violations() const;
-  int Answers(int status) const;
-  /// Requests on kept connections that nothing could have excused to cut.
-  int KeptUses() const;
+  int Responses(int status) const;
+  /// Number of requests on reused connections that the instance had no excuse
+  /// to close: it had no fault and the request came in time.
+  int IdleConnectionUses() const;
 
  private:
   struct Request {
-    Kind kind = Kind::kOnce;
+    RequestKind kind = RequestKind::kNonIdempotent;
     std::string key;
     int runs = 0;
-    int status = 0;  ///< none yet, or the connection ended
+    int status = 0;  ///< 0: no response yet, or none at all
     bool reached = false;
-    std::string cut;  ///< how, if its instance lived on
+    std::string
+        closed_early;  ///< how it was closed, if the instance had not ended
   };
 
-  void Violation(const std::string& id, const std::string& what)
+  void AddRequestViolation(const std::string& id, const std::string& what)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-  void CheckKept(const std::string& id, const Outcome& outcome, Harm harm)
+  void CheckNotClosedEarly(const std::string& id, const Outcome& outcome,
+                           InstanceFault fault)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
   mutable absl::Mutex mutex;
   std::map<std::string, Request> requests ABSL_GUARDED_BY(mutex);
-  std::map<int, int> answers ABSL_GUARDED_BY(mutex);
-  int kept_uses ABSL_GUARDED_BY(mutex) = 0;
+  std::map<int, int> responses ABSL_GUARDED_BY(mutex);
+  int idle_connection_uses ABSL_GUARDED_BY(mutex) = 0;
   std::vector<std::string> violations ABSL_GUARDED_BY(mutex);
 };
 
-/// The body that a target gives to a request.
-std::string BodyOf(const std::string& id, Kind kind);
+/// The body of a target's correct response to a request.
+std::string BodyOf(const std::string& id, RequestKind kind);
 
-/// An event of a stream.
+/// One event of a stream's response body.
 std::string EventOf(const std::string& id, int number);
 
-inline constexpr int kEvents = 4;  ///< of a stream
+inline constexpr int kEvents = 4;  ///< number of events of a stream
 
 }  // namespace dragonflyglade::soak
 
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -19,12 +19,13 @@
 using nlohmann::json;
 
 constexpr int kTargets = 3;
-constexpr int kPortsOfInstance = 5;
-// How many times the lowest limit a version's limits are.
+constexpr int kPortsPerInstance = 5;
+// The limits of a configuration version, as multiples of the lowest limits.
 constexpr int kLimitFactors[] = {1, 3, 1, 2};
 constexpr int kRouteTimeoutsMs[] = {3000, 2000, 2500};
 
-// Ports that are free now, next to one another.
+// Returns the first of `count` consecutive ports that are free now, and
+// advances `from` past them.
 int FreePorts(int count, int& from) {
   boost::asio::io_context context;
   while (true) {
@@ -50,8 +51,9 @@
          request.Field("X-Dragonflyglade-Attempt-Id") + "\r\n" + more + "\r\n";
 }
 
-std::string Whole(const RawRequest& request, const std::string& status,
-                  const std::string& body, const std::string& more) {
+std::string CompleteResponse(const RawRequest& request,
+                             const std::string& status, const std::string& body,
+                             const std::string& more) {
   return Head(
              request, status,
              more + "Content-Length: " + std::to_string(body.size()) + "\r\n") +
@@ -66,12 +68,13 @@
   return size + text + "\r\n";
 }
 
-std::string SoundAnswer(const RawRequest& request) {
+std::string CorrectResponse(const RawRequest& request) {
   const std::string id = request.Field("X-Dragonflyglade-Attempt-Id");
   const std::string line = request.Line();
   if (line.find(" /once/") != std::string::npos ||
       line.find(" /any/") != std::string::npos) {
-    return Whole(request, "200 OK", BodyOf(id, Kind::kOnce), kSigned);
+    return CompleteResponse(request, "200 OK",
+                            BodyOf(id, RequestKind::kNonIdempotent), kSigned);
   }
   const std::string after = request.Field("Last-Event-Id");
   std::string bytes = Head(request, "200 OK",
@@ -99,10 +102,10 @@
 }  // namespace
 
 World::World(std::string program, std::string directory, unsigned seed,
-             int instances, Promises& promises)
+             int instances, GuaranteeChecker& checker)
     : program(std::move(program)),
       directory(std::move(directory)),
-      promises(promises),
+      checker(checker),
       random(seed) {
   for (int i = 0; i < kTargets; ++i) {
     auto target = std::make_unique<Target>();
@@ -110,27 +113,27 @@
     target->id = "i-" + std::to_string(i);
     target->stand_in = std::make_unique<PlatformTargetStandIn>(
         [this, raw](const RawRequest& request) {
-          return this->Answer(*raw, request);
+          return this->Respond(*raw, request);
         });
     const Result<Endpoint> real = ParseEndpoint(target->stand_in->Address());
-    target->relay = std::make_unique<FaultyTcpProxy>(real.Value());
-    target->address = target->relay->Start();
+    target->proxy = std::make_unique<FaultyTcpProxy>(real.Value());
+    target->address = target->proxy->Start();
     this->targets.push_back(std::move(target));
     this->PutTarget(i, "ready");
   }
   this->PutConfig();
-  // Soaks that run at the same time begin at different ports.
-  // Above 32767 the system gives ports to connections.
+  // Soak tests that run at the same time start at different ports. They stay
+  // below 32768, where the ephemeral ports of the system begin.
   int port = 10000 + static_cast<int>(getpid() % 220) * 100;
   for (int i = 0; i < instances; ++i) {
     auto instance = std::make_unique<Instance>();
     instance->name = "gateway-" + std::to_string(i);
-    instance->first_port = FreePorts(kPortsOfInstance, port);
+    instance->first_port = FreePorts(kPortsPerInstance, port);
     instance->settings_file = this->directory + "/" + instance->name + ".json";
     instance->log_file = this->directory + "/" + instance->name + ".log";
-    instance->store_relay =
+    instance->store_proxy =
         std::make_unique<FaultyTcpProxy>(this->store.Address());
-    instance->store = instance->store_relay->Start();
+    instance->store = instance->store_proxy->Start();
     this->instances.push_back(std::move(instance));
     this->Start(i, true);
   }
@@ -166,44 +169,46 @@
 void World::Start(int index, bool first) {
   Instance& instance = *this->instances[index];
   this->WriteSettings(instance, first);
-  // Nobody reads the first one's output, as with a log collector that hangs.
+  // Nobody reads the standard output of the first instance, as with a log
+  // collector that hangs.
   const auto output =
       index == 0 ? Process::Output::kPipe : Process::Output::kLog;
   instance.process = std::make_unique<Process>(
       std::vector<std::string>{this->program, "gateway", "--settings",
                                instance.settings_file},
       instance.log_file, output);
-  this->AwaitListening(instance);
-  // Whoever sees it listen may signal it: it must not end by that.
+  this->WaitUntilListening(instance);
+  // An operator may send a signal as soon as the instance listens; a reload
+  // must not terminate it.
   instance.process->Signal(SIGHUP);
   instance.ends += 1;
 }
 
-// A signal that comes before the process has begun ends it, which is nobody's
-// fault.
-void World::AwaitListening(const Instance& instance) const {
-  constexpr absl::Duration kStarts = absl::Seconds(10);
-  const absl::Time end = absl::Now() + kStarts;
+// Signals are sent only to a listening instance: one that comes before the
+// process has installed its handlers terminates it, which is no fault.
+void World::WaitUntilListening(const Instance& instance) const {
+  constexpr absl::Duration kStartTimeout = absl::Seconds(10);
+  const absl::Time end = absl::Now() + kStartTimeout;
   while (absl::Now() < end) {
     if (Connection(instance.Callers()).Open()) return;
     absl::SleepFor(absl::Milliseconds(5));
   }
-  this->promises.Broken(instance.name + " does not start");
+  this->checker.AddViolation(instance.name + " did not listen after its start");
 }
 
-// Only a signal of the soak's own may end a process. What it said last is in
-// its log, to which standard error goes as well.
-void World::CheckRuns(const Instance& instance) const {
+// Only signals that the soak test sends may end a process. Its last messages
+// are in its log file, which also gets its standard error.
+void World::CheckRunning(const Instance& instance) const {
   if (instance.process->Running()) return;
-  this->promises.Broken(instance.name + " ended by itself, " +
-                        instance.process->ExitDescription() + ", see " +
-                        instance.log_file);
+  this->checker.AddViolation(
+      instance.name + " ended without a signal from the soak test, " +
+      instance.process->ExitDescription() + ", see " + instance.log_file);
 }
 
 void World::Kill(int index) {
   Instance& instance = *this->instances[index];
   if (instance.process == nullptr) return;
-  this->CheckRuns(instance);
+  this->CheckRunning(instance);
   instance.ends += 1;
   instance.process->Signal(SIGKILL);
   instance.process->Wait();
@@ -214,15 +219,15 @@
   Instance& instance = *this->instances[index];
   const std::unique_ptr<Process>& process = instance.process;
   if (process == nullptr) return;
-  this->CheckRuns(instance);
+  this->CheckRunning(instance);
   instance.ends += 1;
   process->Signal(SIGCONT);
   process->Signal(SIGTERM);
   const int code = process->Wait();
   if (code != 0) {
-    this->promises.Broken(instance.name + " was asked to stop and ended with " +
-                          process->ExitDescription() + ", see " +
-                          instance.log_file);
+    this->checker.AddViolation(
+        instance.name + " was asked to stop and ended with " +
+        process->ExitDescription() + ", see " + instance.log_file);
   }
   this->Start(index, false);
 }
@@ -241,18 +246,19 @@
   this->instances[index]->pauses += 1;
 }
 
-Harms World::HarmsOf(int index) const {
+FaultCounts World::FaultCountsOf(int index) const {
   const Instance& instance = *this->instances[index];
   return {instance.ends, instance.pauses};
 }
 
-Harm World::HarmSince(int index, const Harms& before) const {
-  const Harms now = this->HarmsOf(index);
-  const auto befell = [](int from, int to) {
+InstanceFault World::FaultSince(int index, const FaultCounts& before) const {
+  const FaultCounts now = this->FaultCountsOf(index);
+  const auto had_fault = [](int from, int to) {
     return from != to || to % 2 != 0;
   };
-  if (befell(before.ends, now.ends)) return Harm::kEnded;
-  return befell(before.pauses, now.pauses) ? Harm::kPaused : Harm::kNone;
+  if (had_fault(before.ends, now.ends)) return InstanceFault::kEnded;
+  return had_fault(before.pauses, now.pauses) ? InstanceFault::kPaused
+                                              : InstanceFault::kNone;
 }
 
 void World::PutTarget(int index, const std::string& state) {
@@ -275,10 +281,11 @@
 void World::PutConfig() {
   absl::MutexLock lock(&this->config_mutex);
   this->version += 1;
-  const auto number = static_cast<std::size_t>(this->version);
-  const int timeout = kRouteTimeoutsMs[number % std::size(kRouteTimeoutsMs)];
-  const int factor = kLimitFactors[number % std::size(kLimitFactors)];
-  const std::string own = "v" + std::to_string(this->version);
+  const auto version_index = static_cast<std::size_t>(this->version);
+  const int timeout =
+      kRouteTimeoutsMs[version_index % std::size(kRouteTimeoutsMs)];
+  const int factor = kLimitFactors[version_index % std::size(kLimitFactors)];
+  const std::string version_route = "v" + std::to_string(this->version);
   const json config = {
       {"version", this->version},
       {"routes",
@@ -286,43 +293,47 @@
         Route("any", "idempotent", 3, false, timeout),
         Route("stream", "streaming", 1, false, timeout),
         Route("resumed", "streaming", 3, true, timeout),
-        Route(own, "idempotent", 1, false, timeout)}},
+        Route(version_route, "idempotent", 1, false, timeout)}},
       {"limits",
-       {{"idle_timeout_ms", absl::ToInt64Milliseconds(factor * kLeastIdle)},
-        {"header_timeout_ms", absl::ToInt64Milliseconds(factor * kLeastHead)}}},
+       {{"idle_timeout_ms",
+         absl::ToInt64Milliseconds(factor * kMinIdleTimeout)},
+        {"header_timeout_ms",
+         absl::ToInt64Milliseconds(factor * kMinHeaderTimeout)}}},
       {"services", {{{"name", "s"}, {"max_connections", 60}}}},
       {"tenants", {{{"name", "t1"}, {"api_keys", {"secret-key-1"}}}}}};
   this->store.Put("op/config", config.dump());
 }
 
-PlatformTargetStandIn::Script World::Answer(Target& target,
-                                            const RawRequest& request) {
-  this->promises.Reached(request);
-  double fate = 0;
-  double kind = 0;
+PlatformTargetStandIn::Script World::Respond(Target& target,
+                                             const RawRequest& request) {
+  this->checker.RecordReached(request);
+  double fault_draw = 0;
+  double fault_kind = 0;
   {
     absl::MutexLock lock(&this->mutex);
     std::uniform_real_distribution<double> uniform(0, 1);
-    fate = uniform(this->random);
-    kind = uniform(this->random);
+    fault_draw = uniform(this->random);
+    fault_kind = uniform(this->random);
   }
   if (request.Field("X-Dragonflyglade-Target-Instance") != target.id) {
-    return {Whole(request, "421 Other", "", "")};
+    return {CompleteResponse(request, "421 Other", "", "")};
   }
-  const bool sound = fate >= target.failure_rate;
-  if (!sound && kind < 0.25) {
-    return {
-        Whole(request, "503 Full", "", "X-Dragonflyglade-Not-Executed: 1\r\n")};
+  const bool correct = fault_draw >= target.failure_rate;
+  if (!correct && fault_kind < 0.25) {
+    return {CompleteResponse(request, "503 Full", "",
+                             "X-Dragonflyglade-Not-Executed: 1\r\n")};
   }
-  this->promises.Runs(request);
-  const std::string bytes = SoundAnswer(request);
-  if (sound) return {bytes};
-  if (kind < 0.4) return {"", true};
-  if (kind < 0.55) return {bytes.substr(0, bytes.size() - 3), true};
-  if (kind < 0.7) return {Whole(request, "500 Failed", "no", kSigned)};
-  if (kind < 0.8) return {Whole(request, "503 Unmarked", "", kSigned)};
-  if (kind < 0.9) return {"", false, true};
-  return {bytes + Whole(request, "200 OK", "second", kSigned)};
+  this->checker.RecordRun(request);
+  const std::string bytes = CorrectResponse(request);
+  if (correct) return {bytes};
+  if (fault_kind < 0.4) return {"", true};
+  if (fault_kind < 0.55) return {bytes.substr(0, bytes.size() - 3), true};
+  if (fault_kind < 0.7)
+    return {CompleteResponse(request, "500 Failed", "no", kSigned)};
+  if (fault_kind < 0.8)
+    return {CompleteResponse(request, "503 Unmarked", "", kSigned)};
+  if (fault_kind < 0.9) return {"", false, true};
+  return {bytes + CompleteResponse(request, "200 OK", "second", kSigned)};
 }
 
 }  // namespace dragonflyglade::soak
