--- a/tests/soak/caller.cc
+++ b/tests/soak/connection.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/caller.h"
+#include "tests/soak/connection.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -155,7 +155,7 @@
 }
 
 // The parsing functions throw on bytes that are no HTTP response, which is
-// reported as kUnreadable.
+// reported as kMalformedStatus.
 Outcome Connection::Call(const std::string& id, RequestKind kind,
                          const std::string& key, absl::Duration pause) {
   const std::string text =
--- a/tests/soak/caller.h
+++ b/tests/soak/connection.h
@@ -1,11 +1,11 @@
-#ifndef DRAGONFLYGLADE_TESTS_SOAK_CALLER_H_
-#define DRAGONFLYGLADE_TESTS_SOAK_CALLER_H_
+#ifndef DRAGONFLYGLADE_TESTS_SOAK_CONNECTION_H_
+#define DRAGONFLYGLADE_TESTS_SOAK_CONNECTION_H_
 
 #include <string>
 
 #include "absl/time/time.h"
 #include "dragonflyglade/net/endpoint.h"
-#include "tests/soak/promises.h"
+#include "tests/soak/guarantee_checker.h"
 
 namespace dragonflyglade::soak {
 
@@ -46,4 +46,4 @@
 
 }  // namespace dragonflyglade::soak
 
-#endif  // DRAGONFLYGLADE_TESTS_SOAK_CALLER_H_
+#endif  // DRAGONFLYGLADE_TESTS_SOAK_CONNECTION_H_
--- a/tests/soak/promises.cc
+++ b/tests/soak/guarantee_checker.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/promises.h"
+#include "tests/soak/guarantee_checker.h"
 
 #include <fmt/format.h>
 
@@ -119,15 +119,15 @@
   this->CheckNotClosedEarly(id, outcome, fault);
   this->responses[outcome.status] += 1;
   if (outcome.status == kMalformedStatus) {
-    this->AddRequestViolation(
-        id, "bytes that are no HTTP response: " + outcome.body);
+    this->AddRequestViolation(id,
+                              "bytes that are no HTTP answer: " + outcome.body);
   }
   if (outcome.status != 200 || !outcome.complete) return;
   if (!outcome.is_signed)
-    this->AddRequestViolation(id, "status 200 without a target's signature");
+    this->AddRequestViolation(id, "a success that no target signed");
   if (outcome.body != BodyOf(id, sent.kind)) {
-    this->AddRequestViolation(
-        id, "wrong or incomplete response body: " + outcome.body);
+    this->AddRequestViolation(id,
+                              "wrong or incomplete answer: " + outcome.body);
   }
 }
 
@@ -139,14 +139,13 @@
     // caller's connection without a response.
     if (sent.reached && !sent.closed_early.empty()) {
       this->AddRequestViolation(
-          id, "read completely, and closed without a response: " +
-                  sent.closed_early);
+          id,
+          "read completely, but cut without an answer: " + sent.closed_early);
     }
     if (MayRunTwice(sent.kind) || sent.runs == 0) continue;
     if (SaysNotRun(sent.status)) {
-      this->AddRequestViolation(
-          id, "ran, although its response said not run: status " +
-                  std::to_string(sent.status));
+      this->AddRequestViolation(id, "ran, but was answered as not run: " +
+                                        std::to_string(sent.status));
     }
   }
 }
--- a/tests/soak/promises.h
+++ b/tests/soak/guarantee_checker.h
@@ -1,5 +1,5 @@
-#ifndef DRAGONFLYGLADE_TESTS_SOAK_PROMISES_H_
-#define DRAGONFLYGLADE_TESTS_SOAK_PROMISES_H_
+#ifndef DRAGONFLYGLADE_TESTS_SOAK_GUARANTEE_CHECKER_H_
+#define DRAGONFLYGLADE_TESTS_SOAK_GUARANTEE_CHECKER_H_
 
 #include <map>
 #include <string>
@@ -23,12 +23,14 @@
   std::string body;        ///< without chunk framing
   bool complete = false;   ///< the body is complete by its framing
   bool is_signed = false;  ///< has a target's signature
-  bool closed_early = false;  ///< the instance closed before a response began
-  absl::Duration
-      idle_time;  ///< upper bound of the connection's idle time before
-  absl::Duration head_time;  ///< upper bound of the time to send the head
-  absl::Duration
-      keep_alive_timeout;  ///< Keep-Alive timeout in the previous response
+  /// The instance closed the connection before a response began.
+  bool closed_early = false;
+  /// Upper bound of the time for which the connection was idle before.
+  absl::Duration idle_time;
+  /// Upper bound of the time in which the request head was sent.
+  absl::Duration head_time;
+  /// Keep-Alive timeout in the previous response on the connection.
+  absl::Duration keep_alive_timeout;
 };
 
 /// The worst fault of an instance while it handled a request or kept the
@@ -58,7 +60,7 @@
   void RecordRun(const RawRequest& request);
 
   /// Records and checks the outcome of a request at its caller.
-  /// @param harm fault of the instance meanwhile
+  /// @param fault worst fault of the instance meanwhile
   void RecordOutcome(const std::string& id, const Outcome& outcome,
                      InstanceFault fault);
 
@@ -83,8 +85,9 @@
     int runs = 0;
     int status = 0;  ///< 0: no response yet, or none at all
     bool reached = false;
-    std::string
-        closed_early;  ///< how it was closed, if the instance had not ended
+    /// Timing of the request if its connection was closed without a response by
+    /// an instance that had not ended; else empty.
+    std::string closed_early;
   };
 
   void AddRequestViolation(const std::string& id, const std::string& what)
@@ -110,4 +113,4 @@
 
 }  // namespace dragonflyglade::soak
 
-#endif  // DRAGONFLYGLADE_TESTS_SOAK_PROMISES_H_
+#endif  // DRAGONFLYGLADE_TESTS_SOAK_GUARANTEE_CHECKER_H_
--- a/tests/soak/main.cc
+++ b/tests/soak/main.cc
@@ -19,9 +19,9 @@
 #include <vector>
 
 #include "absl/time/clock.h"
-#include "tests/soak/caller.h"
-#include "tests/soak/calls.h"
-#include "tests/soak/promises.h"
+#include "tests/soak/connection.h"
+#include "tests/soak/guarantee_checker.h"
+#include "tests/soak/simulated_caller.h"
 #include "tests/soak/world.h"
 
 namespace dragonflyglade::soak {
@@ -36,13 +36,14 @@
 };
 
 constexpr int kBusyCallers = 6;
-constexpr int kIdleCallers = 60;  // mostly idle
+constexpr int kIdleCallers = 60;  // many, since they mostly wait
 constexpr int kFaultSeries = 3;
-constexpr int kConfigChanges =
-    8;                            // quick changes of the configuration in a row
-constexpr int kShortPauses = 16;  // short pauses of an instance in a row
+// Number of configuration changes in quick succession.
+constexpr int kConfigChanges = 8;
+// Number of short pauses of an instance in a row.
+constexpr int kShortPauses = 16;
 // Enough for processes to start, leases to expire and targets to return.
-constexpr absl::Duration kRecovery = absl::Seconds(20);
+constexpr absl::Duration kRecoveryTimeout = absl::Seconds(20);
 
 // Returns a deterministic random generator for one thread of a seed's run.
 std::mt19937 RandomFor(unsigned seed, int thread) {
@@ -64,21 +65,23 @@
 
   void Run(const std::atomic<bool>& stop) {
     while (!stop) {
-      const int what = UniformInt(this->random, 0, 11);
-      if (what < 7) {
-        this->InjectInstanceFault(what);
-      } else if (what < 10) {
-        this->InjectTargetFault(what);
+      // 0 to 6: a fault of an instance, 7 to 9: of a target, 10 and 11: changes
+      // of the configuration.
+      const int fault = UniformInt(this->random, 0, 11);
+      if (fault < 7) {
+        this->InjectInstanceFault(fault);
+      } else if (fault < 10) {
+        this->InjectTargetFault(fault);
       } else {
-        this->ChangeConfig(what == 10 ? 1 : kConfigChanges);
+        this->ChangeConfig(fault == 10 ? 1 : kConfigChanges);
       }
       this->Pause(400);
     }
   }
 
  private:
-  void Pause(int most_ms) {
-    absl::SleepFor(absl::Milliseconds(UniformInt(this->random, 20, most_ms)));
+  void Pause(int max_ms) {
+    absl::SleepFor(absl::Milliseconds(UniformInt(this->random, 20, max_ms)));
   }
 
   void ChangeConfig(int times) {
@@ -99,11 +102,11 @@
     }
   }
 
-  void InjectInstanceFault(int what) {
+  void InjectInstanceFault(int fault) {
     const int index = UniformInt(this->random, 0, this->world.Instances() - 1);
     absl::Mutex& mutex = *this->instances[index];
     if (!mutex.TryLock()) return;
-    switch (what) {
+    switch (fault) {
       case 0:
         this->world.Kill(index);
         this->Pause(1200);
@@ -135,15 +138,15 @@
     mutex.Unlock();
   }
 
-  void InjectTargetFault(int what) {
+  void InjectTargetFault(int fault) {
     const int index = UniformInt(this->random, 0, this->world.Targets() - 1);
     absl::Mutex& mutex = *this->targets[index];
     if (!mutex.TryLock()) return;
-    if (what == 7) {
+    if (fault == 7) {
       this->world.SetFailureRate(index, 0.4);
       this->Pause(1500);
       this->world.SetFailureRate(index, 0);
-    } else if (what == 8) {
+    } else if (fault == 8) {
       this->world.TargetProxy(index).SetPartitioned(true);
       this->Pause(600);
       this->world.TargetProxy(index).SetPartitioned(false);
@@ -164,10 +167,11 @@
   std::vector<std::unique_ptr<absl::Mutex>>& targets;
 };
 
-// Checks that every instance serves requests once no more faults are injected.
+// Checks that every instance serves requests soon while no faults are injected,
+// at the start and at the end of a run.
 void CheckRecovery(const World& world, GuaranteeChecker& checker) {
   for (int i = 0; i < world.Instances(); ++i) {
-    const absl::Time end = absl::Now() + kRecovery;
+    const absl::Time end = absl::Now() + kRecoveryTimeout;
     bool served = false;
     for (int n = 0; !served && absl::Now() < end; ++n) {
       Session session(world, checker, i);
@@ -177,8 +181,7 @@
       if (!served) absl::SleepFor(absl::Milliseconds(100));
     }
     if (!served)
-      checker.AddViolation(world.At(i).name +
-                           " did not serve requests again after the faults");
+      checker.AddViolation(world.At(i).name + " does not serve requests");
   }
 }
 
@@ -305,20 +308,20 @@
 int main(int argc, char** argv) {
   namespace po = boost::program_options;
   dragonflyglade::soak::Options options;
-  po::options_description known("options");
-  known.add_options()("program", po::value(&options.program)->required(),
-                      "the gateway's binary")(
-      "seed", po::value(&options.seed),
-      "seed of the random faults and requests")(
+  po::options_description option_descriptions("options");
+  option_descriptions.add_options()(
+      "program", po::value(&options.program)->required(),
+      "the gateway's binary")("seed", po::value(&options.seed),
+                              "seed of the random faults and requests")(
       "seconds", po::value(&options.seconds), "how long to inject faults")(
       "instances", po::value(&options.instances), "number of gateways")(
       "keep", po::bool_switch(&options.keep), "keep the logs");
-  po::variables_map given;
+  po::variables_map values;
   try {
-    po::store(po::parse_command_line(argc, argv, known), given);
-    po::notify(given);
+    po::store(po::parse_command_line(argc, argv, option_descriptions), values);
+    po::notify(values);
   } catch (const po::error& error) {
-    std::cerr << error.what() << "\n" << known;
+    std::cerr << error.what() << "\n" << option_descriptions;
     return 2;
   }
   dragonflyglade::soak::InstallStackHandler();
--- a/tests/soak/calls.cc
+++ b/tests/soak/simulated_caller.cc
@@ -1,4 +1,4 @@
-#include "tests/soak/calls.h"
+#include "tests/soak/simulated_caller.h"
 
 #include <fmt/format.h>
 
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-int UniformInt(std::mt19937& random, int least, int most) {
-  return std::uniform_int_distribution<int>(least, most)(random);
+int UniformInt(std::mt19937& random, int min, int max) {
+  return std::uniform_int_distribution<int>(min, max)(random);
 }
 
 Session::Session(const World& world, GuaranteeChecker& checker, int index)
--- a/tests/soak/calls.h
+++ b/tests/soak/simulated_caller.h
@@ -1,13 +1,13 @@
-#ifndef DRAGONFLYGLADE_TESTS_SOAK_CALLS_H_
-#define DRAGONFLYGLADE_TESTS_SOAK_CALLS_H_
+#ifndef DRAGONFLYGLADE_TESTS_SOAK_SIMULATED_CALLER_H_
+#define DRAGONFLYGLADE_TESTS_SOAK_SIMULATED_CALLER_H_
 
 #include <atomic>
 #include <random>
 #include <string>
 
 #include "absl/time/time.h"
-#include "tests/soak/caller.h"
-#include "tests/soak/promises.h"
+#include "tests/soak/connection.h"
+#include "tests/soak/guarantee_checker.h"
 #include "tests/soak/world.h"
 
 namespace dragonflyglade::soak {
@@ -29,8 +29,8 @@
   const World& world;
   GuaranteeChecker& checker;
   const int index;
-  FaultCounts
-      faults_before;  ///< at the last use of the connection, or its opening
+  /// At the last use of the connection, or when it was opened.
+  FaultCounts faults_before;
   Connection connection;
 };
 
@@ -42,7 +42,8 @@
   SimulatedCaller(const World& world, GuaranteeChecker& checker,
                   std::mt19937 random, int number);
 
-  /// Sends requests without pauses, up to twenty on one connection.
+  /// Sends up to twenty requests on each connection, without pauses between
+  /// them.
   void RunBusy(const std::atomic<bool>& stop);
 
   /// Uses each connection until it is closed, with idle times up to the timeout
@@ -64,9 +65,9 @@
   int count = 0;
 };
 
-/// Returns a uniformly distributed number from `least` to `most`, inclusive.
-int UniformInt(std::mt19937& random, int least, int most);
+/// Returns a uniformly distributed number from `min` to `max`, inclusive.
+int UniformInt(std::mt19937& random, int min, int max);
 
 }  // namespace dragonflyglade::soak
 
-#endif  // DRAGONFLYGLADE_TESTS_SOAK_CALLS_H_
+#endif  // DRAGONFLYGLADE_TESTS_SOAK_SIMULATED_CALLER_H_
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "absl/time/clock.h"
-#include "tests/soak/caller.h"
+#include "tests/soak/connection.h"
 
 namespace dragonflyglade::soak {
 namespace {
@@ -45,18 +45,19 @@
   }
 }
 
-std::string Head(const RawRequest& request, const std::string& status,
-                 const std::string& more) {
+std::string ResponseHead(const RawRequest& request, const std::string& status,
+                         const std::string& extra_fields) {
   return "HTTP/1.1 " + status + "\r\nX-Dragonflyglade-Attempt-Id: " +
-         request.Field("X-Dragonflyglade-Attempt-Id") + "\r\n" + more + "\r\n";
+         request.Field("X-Dragonflyglade-Attempt-Id") + "\r\n" + extra_fields +
+         "\r\n";
 }
 
 std::string CompleteResponse(const RawRequest& request,
                              const std::string& status, const std::string& body,
-                             const std::string& more) {
-  return Head(
-             request, status,
-             more + "Content-Length: " + std::to_string(body.size()) + "\r\n") +
+                             const std::string& extra_fields) {
+  return ResponseHead(request, status,
+                      extra_fields + "Content-Length: " +
+                          std::to_string(body.size()) + "\r\n") +
          body;
 }
 
@@ -77,10 +78,10 @@
                             BodyOf(id, RequestKind::kNonIdempotent), kSigned);
   }
   const std::string after = request.Field("Last-Event-Id");
-  std::string bytes = Head(request, "200 OK",
-                           std::string(kSigned) +
-                               "Content-Type: text/event-stream\r\n"
-                               "Transfer-Encoding: chunked\r\n");
+  std::string bytes = ResponseHead(request, "200 OK",
+                                   std::string(kSigned) +
+                                       "Content-Type: text/event-stream\r\n"
+                                       "Transfer-Encoding: chunked\r\n");
   const int first = after.empty() ? 1 : std::stoi(after) + 1;
   for (int i = first; i <= kEvents; ++i) bytes += Chunk(EventOf(id, i));
   return bytes + "0\r\n\r\n";
@@ -109,14 +110,15 @@
       random(seed) {
   for (int i = 0; i < kTargets; ++i) {
     auto target = std::make_unique<Target>();
-    Target* raw = target.get();
+    Target* target_pointer = target.get();
     target->id = "i-" + std::to_string(i);
     target->stand_in = std::make_unique<PlatformTargetStandIn>(
-        [this, raw](const RawRequest& request) {
-          return this->Respond(*raw, request);
+        [this, target_pointer](const RawRequest& request) {
+          return this->Respond(*target_pointer, request);
         });
-    const Result<Endpoint> real = ParseEndpoint(target->stand_in->Address());
-    target->proxy = std::make_unique<FaultyTcpProxy>(real.Value());
+    const Result<Endpoint> stand_in_endpoint =
+        ParseEndpoint(target->stand_in->Address());
+    target->proxy = std::make_unique<FaultyTcpProxy>(stand_in_endpoint.Value());
     target->address = target->proxy->Start();
     this->targets.push_back(std::move(target));
     this->PutTarget(i, "ready");
@@ -188,8 +190,8 @@
 // process has installed its handlers terminates it, which is no fault.
 void World::WaitUntilListening(const Instance& instance) const {
   constexpr absl::Duration kStartTimeout = absl::Seconds(10);
-  const absl::Time end = absl::Now() + kStartTimeout;
-  while (absl::Now() < end) {
+  const absl::Time deadline = absl::Now() + kStartTimeout;
+  while (absl::Now() < deadline) {
     if (Connection(instance.Callers()).Open()) return;
     absl::SleepFor(absl::Milliseconds(5));
   }
@@ -200,9 +202,9 @@
 // are in its log file, which also gets its standard error.
 void World::CheckRunning(const Instance& instance) const {
   if (instance.process->Running()) return;
-  this->checker.AddViolation(
-      instance.name + " ended without a signal from the soak test, " +
-      instance.process->ExitDescription() + ", see " + instance.log_file);
+  this->checker.AddViolation(instance.name + " ended by itself, " +
+                             instance.process->ExitDescription() + ", see " +
+                             instance.log_file);
 }
 
 void World::Kill(int index) {
--- a/tests/soak/world.h
+++ b/tests/soak/world.h
@@ -11,7 +11,7 @@
 #include "tests/fleet/process.h"
 #include "tests/platform/store_stand_in.h"
 #include "tests/platform/target_stand_in.h"
-#include "tests/soak/promises.h"
+#include "tests/soak/guarantee_checker.h"
 #include "tests/standins/faulty_tcp_proxy.h"
 
 namespace dragonflyglade::soak {
