--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -69,10 +69,13 @@
   void Apply(const std::string& records);
 
   KvStandIn& Kv() { return this->kv; }
+  /// The service that lists instances and targets.
   DiscoveryStandIn& List() { return this->list; }
   EngineStandIn& Engine(int number) { return *this->engines.at(number - 1); }
   LedgerStandIn& Ledger() { return *this->ledgers.front(); }
+  /// The proxy between an instance and the key-value service.
   FaultyTcpProxy& KvLink(int instance) { return *this->kv_links.at(instance); }
+  /// The proxy in front of a target.
   FaultyTcpProxy& TargetLink(const std::string& name) {
     return *this->target_links.at(name);
   }
--- a/tests/scenario/runner.cc
+++ b/tests/scenario/runner.cc
@@ -30,6 +30,7 @@
   CallResult result;
 };
 
+// Runs the commands of one scenario, with one method for each verb.
 class Runner {
  public:
   explicit Runner(std::string file) : file(std::move(file)) {}
@@ -72,15 +73,18 @@
     return *this->fleet;
   }
 
-  int Number(const ScenarioCommand& command) const {
+  // The number of the instance that the command's first word names.
+  int InstanceNumber(const ScenarioCommand& command) const {
     return std::stoi(command.words.front());
   }
 
+  // The text of a granted key, or the name itself if no key has that name.
   std::string KeyText(const std::string& name) const {
     const auto found = this->keys.find(name);
     return found == this->keys.end() ? name : found->second.ToString();
   }
 
+  // The endpoints of all running instances.
   std::vector<Endpoint> Seeds() {
     std::vector<Endpoint> seeds;
     for (const int number : this->CurrentFleet().Running()) {
@@ -89,6 +93,7 @@
     return seeds;
   }
 
+  // The instance that the argument `on` names, or the first running one.
   Endpoint InstanceOf(const ScenarioCommand& command) {
     const int number = static_cast<int>(command.Number("on", 0));
     return number == 0 ? this->Seeds().front()
@@ -181,28 +186,34 @@
   }
 
   void DoKill(const ScenarioCommand& command) {
-    this->CurrentFleet().Kill(this->Number(command));
+    this->CurrentFleet().Kill(this->InstanceNumber(command));
   }
   void DoPause(const ScenarioCommand& command) {
-    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGSTOP);
+    this->CurrentFleet()
+        .Instance(this->InstanceNumber(command))
+        .Signal(SIGSTOP);
   }
   void DoResume(const ScenarioCommand& command) {
-    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGCONT);
+    this->CurrentFleet()
+        .Instance(this->InstanceNumber(command))
+        .Signal(SIGCONT);
   }
   void DoTerm(const ScenarioCommand& command) {
-    this->CurrentFleet().Instance(this->Number(command)).Signal(SIGTERM);
+    this->CurrentFleet()
+        .Instance(this->InstanceNumber(command))
+        .Signal(SIGTERM);
   }
   void DoEnded(const ScenarioCommand& command) {
     const int code =
-        this->CurrentFleet().Instance(this->Number(command)).Wait();
+        this->CurrentFleet().Instance(this->InstanceNumber(command)).Wait();
     this->Require(code == command.Number("code", 0),
                   fmt::format("exit code {}", code));
   }
   void DoUnlist(const ScenarioCommand& command) {
-    this->CurrentFleet().Unlist(this->Number(command));
+    this->CurrentFleet().Unlist(this->InstanceNumber(command));
   }
   void DoStart(const ScenarioCommand& command) {
-    this->CurrentFleet().StartInstance(this->Number(command));
+    this->CurrentFleet().StartInstance(this->InstanceNumber(command));
   }
   void DoReady(const ScenarioCommand&) { this->CurrentFleet().WaitReady(); }
 
@@ -242,7 +253,8 @@
   }
 
   void DoLink(const ScenarioCommand& command) {
-    FaultyTcpProxy& link = this->CurrentFleet().KvLink(this->Number(command));
+    FaultyTcpProxy& link =
+        this->CurrentFleet().KvLink(this->InstanceNumber(command));
     if (command.words[1] == "silence") return link.StallOpenConnections();
     link.SetPartitioned(command.words[1] == "cut");
   }
--- a/tests/soak/guarantee_checker.cc
+++ b/tests/soak/guarantee_checker.cc
@@ -31,7 +31,7 @@
       "idle for {} ms, head sent in {} ms, instance {}",
       absl::ToInt64Milliseconds(outcome.idle_time),
       absl::ToInt64Milliseconds(outcome.head_time),
-      fault == InstanceFault::kPaused ? "was paused" : "had no fault");
+      fault == InstanceFault::kPaused ? "paused meanwhile" : "untouched");
 }
 
 }  // namespace
@@ -126,8 +126,8 @@
   if (!outcome.is_signed)
     this->AddRequestViolation(id, "a success that no target signed");
   if (outcome.body != BodyOf(id, sent.kind)) {
-    this->AddRequestViolation(id,
-                              "wrong or incomplete answer: " + outcome.body);
+    this->AddRequestViolation(
+        id, "another answer, or not a complete one: " + outcome.body);
   }
 }
 
--- a/tests/soak/guarantee_checker.h
+++ b/tests/soak/guarantee_checker.h
@@ -74,8 +74,8 @@
 
   std::vector<std::string> Violations() const;
   int Responses(int status) const;
-  /// Number of requests on reused connections that the instance had no excuse
-  /// to close: it had no fault and the request came in time.
+  /// Number of requests on connections that had been idle and that the instance
+  /// had no excuse to close: it had no fault and the request came in time.
   int IdleConnectionUses() const;
 
  private:
