--- a/tests/soak/guarantee_checker.cc
+++ b/tests/soak/guarantee_checker.cc
@@ -127,7 +127,7 @@
     this->AddRequestViolation(id, "a success that no target signed");
   if (outcome.body != BodyOf(id, sent.kind)) {
     this->AddRequestViolation(
-        id, "another answer, or not a complete one: " + outcome.body);
+        id, "another answer, or not the whole: " + outcome.body);
   }
 }
 
@@ -144,8 +144,8 @@
     }
     if (MayRunTwice(sent.kind) || sent.runs == 0) continue;
     if (SaysNotRun(sent.status)) {
-      this->AddRequestViolation(id, "ran, but was answered as not run: " +
-                                        std::to_string(sent.status));
+      this->AddRequestViolation(
+          id, "ran, and was answered " + std::to_string(sent.status));
     }
   }
 }
