--- a/dragonflyglade/decision/leader_lease.cc
+++ b/dragonflyglade/decision/leader_lease.cc
@@ -7,10 +7,10 @@
 LeaderLease::LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks)
     : options(options), read_clocks(std::move(read_clocks)) {}
 
-void LeaderLease::OnLeaseAcquired(std::uint64_t fencing_token,
+void LeaderLease::OnLeaseAcquired(std::uint64_t fence_token,
                                   ClockReadings sent_at, absl::Duration ttl) {
   this->is_leader = true;
-  this->fencing_token = fencing_token;
+  this->fence_token = fence_token;
   this->acquired_at = this->read_clocks();
   this->OnLeaseRenewed(sent_at, ttl);
 }
--- a/dragonflyglade/decision/leader_lease.h
+++ b/dragonflyglade/decision/leader_lease.h
@@ -42,10 +42,10 @@
   LeaderLease(LeaderLeaseOptions options, ClockReader read_clocks);
 
   /// Records that this instance became the leader.
-  /// @param fencing_token increases with each new leader
+  /// @param fence_token increases with each new leader
   /// @param sent_at when the last renewal of the lease was sent
   /// @param ttl time to live of the lease
-  void OnLeaseAcquired(std::uint64_t fencing_token, ClockReadings sent_at,
+  void OnLeaseAcquired(std::uint64_t fence_token, ClockReadings sent_at,
                        absl::Duration ttl);
 
   /// Records that the lease was renewed by a call that was sent at `sent_at`.
@@ -67,13 +67,13 @@
   /// true after OnLeaseAcquired.
   Instant EarliestOrderTime() const;
 
-  std::uint64_t FencingToken() const { return this->fencing_token; }
+  std::uint64_t FencingToken() const { return this->fence_token; }
 
  private:
   const LeaderLeaseOptions options;
   const ClockReader read_clocks;
   bool is_leader = false;
-  std::uint64_t fencing_token = 0;
+  std::uint64_t fence_token = 0;
   ClockReadings acquired_at;
   ClockReadings valid_until;
 };
--- a/dragonflyglade/decision/target_ledger.cc
+++ b/dragonflyglade/decision/target_ledger.cc
@@ -34,13 +34,13 @@
 // Failure: a planner is paused, loses its lease, resumes, and issues orders
 // that it planned from outdated state. By then the ledger has the higher
 // fencing token of a newer planner.
-Status CheckFencingToken(TargetLedger& ledger, std::int64_t fencing_token) {
-  if (fencing_token < ledger.fencing_token) {
+Status CheckFencingToken(TargetLedger& ledger, std::int64_t fence_token) {
+  if (fence_token < ledger.fence_token) {
     return MakeFailure(
         Errc::kNotHeld, kStep, ledger.target,
         "a planner with a higher fencing token wrote the ledger");
   }
-  ledger.fencing_token = fencing_token;
+  ledger.fence_token = fence_token;
   return Done{};
 }
 
@@ -85,11 +85,11 @@
 // A fenced target that responded to an order refuses all later orders with a
 // lower fencing token, so open load orders with a lower token have no effect
 // any more.
-void DropFencedLoads(TargetLedger& ledger, std::int64_t fencing_token,
+void DropFencedLoads(TargetLedger& ledger, std::int64_t fence_token,
                      bool fenced) {
   if (!fenced) return;
   for (LedgerCopy& copy : ledger.copies) {
-    if (copy.load_fence_token >= fencing_token) continue;
+    if (copy.load_fence_token >= fence_token) continue;
     copy.open_loads.clear();
   }
   ledger.copies.erase(std::remove_if(ledger.copies.begin(), ledger.copies.end(),
@@ -139,7 +139,7 @@
 }
 
 Status BeginLoad(TargetLedger& ledger, const CopySpec& spec,
-                 std::int64_t fencing_token) {
+                 std::int64_t fence_token) {
   if (FindCopy(ledger, spec.name) != nullptr) {
     return OrderRefused(ledger, spec.name + " is in the ledger already");
   }
@@ -147,14 +147,14 @@
     return OrderRefused(ledger,
                         spec.name + " does not fit into the free memory");
   }
-  const Status token_check = CheckFencingToken(ledger, fencing_token);
+  const Status token_check = CheckFencingToken(ledger, fence_token);
   if (!token_check.Ok()) return token_check;
   LedgerCopy copy;
   copy.name = spec.name;
   copy.version = spec.version;
   copy.base = spec.base;
   copy.bytes = spec.bytes;
-  copy.load_fence_token = fencing_token;
+  copy.load_fence_token = fence_token;
   copy.order_id = NextOrderId(ledger);
   copy.open_loads.push_back(copy.order_id);
   ledger.copies.push_back(std::move(copy));
@@ -162,27 +162,27 @@
 }
 
 Status RepeatLoad(TargetLedger& ledger, std::string_view name,
-                  std::int64_t fencing_token) {
+                  std::int64_t fence_token) {
   LedgerCopy* copy = FindMutableCopy(ledger, name);
   if (copy == nullptr) return OrderRefused(ledger, "no load to repeat");
-  const Status token_check = CheckFencingToken(ledger, fencing_token);
+  const Status token_check = CheckFencingToken(ledger, fence_token);
   if (!token_check.Ok()) return token_check;
   copy->state = CopyState::kLoading;
   copy->repeated = true;
   copy->loads_predate_restart = false;
-  copy->load_fence_token = fencing_token;
+  copy->load_fence_token = fence_token;
   copy->order_id = NextOrderId(ledger);
   copy->open_loads.push_back(copy->order_id);
   return Done{};
 }
 
 Status BeginUnload(TargetLedger& ledger, std::string_view name,
-                   std::int64_t fencing_token) {
+                   std::int64_t fence_token) {
   LedgerCopy* copy = FindMutableCopy(ledger, name);
   if (copy == nullptr) {
     return MakeFailure(Errc::kUnknownRecord, kStep, ledger.target, name);
   }
-  const Status token_check = CheckFencingToken(ledger, fencing_token);
+  const Status token_check = CheckFencingToken(ledger, fence_token);
   if (!token_check.Ok()) return token_check;
   copy->state = CopyState::kUnloading;
   copy->order_id = NextOrderId(ledger);
@@ -190,8 +190,8 @@
 }
 
 Result<std::string> BeginRoleChange(TargetLedger& ledger,
-                                    std::int64_t fencing_token) {
-  const Status token_check = CheckFencingToken(ledger, fencing_token);
+                                    std::int64_t fence_token) {
+  const Status token_check = CheckFencingToken(ledger, fence_token);
   if (!token_check.Ok()) return token_check.Error();
   return NextOrderId(ledger);
 }
@@ -209,7 +209,7 @@
         !outcome.done && copy->open_loads.empty() && !copy->repeated;
     if (is_absent) RemoveCopy(ledger, outcome.name);
   }
-  DropFencedLoads(ledger, outcome.fencing_token, fenced);
+  DropFencedLoads(ledger, outcome.fence_token, fenced);
 }
 
 // Failure: a load order is delayed, its model is unloaded meanwhile, the memory
@@ -228,7 +228,7 @@
       copy->state = CopyState::kUncertain;
     }
   }
-  DropFencedLoads(ledger, outcome.fencing_token, fenced);
+  DropFencedLoads(ledger, outcome.fence_token, fenced);
 }
 
 // Failure: a report from before an unload still shows the model and is taken as
@@ -284,9 +284,9 @@
                       {"order_id", copy.order_id}});
   }
   const json document = {
-      {"target", ledger.target},       {"capacity", ledger.capacity},
-      {"fence", ledger.fencing_token}, {"boot_id", ledger.boot_id},
-      {"orders", ledger.orders},       {"copies", copies}};
+      {"target", ledger.target},     {"capacity", ledger.capacity},
+      {"fence", ledger.fence_token}, {"boot_id", ledger.boot_id},
+      {"orders", ledger.orders},     {"copies", copies}};
   return document.dump();
 }
 
@@ -296,7 +296,7 @@
     TargetLedger ledger;
     ledger.target = document.at("target");
     ledger.capacity = document.at("capacity");
-    ledger.fencing_token = document.at("fence");
+    ledger.fence_token = document.at("fence");
     ledger.boot_id = document.at("boot_id");
     ledger.orders = document.at("orders");
     for (const json& item : document.at("copies")) {
--- a/dragonflyglade/decision/target_ledger.h
+++ b/dragonflyglade/decision/target_ledger.h
@@ -43,9 +43,9 @@
 /// key-value service and changed by compare-and-swap before an order is sent.
 struct TargetLedger {
   std::string target;
-  std::int64_t capacity = 0;       ///< bytes of accelerator memory
-  std::int64_t fencing_token = 0;  ///< of the last planner that wrote
-  std::string boot_id;      ///< of the target process that has the copies
+  std::int64_t capacity = 0;     ///< bytes of accelerator memory
+  std::int64_t fence_token = 0;  ///< of the last planner that wrote
+  std::string boot_id;           ///< of the target process that has the copies
   std::int64_t orders = 0;  ///< number of orders so far, for the next order id
   std::vector<LedgerCopy> copies;
 };
@@ -68,28 +68,28 @@
 /// copy does not fit or is in the ledger already; kNotHeld if a planner with a
 /// higher fencing token wrote to the ledger.
 Status BeginLoad(TargetLedger& ledger, const CopySpec& spec,
-                 std::int64_t fencing_token);
+                 std::int64_t fence_token);
 
 /// Records another order for a load that was not confirmed. Errors: kRefused if
 /// there is no such copy; kNotHeld as for BeginLoad.
 Status RepeatLoad(TargetLedger& ledger, std::string_view name,
-                  std::int64_t fencing_token);
+                  std::int64_t fence_token);
 
 /// Records an order to unload. Errors: kUnknownRecord if there is no such copy;
 /// kNotHeld as for BeginLoad.
 Status BeginUnload(TargetLedger& ledger, std::string_view name,
-                   std::int64_t fencing_token);
+                   std::int64_t fence_token);
 
 /// Records an order that changes the target's role; it reserves no memory.
 /// @return the order's id. Errors: kNotHeld as for BeginLoad.
 Result<std::string> BeginRoleChange(TargetLedger& ledger,
-                                    std::int64_t fencing_token);
+                                    std::int64_t fence_token);
 
 /// A target's response to an order.
 struct OrderOutcome {
   std::string order_id;
   std::string name;
-  std::int64_t fencing_token = 0;
+  std::int64_t fence_token = 0;
   bool done = false;
   std::string boot_id;
 };
--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -166,7 +166,7 @@
   const auto fresh = [&](const std::string& target) {
     Stored stored = picture.at(target);
     const Stored& current = this->store.at(target);
-    if (current.ledger.fencing_token == fence) stored = current;
+    if (current.ledger.fence_token == fence) stored = current;
     return stored;
   };
   if (const auto* load = std::get_if<PlanLoad>(&step)) {
--- a/tests/unit/unit-placement.cc
+++ b/tests/unit/unit-placement.cc
@@ -23,8 +23,8 @@
 
 OrderOutcome Outcome(const std::string& id, const char* name, bool done,
                      const char* boot = "boot-1",
-                     std::int64_t fencing_token = 1) {
-  return OrderOutcome{id, name, fencing_token, done, boot};
+                     std::int64_t fence_token = 1) {
+  return OrderOutcome{id, name, fence_token, done, boot};
 }
 
 PlacementRun RandomRun() {
