--- a/dragonflyglade/decision/instance_choice.h
+++ b/dragonflyglade/decision/instance_choice.h
@@ -22,8 +22,8 @@
 double InstanceCapacity(double cores, double link_mbps);
 
 /// Chooses the instances that callers are directed to: those with at least half
-/// of the largest capacity, at least two of each availability zone, and as many
-/// more as are needed for a fifth of the total capacity.
+/// of the largest capacity, the two largest of each availability zone, and as
+/// many more as are needed for a fifth of the total capacity.
 ///
 /// The choice does not depend on the order of the candidates, so all instances
 /// that know the same candidates choose the same instances.
--- a/dragonflyglade/decision/target_registry.cc
+++ b/dragonflyglade/decision/target_registry.cc
@@ -12,6 +12,7 @@
 
 // Age at which the weight of a load report has fallen to 1/e.
 constexpr absl::Duration kReportWeightDecay = absl::Milliseconds(500);
+// Slots of a target that does not report their number.
 constexpr double kAssumedSlots = 16;
 // Cost per token of the request that a full batch adds.
 constexpr double kFullBatchCost = 0.5;
