--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -33,24 +33,25 @@
 using dragonflyglade::WaitFor;
 
 constexpr const char* kWorkspace = "printers";
-constexpr double kRate = 3000;
-constexpr double kBurst = 600;
-constexpr double kCost = 50;
-constexpr absl::Duration kPatience = absl::Milliseconds(100);
+constexpr double kTokensPerSecond = 3000;
+constexpr double kBurstTokens = 600;
+constexpr double kRequestTokens = 50;
+constexpr absl::Duration kMaxWait = absl::Milliseconds(100);
 constexpr absl::Duration kRunTime = absl::Seconds(1);
 
-using Books = std::map<std::string, std::unique_ptr<DistributedRateLimiter>>;
+using Limiters = std::map<std::string, std::unique_ptr<DistributedRateLimiter>>;
 
 // Takes one request's tokens; a loan is a call to the other book.
-bool Admit(Books& books, DistributedRateLimiter& own) {
-  Admission admission = own.BeginAdmission(kWorkspace, kCost, kPatience);
+bool Admit(Limiters& limiters, DistributedRateLimiter& own) {
+  Admission admission =
+      own.BeginAdmission(kWorkspace, kRequestTokens, kMaxWait);
   while (true) {
     const auto step = own.Next(admission);
     if (std::holds_alternative<Admitted>(step)) return true;
     if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
       own.CompleteLoan(
           admission, borrow->peer,
-          books.at(borrow->peer)
+          limiters.at(borrow->peer)
               ->LendTokens(kWorkspace, borrow->tokens, borrow->max_wait));
     } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
       absl::SleepFor(wait->delay);
@@ -64,35 +65,36 @@
 
 int main() {
   const Clock clock{SteadyClock{}};
-  Books books;
+  Limiters limiters;
   Allotment allotment;
   allotment.workspace = kWorkspace;
   allotment.epoch = 1;
   for (const char* name : {"one", "two", "three"}) {
-    books[name] = std::make_unique<DistributedRateLimiter>(
+    limiters[name] = std::make_unique<DistributedRateLimiter>(
         name, 1, RateLimiterOptions{}, clock);
-    books[name]->SetRate(kWorkspace, RateLimit{kRate, kBurst});
+    limiters[name]->SetRate(kWorkspace,
+                            RateLimit{kTokensPerSecond, kBurstTokens});
     allotment.owners.push_back(OwnerShare{name, 1, kFullShareMillionths / 3,
                                           kFullShareMillionths / 3, 0});
   }
-  for (auto& [name, book] : books) book->ApplyAllotment(allotment);
+  for (auto& [name, limiter] : limiters) limiter->ApplyAllotment(allotment);
 
   const absl::Time start = absl::Now();
   std::atomic<int> admitted{0};
   std::atomic<int> refused{0};
   std::vector<std::thread> threads;
-  for (auto& [name, book] : books) {
+  for (auto& [name, limiter] : limiters) {
     threads.emplace_back(
-        [&books, &admitted, &refused, start, own = book.get()] {
+        [&limiters, &admitted, &refused, start, own = limiter.get()] {
           while (absl::Now() - start < kRunTime) {
-            ++(Admit(books, *own) ? admitted : refused);
+            ++(Admit(limiters, *own) ? admitted : refused);
           }
         });
   }
   for (std::thread& thread : threads) thread.join();
   const double seconds = absl::ToDoubleSeconds(absl::Now() - start);
-  const double used = admitted * kCost;
-  const double bound = kBurst + kRate * seconds;
+  const double used = admitted * kRequestTokens;
+  const double bound = kBurstTokens + kTokensPerSecond * seconds;
   std::printf("admitted %d, refused %d: %.0f tokens of at most %.0f\n",
               admitted.load(), refused.load(), used, bound);
   return used <= bound && admitted > 0 ? 0 : 1;
--- a/measure/history/history.cc
+++ b/measure/history/history.cc
@@ -11,10 +11,10 @@
 namespace {
 
 // Rounding of sums of doubles over a long history.
-constexpr double kTolerance = 1e-3;
+constexpr double kToleranceTokens = 1e-3;
 
 template <typename T>
-std::vector<T> Only(const std::vector<HistoryEvent>& events) {
+std::vector<T> EventsOfType(const std::vector<HistoryEvent>& events) {
   std::vector<T> found;
   for (const HistoryEvent& event : events) {
     if (const auto* match = std::get_if<T>(&event)) found.push_back(*match);
@@ -42,12 +42,12 @@
                         const std::string& workspace, double rate,
                         double burst) {
   std::vector<std::pair<Instant, double>> charges;
-  for (const AdmittedEvent& event : Only<AdmittedEvent>(events)) {
+  for (const AdmittedEvent& event : EventsOfType<AdmittedEvent>(events)) {
     if (event.workspace == workspace) {
       charges.emplace_back(event.at, event.tokens);
     }
   }
-  for (const UnusedEvent& event : Only<UnusedEvent>(events)) {
+  for (const UnusedEvent& event : EventsOfType<UnusedEvent>(events)) {
     if (event.workspace == workspace) {
       charges.emplace_back(event.admitted_at, -event.tokens);
     }
@@ -56,18 +56,18 @@
   std::sort(charges.begin(), charges.end());
   double largest = -burst;
   double sum = 0;
-  double least_start = 0;
+  double smallest_start = 0;
   bool started = false;
   for (std::size_t i = 0; i < charges.size();) {
     const Instant at = charges[i].first;
     const double seconds = absl::ToDoubleSeconds(at);
     const double start = sum - rate * seconds;
-    if (!started || start < least_start) least_start = start;
+    if (!started || start < smallest_start) smallest_start = start;
     started = true;
     for (; i < charges.size() && charges[i].first == at; ++i) {
       sum += charges[i].second;
     }
-    largest = std::max(largest, sum - rate * seconds - least_start - burst);
+    largest = std::max(largest, sum - rate * seconds - smallest_start - burst);
   }
   return largest;
 }
@@ -76,21 +76,22 @@
                             const std::string& workspace, double rate,
                             double burst) {
   const double overshoot = LargestOvershoot(events, workspace, rate, burst);
-  if (overshoot <= kTolerance) return {};
+  if (overshoot <= kToleranceTokens) return {};
   return {fmt::format("{} got {} tokens above its rate and burst", workspace,
                       overshoot)};
 }
 
 Violations CheckAtMostOnce(const std::vector<HistoryEvent>& events) {
   std::map<std::string, int> runs;
-  for (const RanEvent& event : Only<RanEvent>(events)) ++runs[event.call];
+  for (const RanEvent& event : EventsOfType<RanEvent>(events))
+    ++runs[event.call];
   Violations violations;
   for (const auto& [call, count] : runs) {
     if (count > 1) {
       violations.push_back(fmt::format("{} ran {} times", call, count));
     }
   }
-  for (const ToldNotRunEvent& event : Only<ToldNotRunEvent>(events)) {
+  for (const ToldNotRunEvent& event : EventsOfType<ToldNotRunEvent>(events)) {
     if (runs.count(event.call) == 0) continue;
     violations.push_back(
         fmt::format("{} ran although its caller was told not", event.call));
@@ -101,7 +102,7 @@
 Violations CheckConfigNeverBack(const std::vector<HistoryEvent>& events) {
   std::map<std::pair<std::string, std::string>, std::int64_t> newest;
   Violations violations;
-  for (const InForceEvent& event : Only<InForceEvent>(events)) {
+  for (const InForceEvent& event : EventsOfType<InForceEvent>(events)) {
     std::int64_t& seen = newest[{event.instance, event.key}];
     if (event.revision < seen) {
       violations.push_back(fmt::format("{} went from {} back to {} at {}",
@@ -115,7 +116,7 @@
 
 Violations CheckOwnAnswers(const std::vector<HistoryEvent>& events) {
   Violations violations;
-  for (const AnswerEvent& event : Only<AnswerEvent>(events)) {
+  for (const AnswerEvent& event : EventsOfType<AnswerEvent>(events)) {
     if (event.received == event.expected) continue;
     violations.push_back(
         fmt::format("expected '{}', got '{}'", event.expected, event.received));
@@ -125,7 +126,7 @@
 
 Violations CheckMemory(const std::vector<HistoryEvent>& events) {
   Violations violations;
-  for (const MemoryEvent& event : Only<MemoryEvent>(events)) {
+  for (const MemoryEvent& event : EventsOfType<MemoryEvent>(events)) {
     if (event.used <= event.capacity) continue;
     violations.push_back(fmt::format("{} held {} of {} bytes", event.target,
                                      event.used, event.capacity));
--- a/measure/main.cc
+++ b/measure/main.cc
@@ -17,7 +17,7 @@
 namespace po = boost::program_options;
 using dragonflyglade::MeasureOptions;
 
-constexpr int kBadUse = 2;
+constexpr int kUsageErrorExitCode = 2;
 
 // An option's value that the topic does not know would measure nothing.
 bool IsKnown(const char* option, const std::string& value,
@@ -35,8 +35,8 @@
 
 int main(int argc, char** argv) {
   MeasureOptions options;
-  po::options_description described("options");
-  described.add_options()("help", "show this text")(
+  po::options_description descriptions("options");
+  descriptions.add_options()("help", "show this text")(
       "topic", po::value<std::string>(), "what to measure")(
       "seed", po::value<std::uint64_t>(&options.seed)->default_value(1),
       "of all random choices")(
@@ -47,31 +47,31 @@
       "only this way of doing it");
   po::positional_options_description positional;
   positional.add("topic", 1);
-  po::variables_map given;
+  po::variables_map arguments;
   try {
     po::store(po::command_line_parser(argc, argv)
-                  .options(described)
+                  .options(descriptions)
                   .positional(positional)
                   .run(),
-              given);
-    po::notify(given);
+              arguments);
+    po::notify(arguments);
   } catch (const po::error& error) {
-    std::cerr << error.what() << "\n" << described;
-    return kBadUse;
+    std::cerr << error.what() << "\n" << descriptions;
+    return kUsageErrorExitCode;
   }
   const auto& topics = dragonflyglade::MeasureTopics();
-  const bool known = given.count("topic") > 0 &&
-                     topics.count(given["topic"].as<std::string>()) > 0;
-  if (given.count("help") > 0 || !known) {
+  const bool known = arguments.count("topic") > 0 &&
+                     topics.count(arguments["topic"].as<std::string>()) > 0;
+  if (arguments.count("help") > 0 || !known) {
     std::cerr << "use: dragonflyglade_measure TOPIC [options]\ntopics:";
     for (const auto& [name, topic] : topics) std::cerr << " " << name;
-    std::cerr << "\n" << described;
-    return given.count("help") > 0 ? 0 : kBadUse;
+    std::cerr << "\n" << descriptions;
+    return arguments.count("help") > 0 ? 0 : kUsageErrorExitCode;
   }
-  const auto& topic = topics.at(given["topic"].as<std::string>());
-  if (!IsKnown("--skew", options.skew, topic.skews)) return kBadUse;
+  const auto& topic = topics.at(arguments["topic"].as<std::string>());
+  if (!IsKnown("--skew", options.skew, topic.skews)) return kUsageErrorExitCode;
   if (!IsKnown("--baseline", options.baseline, topic.baselines)) {
-    return kBadUse;
+    return kUsageErrorExitCode;
   }
   topic.run(options);
   return 0;
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -49,7 +49,7 @@
               "us_cpu");
 }
 
-std::vector<RecordVersion> Records(int models, int workspaces) {
+std::vector<RecordVersion> MakeRecords(int models, int workspaces) {
   std::vector<RecordVersion> records;
   std::int64_t revision = 0;
   const auto add = [&](const std::string& path, const std::string& value) {
@@ -70,14 +70,14 @@
 
 void MeasureConfiguration() {
   for (const int models : {200, 2000}) {
-    const std::vector<RecordVersion> records = Records(models, models / 10);
+    const std::vector<RecordVersion> records = MakeRecords(models, models / 10);
     const double before = ResidentBytes();
-    std::vector<std::shared_ptr<const Catalog>> kept;
+    std::vector<std::shared_ptr<const Catalog>> catalogs;
     CatalogBuilder builder;
     PrintCost(fmt::format("catalog.{}_models.first", models), 1,
-              [&](int) { kept.push_back(builder.Build(1, records)); });
+              [&](int) { catalogs.push_back(builder.Build(1, records)); });
     PrintCost(fmt::format("catalog.{}_models.rebuild", models), 5,
-              [&](int) { kept.push_back(builder.Build(1, records)); });
+              [&](int) { catalogs.push_back(builder.Build(1, records)); });
     PrintFigure(fmt::format("capacity.catalog.{}_models.memory", models),
                 (ResidentBytes() - before) / 1024, "KiB");
   }
@@ -89,8 +89,9 @@
   const std::string salt = NewSalt();
   catalog.keys[key.id] =
       KeyRecord{key.id, "w", salt, SaltedDigest(salt, key.secret), false};
-  const std::string shown = key.ToString();
-  PrintCost("key.check", 20'000, [&](int) { FindKeyRecord(catalog, shown); });
+  const std::string key_text = key.ToString();
+  PrintCost("key.check", 20'000,
+            [&](int) { FindKeyRecord(catalog, key_text); });
 
   ManualClock manual;
   DistributedRateLimiter shares("i0", 1, RateLimiterOptions{}, Clock(&manual));
@@ -132,31 +133,31 @@
   for (const int count : {24, 100, 475}) {
     ManualClock manual;
     manual.Advance(absl::Hours(1));
-    TargetRegistry book(TargetOptions{}, Clock(&manual), 1);
+    TargetRegistry registry(TargetOptions{}, Clock(&manual), 1);
     std::vector<ListedTarget> list;
     list.reserve(static_cast<std::size_t>(count));
     for (int i = 0; i < count; ++i) {
       list.push_back(ListedTarget{fmt::format("t{:04}", i), "10.0.0.1", 8000,
                                   "a", kPool, false});
     }
-    book.ApplyTargetList(1, list);
+    registry.ApplyTargetList(1, list);
     for (const ListedTarget& target : list) {
       LoadReport report;
       report.slots = 8;
       report.boot_id = "1";
       report.resident = {"m0", "m1", "m2", "m3"};
-      book.ApplyLoadReport(kPool, target.name, report);
+      registry.ApplyLoadReport(kPool, target.name, report);
     }
-    TargetRequirements need;
-    need.pool = kPool;
-    need.model = "m1";
-    need.zone = "a";
-    need.prefix = 99;
-    need.tokens = 1000;
+    TargetRequirements requirements;
+    requirements.pool = kPool;
+    requirements.model = "m1";
+    requirements.zone = "a";
+    requirements.prefix = 99;
+    requirements.tokens = 1000;
     PrintCost(fmt::format("targets.{}.take_and_finish", count), 2000, [&](int) {
-      const auto place = book.ReserveTarget(need);
-      if (const auto* found = std::get_if<TargetReservation>(&place)) {
-        book.ReleaseTarget(*found, RequestOutcome::kSucceeded);
+      const auto reservation = registry.ReserveTarget(requirements);
+      if (const auto* reserved = std::get_if<TargetReservation>(&reservation)) {
+        registry.ReleaseTarget(*reserved, RequestOutcome::kSucceeded);
       }
     });
   }
--- a/measure/measure_config.cc
+++ b/measure/measure_config.cc
@@ -11,7 +11,7 @@
 constexpr int kRelays = 2;
 constexpr double kRereadsPerSecond = 1;
 // One watch counts as a call for as long as it waits.
-constexpr double kCallsOfRelay = 1 + kRereadsPerSecond;
+constexpr double kCallsPerRelayAndSecond = 1 + kRereadsPerSecond;
 
 }  // namespace
 
@@ -29,11 +29,12 @@
     const MembershipResult result = MembershipFleet(run).Run();
     const std::string name = fmt::format("config.{}", size);
     PrintFigure(name + ".news_everywhere_after",
-                absl::ToDoubleSeconds(result.news_everywhere_after), "s");
-    PrintFigure(name + ".relays.kv_calls", kRelays * kCallsOfRelay,
+                absl::ToDoubleSeconds(result.update_everywhere_after), "s");
+    PrintFigure(name + ".relays.kv_calls", kRelays * kCallsPerRelayAndSecond,
                 "per_second");
     PrintFigure(name + ".everybody_watches.kv_calls",
-                static_cast<double>(size) * kCallsOfRelay, "per_second");
+                static_cast<double>(size) * kCallsPerRelayAndSecond,
+                "per_second");
     PrintFigure(name + ".pulls",
                 static_cast<double>(size) * kChangesPerDay / kSecondsPerDay,
                 "per_second_in_all");
--- a/measure/measure_limits.cc
+++ b/measure/measure_limits.cc
@@ -11,25 +11,25 @@
 
 constexpr int kSeeds = 3;
 
-struct NamedWay {
+struct NamedMode {
   const char* name;
-  SharingWay way;
+  SharingMode mode;
 };
-constexpr NamedWay kWays[] = {{"borrowing", SharingWay::kBorrowing},
-                              {"static_split", SharingWay::kStaticSplit},
-                              {"one_owner", SharingWay::kOneOwner}};
+constexpr NamedMode kModes[] = {{"borrowing", SharingMode::kBorrowing},
+                                {"static_split", SharingMode::kStaticSplit},
+                                {"one_owner", SharingMode::kOneOwner}};
 struct NamedArrival {
   const char* name;
-  Arrival arrival;
+  ArrivalPattern arrival;
 };
-constexpr NamedArrival kArrivals[] = {{"even", Arrival::kEven},
-                                      {"skewed", Arrival::kSkewed},
-                                      {"moving", Arrival::kMoving}};
+constexpr NamedArrival kArrivals[] = {{"even", ArrivalPattern::kEven},
+                                      {"skewed", ArrivalPattern::kSkewed},
+                                      {"moving", ArrivalPattern::kMoving}};
 
 struct Scenario {
   std::string name;
   std::vector<Fault> faults;
-  bool kv_out = false;
+  bool kv_unavailable = false;
 };
 
 // The holder that dies or pauses is one that skewed traffic does not go to.
@@ -46,8 +46,8 @@
       {"kv_out", {}, true}};
 }
 
-void MeasureOne(const MeasureOptions& options, const LimitsRun& base,
-                const std::string& name) {
+void MeasureRuns(const MeasureOptions& options, const LimitsRun& base,
+                 const std::string& name) {
   double refused = 0;
   double offered = 0;
   double messages = 0;
@@ -75,18 +75,19 @@
   for (const std::size_t size : sizes) {
     for (const NamedArrival& arrival : kArrivals) {
       if (!options.skew.empty() && options.skew != arrival.name) continue;
-      for (const NamedWay& way : kWays) {
-        if (!options.baseline.empty() && options.baseline != way.name) continue;
+      for (const NamedMode& mode : kModes) {
+        if (!options.baseline.empty() && options.baseline != mode.name)
+          continue;
         for (const Scenario& scenario : Scenarios(size)) {
           LimitsRun run;
           run.instances = size;
           run.arrival = arrival.arrival;
-          run.way = way.way;
+          run.mode = mode.mode;
           run.faults = scenario.faults;
-          run.kv_out = scenario.kv_out;
-          MeasureOne(options, run,
-                     fmt::format("limits.{}.{}.{}.{}", size, arrival.name,
-                                 way.name, scenario.name));
+          run.kv_unavailable = scenario.kv_unavailable;
+          MeasureRuns(options, run,
+                      fmt::format("limits.{}.{}.{}.{}", size, arrival.name,
+                                  mode.name, scenario.name));
         }
       }
     }
--- a/measure/measure_membership.cc
+++ b/measure/measure_membership.cc
@@ -15,17 +15,17 @@
 using apache::thrift::protocol::TCompactProtocol;
 using apache::thrift::transport::TMemoryBuffer;
 
-constexpr std::size_t kFrameBytes = 4;
+constexpr std::size_t kFrameHeaderBytes = 4;
 
 template <typename T>
 double EncodedBytes(const T& message) {
   auto buffer = std::make_shared<TMemoryBuffer>();
   TCompactProtocol protocol(buffer);
   message.write(&protocol);
-  return static_cast<double>(buffer->available_read() + kFrameBytes);
+  return static_cast<double>(buffer->available_read() + kFrameHeaderBytes);
 }
 
-wire::Heartbeat Sample(int updates, int balances) {
+wire::Heartbeat SampleHeartbeat(int updates, int balances) {
   MemberStatus member;
   member.info =
       MemberInfo{"entry-dar-es-salaam-101", "10.20.30.40", 7001, 8001, "dar-1"};
@@ -45,9 +45,9 @@
 }  // namespace
 
 void MeasureMembership(const MeasureOptions& options) {
-  const double empty = EncodedBytes(Sample(0, 0));
-  const double per_update = EncodedBytes(Sample(1, 0)) - empty;
-  const double per_balance = EncodedBytes(Sample(0, 1)) - empty;
+  const double empty = EncodedBytes(SampleHeartbeat(0, 0));
+  const double per_update = EncodedBytes(SampleHeartbeat(1, 0)) - empty;
+  const double per_balance = EncodedBytes(SampleHeartbeat(0, 1)) - empty;
   PrintFigure("membership.heartbeat.empty", empty, "bytes");
   PrintFigure("membership.heartbeat.per_update", per_update, "bytes");
   PrintFigure("membership.heartbeat.per_balance", per_balance, "bytes");
@@ -66,7 +66,7 @@
       PrintFigure(name + ".death_known_after",
                   absl::ToDoubleSeconds(result.death_known_after), "s");
       PrintFigure(name + ".news_everywhere_after",
-                  absl::ToDoubleSeconds(result.news_everywhere_after), "s");
+                  absl::ToDoubleSeconds(result.update_everywhere_after), "s");
       PrintFigure(name + ".messages", result.messages_per_second,
                   "per_instance_and_second");
       PrintFigure(name + ".bytes",
@@ -78,17 +78,19 @@
 }
 
 void MeasureLimitsBytes() {
-  wire::LoanReply reply =
+  wire::LoanReply response =
       ToWire(Loan{1200, absl::Milliseconds(40), absl::Milliseconds(140),
                   1'796'257'596'784'056'000, -300, 6666});
-  wire::PeerService_borrow_args ask;
-  ask.workspace = "gallery-arusha";
-  ask.tokens = 1200;
-  ask.longest_wait_us = 250'000;
+  wire::PeerService_borrow_args request;
+  request.workspace = "gallery-arusha";
+  request.tokens = 1200;
+  request.longest_wait_us = 250'000;
   // The call's own header: name, sequence number, type.
-  constexpr double kCallBytes = 14;
-  PrintFigure("limits.borrow.request", EncodedBytes(ask) + kCallBytes, "bytes");
-  PrintFigure("limits.borrow.reply", EncodedBytes(reply) + kCallBytes, "bytes");
+  constexpr double kCallHeaderBytes = 14;
+  PrintFigure("limits.borrow.request", EncodedBytes(request) + kCallHeaderBytes,
+              "bytes");
+  PrintFigure("limits.borrow.reply", EncodedBytes(response) + kCallHeaderBytes,
+              "bytes");
 }
 
 }  // namespace dragonflyglade
--- a/measure/measure_once.cc
+++ b/measure/measure_once.cc
@@ -12,15 +12,15 @@
 namespace {
 
 constexpr int kPayouts = 20'000;
-constexpr int kMostTries = 6;
+constexpr int kMaxAttempts = 6;
 
 // Where an entry dies while it serves one try.
-enum class Death { kNone, kBeforeClaim, kAfterClaim, kAfterDispatch };
+enum class CrashPoint { kNone, kBeforeClaim, kAfterClaim, kAfterDispatch };
 
 struct Counts {
   int ran_twice = 0;
-  int told_done = 0;
-  int left_unknown = 0;
+  int confirmed_runs = 0;
+  int unconfirmed = 0;
   int never_ran = 0;
   int kv_calls = 0;
 };
@@ -40,42 +40,46 @@
  private:
   void Payout(int number) {
     const std::string key = fmt::format("p{}", number);
-    bool told = false;
-    for (int i = 0; i < kMostTries && !told; ++i) told = this->Try(key);
-    if (told) {
-      ++this->counts.told_done;
+    bool confirmed = false;
+    for (int i = 0; i < kMaxAttempts && !confirmed; ++i)
+      confirmed = this->Attempt(key);
+    if (confirmed) {
+      ++this->counts.confirmed_runs;
     } else {
-      ++this->counts.left_unknown;
+      ++this->counts.unconfirmed;
     }
     if (this->runs[key] > 1) ++this->counts.ran_twice;
     if (this->runs[key] == 0) ++this->counts.never_ran;
   }
 
-  bool Chance(double part) { return absl::Bernoulli(this->random, part); }
+  bool DrawChance(double probability) {
+    return absl::Bernoulli(this->random, probability);
+  }
 
-  Death DrawDeath() {
-    if (!this->Chance(0.05)) return Death::kNone;
-    return static_cast<Death>(absl::Uniform(this->random, 1, 4));
+  CrashPoint DrawCrashPoint() {
+    if (!this->DrawChance(0.05)) return CrashPoint::kNone;
+    return static_cast<CrashPoint>(absl::Uniform(this->random, 1, 4));
   }
 
   // One write; an answer may be lost after it took effect.
   ClaimWriteResult Create(const std::string& key, const Claim& claim) {
     ++this->counts.kv_calls;
     const auto found = this->store.find(key);
-    ClaimWriteResult write = ClaimCreated{1};
+    ClaimWriteResult result = ClaimCreated{1};
     if (found != this->store.end()) {
-      write = ClaimExists{found->second, 1};
+      result = ClaimExists{found->second, 1};
     } else {
       this->store[key] = SerializeClaim(claim);
     }
-    return this->Chance(this->loss) ? ClaimWriteResult(ClaimOutcomeUnknown{})
-                                    : write;
+    return this->DrawChance(this->loss)
+               ? ClaimWriteResult(ClaimOutcomeUnknown{})
+               : result;
   }
 
   // True when the caller knows that its payout ran.
-  bool Try(const std::string& key) {
-    const Death death = this->DrawDeath();
-    if (death == Death::kBeforeClaim) return false;
+  bool Attempt(const std::string& key) {
+    const CrashPoint crash = this->DrawCrashPoint();
+    if (crash == CrashPoint::kBeforeClaim) return false;
     Claim claim;
     claim.nonce = fmt::format("n{}", ++this->nonces);
     claim.digest = key;
@@ -87,17 +91,17 @@
       if (std::holds_alternative<ReplayResponse>(step)) return true;
       if (!std::holds_alternative<DispatchCall>(step)) return false;
     }
-    if (death == Death::kAfterClaim) return false;
+    if (crash == CrashPoint::kAfterClaim) return false;
     ++this->runs[key];
-    const bool answer_lost = this->Chance(this->loss);
-    if (death == Death::kAfterDispatch || answer_lost) return false;
+    const bool response_lost = this->DrawChance(this->loss);
+    if (crash == CrashPoint::kAfterDispatch || response_lost) return false;
     if (this->claims) {
       claim.state = ClaimState::kDone;
       this->store[key] = SerializeClaim(claim);
       ++this->counts.kv_calls;
     }
     // The caller's own connection may break as well.
-    return !this->Chance(this->loss);
+    return !this->DrawChance(this->loss);
   }
 
   std::mt19937_64 random;
@@ -114,14 +118,14 @@
 void MeasureOnce(const MeasureOptions& options) {
   for (const double loss : {0.0, 0.02, 0.2}) {
     for (const bool claims : {true, false}) {
-      const char* way = claims ? "claims" : "plain_retries";
-      if (!options.baseline.empty() && options.baseline != way) continue;
+      const char* mode = claims ? "claims" : "plain_retries";
+      if (!options.baseline.empty() && options.baseline != mode) continue;
       const Counts counts = PayoutRun(options.seed, loss, claims).Run();
-      const std::string name = fmt::format("once.{}.loss{}%", way, 100 * loss);
+      const std::string name = fmt::format("once.{}.loss{}%", mode, 100 * loss);
       PrintFigure(name + ".ran_twice", counts.ran_twice, "of_20000");
-      PrintFigure(name + ".caller_knows", 100.0 * counts.told_done / kPayouts,
-                  "%");
-      PrintFigure(name + ".left_unknown", counts.left_unknown, "of_20000");
+      PrintFigure(name + ".caller_knows",
+                  100.0 * counts.confirmed_runs / kPayouts, "%");
+      PrintFigure(name + ".left_unknown", counts.unconfirmed, "of_20000");
       PrintFigure(name + ".kv_calls",
                   static_cast<double>(counts.kv_calls) / kPayouts,
                   "per_payout");
--- a/measure/measure_placement.cc
+++ b/measure/measure_placement.cc
@@ -8,16 +8,16 @@
 namespace dragonflyglade {
 namespace {
 
-struct Size {
+struct FleetSize {
   const char* name;
   int targets;
   int models;
   int adapters;
 };
-constexpr Size kUsers[] = {{"kilimanjaro", 20, 20, 110},
-                           {"aarwald", 20, 30, 100}};
+constexpr FleetSize kUserFleets[] = {{"kilimanjaro", 20, 20, 110},
+                                     {"aarwald", 20, 30, 100}};
 
-PlacementRun RunFor(const MeasureOptions& options, const Size& size) {
+PlacementRun RunFor(const MeasureOptions& options, const FleetSize& size) {
   PlacementRun run;
   run.seed = options.seed;
   run.targets = size.targets;
@@ -82,17 +82,17 @@
 }  // namespace
 
 void MeasurePlacement(const MeasureOptions& options) {
-  for (const Size& size : kUsers) {
+  for (const FleetSize& size : kUserFleets) {
     PlacementRun run = RunFor(options, size);
     const std::string name = fmt::format("placement.{}", size.name);
     PrintRun(name + ".planner", run);
-    PlacementRun quick = run;
-    quick.plan.drop_after = absl::ZeroDuration();
-    quick.plan.drop_below = quick.plan.add_above;
-    PrintRun(name + ".without_hysteresis", quick);
-    PlacementRun fixed = run;
-    fixed.static_placement = true;
-    PrintRun(name + ".static", fixed);
+    PlacementRun without_hysteresis = run;
+    without_hysteresis.plan.drop_after = absl::ZeroDuration();
+    without_hysteresis.plan.drop_below = without_hysteresis.plan.add_above;
+    PrintRun(name + ".without_hysteresis", without_hysteresis);
+    PlacementRun static_run = run;
+    static_run.static_placement = true;
+    PrintRun(name + ".static", static_run);
     PlacementRun faulty = run;
     faulty.planners = 2;
     faulty.lost = 0.05;
--- a/measure/measure_routing.cc
+++ b/measure/measure_routing.cc
@@ -10,23 +10,24 @@
 
 constexpr int kSeeds = 3;
 
-struct NamedWay {
+struct NamedPolicy {
   const char* name;
-  RoutingWay way;
+  RoutingPolicy policy;
 };
-constexpr NamedWay kWays[] = {{"book", RoutingWay::kBook},
-                              {"round_robin", RoutingWay::kRoundRobin},
-                              {"two_choices", RoutingWay::kTwoChoices},
-                              {"least_reported", RoutingWay::kLeastReported}};
+constexpr NamedPolicy kPolicies[] = {
+    {"book", RoutingPolicy::kRegistry},
+    {"round_robin", RoutingPolicy::kRoundRobin},
+    {"two_choices", RoutingPolicy::kTwoChoices},
+    {"least_reported", RoutingPolicy::kLeastReported}};
 struct NamedFault {
   const char* name;
   TargetFault fault;
 };
 constexpr NamedFault kFaults[] = {{"none", TargetFault::kNone},
                                   {"one_slow", TargetFault::kSlow},
-                                  {"one_silent", TargetFault::kSilent},
+                                  {"one_silent", TargetFault::kUnresponsive},
                                   {"one_refusing", TargetFault::kRefusing},
-                                  {"third_gone", TargetFault::kThirdGone}};
+                                  {"third_gone", TargetFault::kThirdRefusing}};
 
 // The sum over a few seeds.
 ServingResult RunSeeds(const MeasureOptions& options, ServingRun run) {
@@ -54,7 +55,7 @@
   return total;
 }
 
-double Part(const std::pair<int, int>& counts) {
+double Percent(const std::pair<int, int>& counts) {
   return 100.0 * counts.first / std::max(1, counts.second);
 }
 
@@ -63,17 +64,18 @@
 void MeasureRouting(const MeasureOptions& options) {
   for (const NamedFault& fault : kFaults) {
     for (const int lag : {0, 1, 5}) {
-      for (const NamedWay& way : kWays) {
-        if (!options.baseline.empty() && options.baseline != way.name) continue;
+      for (const NamedPolicy& policy : kPolicies) {
+        if (!options.baseline.empty() && options.baseline != policy.name)
+          continue;
         ServingRun run;
         if (options.instances != 0) run.instances = options.instances;
-        run.routing = way.way;
+        run.routing = policy.policy;
         run.fault = fault.fault;
         run.report_lag = absl::Seconds(lag);
         run.load = 0.85;
         const ServingResult result = RunSeeds(options, run);
         const std::string name =
-            fmt::format("routing.{}.lag{}s.{}", fault.name, lag, way.name);
+            fmt::format("routing.{}.lag{}s.{}", fault.name, lag, policy.name);
         PrintFigure(name + ".in_time", 100 * result.Attained(), "%");
         PrintFigure(name + ".prefix_hits",
                     100.0 * result.prefix_hits / result.requests, "%");
@@ -87,28 +89,28 @@
 }
 
 void MeasureFairness(const MeasureOptions& options) {
-  for (const QueueWay way : {QueueWay::kFair, QueueWay::kFifo}) {
-    const char* way_name = way == QueueWay::kFair ? "fair" : "fifo";
-    if (!options.baseline.empty() && options.baseline != way_name) continue;
-    for (const auto& [pressure, limited] :
+  for (const QueuePolicy policy : {QueuePolicy::kFair, QueuePolicy::kFifo}) {
+    const char* policy_name = policy == QueuePolicy::kFair ? "fair" : "fifo";
+    if (!options.baseline.empty() && options.baseline != policy_name) continue;
+    for (const auto& [excess_factor, limited] :
          {std::pair<double, bool>{1, true}, {8, true}, {8, false}}) {
       ServingRun run;
       run.limited = limited;
-      run.queue = way;
-      run.pressure = pressure;
+      run.queue = policy;
+      run.excess_factor = excess_factor;
       run.load = 0.6;
       const ServingResult result = RunSeeds(options, run);
       const std::string name =
-          fmt::format("fairness.{}.pressure{}{}", way_name, pressure,
+          fmt::format("fairness.{}.pressure{}{}", policy_name, excess_factor,
                       limited ? "" : "_unlimited");
       for (const auto& [workspace, counts] : result.by_workspace) {
-        PrintFigure(fmt::format("{}.{}.in_time", name, workspace), Part(counts),
-                    "%");
+        PrintFigure(fmt::format("{}.{}.in_time", name, workspace),
+                    Percent(counts), "%");
       }
       for (const auto& [kind, counts] : result.by_class) {
         PrintFigure(fmt::format("{}.{}.in_time", name,
                                 NameOf(static_cast<RequestClass>(kind))),
-                    Part(counts), "%");
+                    Percent(counts), "%");
       }
       PrintFigure(name + ".worst_over_best", result.WorstOverBest(), "ratio");
       PrintFigure(name + ".longest_batch_wait",
--- a/measure/model/limits_fleet.cc
+++ b/measure/model/limits_fleet.cc
@@ -12,23 +12,25 @@
 namespace {
 
 constexpr const char* kWorkspace = "w";
-constexpr absl::Duration kShortestDelay = absl::Microseconds(200);
-constexpr absl::Duration kLongestDelay = absl::Microseconds(1200);
+constexpr absl::Duration kMinNetworkDelay = absl::Microseconds(200);
+constexpr absl::Duration kMaxNetworkDelay = absl::Microseconds(1200);
 constexpr absl::Duration kBorrowTimeout = absl::Milliseconds(50);
-constexpr absl::Duration kGossipEvery = absl::Milliseconds(300);
-constexpr absl::Duration kLargeGossipEvery = absl::Milliseconds(500);
-constexpr absl::Duration kKeepEvery = absl::Milliseconds(500);
-constexpr absl::Duration kMoveEvery = absl::Seconds(10);
-constexpr std::size_t kSmallFleet = 8;
-constexpr std::size_t kHoldersInLargeFleet = 4;
+constexpr absl::Duration kGossipPeriod = absl::Milliseconds(300);
+constexpr absl::Duration kLargeFleetGossipPeriod = absl::Milliseconds(500);
+constexpr absl::Duration kAllotmentPeriod = absl::Milliseconds(500);
+constexpr absl::Duration kPreferredInstancePeriod = absl::Seconds(10);
+constexpr std::size_t kSmallFleetInstances = 8;
+constexpr std::size_t kLargeFleetOwners = 4;
 // Three phases with requests, then one without.
-constexpr int kPhases = 4;
-constexpr int kLastPhase = 2;
-constexpr int kPausePhase = 3;
+constexpr int kPhaseCount = 4;
+constexpr int kLastBusyPhase = 2;
+constexpr int kIdlePhase = 3;
 // Time before the first request, in which shares are given out and filled.
 constexpr absl::Duration kWarmUp = absl::Seconds(6);
 
-std::string NameOf(std::size_t node) { return fmt::format("i{:03}", node); }
+std::string NameOf(std::size_t instance) {
+  return fmt::format("i{:03}", instance);
+}
 
 }  // namespace
 
@@ -42,193 +44,205 @@
     : run(run),
       clock(&this->manual),
       random(run.seed),
-      gone(RateLimiterOptions{}.max_reservation_wait +
-               RateLimiterOptions{}.min_hold,
-           this->clock),
-      ideal(Instant()) {
+      terminated_owners(RateLimiterOptions{}.max_reservation_wait +
+                            RateLimiterOptions{}.min_hold,
+                        this->clock),
+      reference_bucket(Instant()) {
   this->allotment.workspace = kWorkspace;
   // Skewed traffic goes to an instance that lives.
-  this->favourite = (OwnerIndex(run.instances) + 1) % run.instances;
-  this->nodes.resize(run.instances);
+  this->preferred_instance = (OwnerIndex(run.instances) + 1) % run.instances;
+  this->instances.resize(run.instances);
   for (std::size_t i = 0; i < run.instances; ++i) this->Restart(i);
   std::set<std::string> all;
   for (std::size_t i = 0; i < run.instances; ++i) all.insert(NameOf(i));
-  this->lists.emplace_back(Instant(), all);
-  this->ideal.Configure(run.rate * run.pressure, run.burst, Instant());
+  this->list_history.emplace_back(Instant(), all);
+  this->reference_bucket.Configure(run.rate * run.load_factor, run.burst,
+                                   Instant());
 }
 
-void LimitsFleet::Restart(std::size_t node) {
-  Node& at = this->nodes[node];
-  if (at.book != nullptr) ++at.incarnation;
-  at.alive = true;
-  at.paused_until = Instant();
-  at.book = std::make_unique<DistributedRateLimiter>(
-      NameOf(node), at.incarnation, RateLimiterOptions{}, this->clock);
-  at.book->SetRate(kWorkspace, RateLimit{this->run.rate, this->run.burst});
+void LimitsFleet::Restart(std::size_t instance) {
+  Instance& current = this->instances[instance];
+  if (current.limiter != nullptr) ++current.incarnation;
+  current.alive = true;
+  current.paused_until = Instant();
+  current.limiter = std::make_unique<DistributedRateLimiter>(
+      NameOf(instance), current.incarnation, RateLimiterOptions{}, this->clock);
+  current.limiter->SetRate(kWorkspace,
+                           RateLimit{this->run.rate, this->run.burst});
   // The configuration, allotment included, comes from the service or a peer.
-  if (this->allotment.epoch > 0) at.book->ApplyAllotment(this->allotment);
+  if (this->allotment.epoch > 0)
+    current.limiter->ApplyAllotment(this->allotment);
 }
 
-void LimitsFleet::At(Instant when, std::function<void()> action) {
-  this->queue.emplace(std::max(when, this->manual.Now()), std::move(action));
+void LimitsFleet::Schedule(Instant when, std::function<void()> action) {
+  this->events.emplace(std::max(when, this->manual.Now()), std::move(action));
 }
 
-absl::Duration LimitsFleet::Delay() {
+absl::Duration LimitsFleet::DrawNetworkDelay() {
   return absl::Uniform(this->random, 0.0, 1.0) *
-             (kLongestDelay - kShortestDelay) +
-         kShortestDelay;
+             (kMaxNetworkDelay - kMinNetworkDelay) +
+         kMinNetworkDelay;
 }
 
-Instant LimitsFleet::Awake(std::size_t node) const {
-  return std::max(this->manual.Now(), this->nodes[node].paused_until);
+Instant LimitsFleet::WakeTime(std::size_t instance) const {
+  return std::max(this->manual.Now(), this->instances[instance].paused_until);
 }
 
-bool LimitsFleet::Reaches(std::size_t from, std::size_t to) const {
+bool LimitsFleet::CanReach(std::size_t from, std::size_t to) const {
   const Instant now = this->manual.Now();
-  return this->nodes[from].cut_until <= now &&
-         this->nodes[to].cut_until <= now && this->nodes[to].alive;
+  return this->instances[from].partitioned_until <= now &&
+         this->instances[to].partitioned_until <= now &&
+         this->instances[to].alive;
 }
 
 std::size_t LimitsFleet::IndexOf(const std::string& name) const {
   return std::stoul(name.substr(1));
 }
 
-std::size_t LimitsFleet::Choose() {
-  const auto usable = [this](std::size_t node) {
-    return this->nodes[node].alive &&
-           this->nodes[node].paused_until <= this->manual.Now();
+std::size_t LimitsFleet::ChooseInstance() {
+  const auto is_running = [this](std::size_t instance) {
+    return this->instances[instance].alive &&
+           this->instances[instance].paused_until <= this->manual.Now();
   };
-  if (this->run.arrival != Arrival::kEven && usable(this->favourite)) {
-    return this->favourite;
+  if (this->run.arrival != ArrivalPattern::kEven &&
+      is_running(this->preferred_instance)) {
+    return this->preferred_instance;
   }
   for (int attempt = 0; attempt < 100; ++attempt) {
-    const auto node =
-        absl::Uniform<std::size_t>(this->random, 0, this->nodes.size());
-    if (usable(node)) return node;
+    const auto instance =
+        absl::Uniform<std::size_t>(this->random, 0, this->instances.size());
+    if (is_running(instance)) return instance;
   }
   return 0;
 }
 
-int LimitsFleet::Phase() const {
-  const double phases = absl::FDivDuration(this->manual.Now(), this->run.phase);
-  return static_cast<int>(static_cast<std::int64_t>(phases) % kPhases);
+int LimitsFleet::CurrentPhase() const {
+  const double phases =
+      absl::FDivDuration(this->manual.Now(), this->run.phase_length);
+  return static_cast<int>(static_cast<std::int64_t>(phases) % kPhaseCount);
 }
 
-void LimitsFleet::Arrive() {
+void LimitsFleet::GenerateRequest() {
   const Instant now = this->manual.Now();
-  const double mean =
-      this->run.cost / (2 * this->run.rate * std::max(1.0, this->run.pressure));
-  this->At(now + absl::Seconds(absl::Exponential(this->random, 1 / mean)),
-           [this] { this->Arrive(); });
+  const double mean = this->run.cost / (2 * this->run.rate *
+                                        std::max(1.0, this->run.load_factor));
+  this->Schedule(now + absl::Seconds(absl::Exponential(this->random, 1 / mean)),
+                 [this] { this->GenerateRequest(); });
   // On and off, so that bursts come after silence as well.
-  if (this->Phase() == kPausePhase) return;
-  if (!this->ideal.Withdraw(this->run.cost, now)) return;
+  if (this->CurrentPhase() == kIdlePhase) return;
+  if (!this->reference_bucket.Withdraw(this->run.cost, now)) return;
   ++this->result.offered;
-  const std::size_t node = this->Choose();
-  Node& at = this->nodes[node];
-  if (!at.alive) return;
-  auto admission = std::make_shared<Admission>(
-      at.book->BeginAdmission(kWorkspace, this->run.cost, this->run.max_wait));
-  this->Step(node, at.incarnation, admission);
+  const std::size_t instance = this->ChooseInstance();
+  Instance& current = this->instances[instance];
+  if (!current.alive) return;
+  auto admission = std::make_shared<Admission>(current.limiter->BeginAdmission(
+      kWorkspace, this->run.cost, this->run.max_wait));
+  this->ContinueAdmission(instance, current.incarnation, admission);
 }
 
-void LimitsFleet::Step(std::size_t node, std::int64_t incarnation,
-                       std::shared_ptr<Admission> admission) {
-  Node& at = this->nodes[node];
+void LimitsFleet::ContinueAdmission(std::size_t instance,
+                                    std::int64_t incarnation,
+                                    std::shared_ptr<Admission> admission) {
+  Instance& current = this->instances[instance];
   // A request of a dead process is lost with it.
-  if (!at.alive || at.incarnation != incarnation) return;
-  if (at.paused_until > this->manual.Now()) {
-    this->At(at.paused_until,
-             [=, this] { this->Step(node, incarnation, admission); });
+  if (!current.alive || current.incarnation != incarnation) return;
+  if (current.paused_until > this->manual.Now()) {
+    this->Schedule(current.paused_until, [=, this] {
+      this->ContinueAdmission(instance, incarnation, admission);
+    });
     return;
   }
-  const AdmissionStep step = at.book->Next(*admission);
+  const AdmissionStep step = current.limiter->Next(*admission);
   if (std::holds_alternative<Admitted>(step)) {
     const Instant now = this->manual.Now();
     this->result.history.emplace_back(
         AdmittedEvent{now, kWorkspace, this->run.cost});
     // What comes before a pause is hardly used, what comes after it wholly:
     // the worst order for late refunds.
-    if (this->run.unused == 0 || this->Phase() != kLastPhase) return;
-    const double unused = this->run.unused * this->run.cost;
+    if (this->run.unused_fraction == 0 ||
+        this->CurrentPhase() != kLastBusyPhase)
+      return;
+    const double unused = this->run.unused_fraction * this->run.cost;
     const absl::Duration after =
         absl::Uniform(this->random, 0.0, 2.0) * absl::Seconds(1);
-    this->At(now + after, [=, this] {
-      Node& later = this->nodes[node];
+    this->Schedule(now + after, [=, this] {
+      Instance& later = this->instances[instance];
       if (!later.alive || later.incarnation != incarnation) return;
       this->result.history.emplace_back(UnusedEvent{now, kWorkspace, unused});
-      Admission settled = *admission;
+      Admission refunded = *admission;
       // A plain refund is one that claims to have been charged just now.
-      if (this->run.naive_refund) settled.charged = this->manual.Now();
-      later.book->RefundUnused(settled, this->run.cost - unused);
+      if (this->run.naive_refund) refunded.charged = this->manual.Now();
+      later.limiter->RefundUnused(refunded, this->run.cost - unused);
     });
   } else if (const auto* borrow = std::get_if<BorrowFromPeer>(&step)) {
-    this->Borrow(node, incarnation, admission, *borrow);
+    this->Borrow(instance, incarnation, admission, *borrow);
   } else if (const auto* wait = std::get_if<WaitFor>(&step)) {
-    this->At(this->manual.Now() + wait->delay,
-             [=, this] { this->Step(node, incarnation, admission); });
+    this->Schedule(this->manual.Now() + wait->delay, [=, this] {
+      this->ContinueAdmission(instance, incarnation, admission);
+    });
   } else {
     ++this->result.refused;
     if (const auto* over = std::get_if<OverRate>(&step)) {
-      this->GiveBack(node, *over);
+      this->ReturnLoans(instance, *over);
     }
   }
 }
 
-void LimitsFleet::GiveBack(std::size_t node, const OverRate& over) {
-  for (const LoanReturn& part : over.returns) {
+void LimitsFleet::ReturnLoans(std::size_t instance, const OverRate& over) {
+  for (const LoanReturn& loan : over.returns) {
     ++this->result.messages;
-    const std::size_t lender = this->IndexOf(part.peer);
+    const std::size_t lender = this->IndexOf(loan.peer);
     const bool lost = absl::Bernoulli(this->random, this->run.message_loss);
-    if (lost || !this->Reaches(node, lender)) continue;
-    const std::int64_t incarnation = this->nodes[lender].incarnation;
-    this->At(this->manual.Now() + this->Delay(), [=, this] {
-      this->At(this->Awake(lender), [=, this] {
-        Node& at = this->nodes[lender];
-        if (!at.alive || at.incarnation != incarnation) return;
-        at.book->ReceiveReturn(kWorkspace, part.tokens, part.stamp);
+    if (lost || !this->CanReach(instance, lender)) continue;
+    const std::int64_t incarnation = this->instances[lender].incarnation;
+    this->Schedule(this->manual.Now() + this->DrawNetworkDelay(), [=, this] {
+      this->Schedule(this->WakeTime(lender), [=, this] {
+        Instance& current = this->instances[lender];
+        if (!current.alive || current.incarnation != incarnation) return;
+        current.limiter->ReceiveReturn(kWorkspace, loan.tokens, loan.stamp);
       });
     });
   }
 }
 
-void LimitsFleet::Borrow(std::size_t node, std::int64_t incarnation,
+void LimitsFleet::Borrow(std::size_t instance, std::int64_t incarnation,
                          const std::shared_ptr<Admission>& admission,
                          const BorrowFromPeer& step) {
-  if (this->run.way == SharingWay::kStaticSplit) {
-    this->nodes[node].book->CompleteLoan(*admission, step.peer, std::nullopt);
-    this->Step(node, incarnation, admission);
+  if (this->run.mode == SharingMode::kStaticSplit) {
+    this->instances[instance].limiter->CompleteLoan(*admission, step.peer,
+                                                    std::nullopt);
+    this->ContinueAdmission(instance, incarnation, admission);
     return;
   }
   const std::size_t lender = this->IndexOf(step.peer);
   const Instant sent = this->manual.Now();
-  auto answered = std::make_shared<bool>(false);
+  auto completed = std::make_shared<bool>(false);
   const auto finish = [=, this](const std::optional<Loan>& loan) {
-    if (*answered) return;
-    *answered = true;
-    Node& at = this->nodes[node];
-    if (!at.alive || at.incarnation != incarnation) return;
-    at.book->CompleteLoan(*admission, step.peer, loan);
-    this->Step(node, incarnation, admission);
+    if (*completed) return;
+    *completed = true;
+    Instance& current = this->instances[instance];
+    if (!current.alive || current.incarnation != incarnation) return;
+    current.limiter->CompleteLoan(*admission, step.peer, loan);
+    this->ContinueAdmission(instance, incarnation, admission);
   };
   // The timer of a paused process fires when it wakes.
-  this->At(sent + kBorrowTimeout, [=, this] {
-    this->At(this->Awake(node), [=] { finish(std::nullopt); });
+  this->Schedule(sent + kBorrowTimeout, [=, this] {
+    this->Schedule(this->WakeTime(instance), [=] { finish(std::nullopt); });
   });
   ++this->result.messages;
   const bool lost = absl::Bernoulli(this->random, this->run.message_loss);
-  if (lost || !this->Reaches(node, lender)) return;
-  this->At(sent + this->Delay(), [=, this] {
-    this->At(this->Awake(lender), [=, this] {
-      if (!this->nodes[lender].alive) return;
-      const Loan loan = this->nodes[lender].book->LendTokens(
+  if (lost || !this->CanReach(instance, lender)) return;
+  this->Schedule(sent + this->DrawNetworkDelay(), [=, this] {
+    this->Schedule(this->WakeTime(lender), [=, this] {
+      if (!this->instances[lender].alive) return;
+      const Loan loan = this->instances[lender].limiter->LendTokens(
           kWorkspace, step.tokens, step.max_wait);
       ++this->result.messages;
-      const bool answer_lost =
+      const bool response_lost =
           absl::Bernoulli(this->random, this->run.message_loss);
-      if (answer_lost || !this->Reaches(lender, node)) return;
-      this->At(this->manual.Now() + this->Delay(), [=, this] {
-        this->At(this->Awake(node), [=] { finish(loan); });
+      if (response_lost || !this->CanReach(lender, instance)) return;
+      this->Schedule(this->manual.Now() + this->DrawNetworkDelay(), [=, this] {
+        this->Schedule(this->WakeTime(instance), [=] { finish(loan); });
       });
     });
   });
@@ -236,123 +250,132 @@
 
 // What the real keeper does, with the service's compare-and-swap reduced to
 // one variable.
-void LimitsFleet::Keep() {
-  this->At(this->manual.Now() + kKeepEvery, [this] { this->Keep(); });
-  const bool out = this->run.kv_out && this->manual.Now() > kWarmUp;
-  if (out) return;
-  AllotmentInputs view;
+void LimitsFleet::UpdateAllotment() {
+  this->Schedule(this->manual.Now() + kAllotmentPeriod,
+                 [this] { this->UpdateAllotment(); });
+  const bool kv_down = this->run.kv_unavailable && this->manual.Now() > kWarmUp;
+  if (kv_down) return;
+  AllotmentInputs inputs;
   const Instant visible = this->manual.Now() - this->run.list_lag;
-  for (std::size_t i = 0; i < this->lists.size(); ++i) {
-    if (i > 0 && this->lists[i].first > visible) break;
-    view.listed = this->lists[i].second;
-    view.list_version = static_cast<std::int64_t>(i + 1);
+  for (std::size_t i = 0; i < this->list_history.size(); ++i) {
+    if (i > 0 && this->list_history[i].first > visible) break;
+    inputs.listed = this->list_history[i].second;
+    inputs.list_version = static_cast<std::int64_t>(i + 1);
   }
   std::vector<std::string> names;
-  for (std::size_t i = 0; i < this->nodes.size(); ++i) {
-    const Node& node = this->nodes[i];
+  for (std::size_t i = 0; i < this->instances.size(); ++i) {
+    const Instance& instance = this->instances[i];
     const Instant now = this->manual.Now();
-    const bool answers =
-        node.alive && node.paused_until <= now && node.cut_until <= now;
-    if (!answers) continue;
-    view.responding[NameOf(i)] = node.incarnation;
-    view.confirmed_epochs[NameOf(i)] = node.book->ConfirmedEpoch(kWorkspace);
-    if (view.listed.count(NameOf(i)) > 0) names.push_back(NameOf(i));
+    const bool responds = instance.alive && instance.paused_until <= now &&
+                          instance.partitioned_until <= now;
+    if (!responds) continue;
+    inputs.responding[NameOf(i)] = instance.incarnation;
+    inputs.confirmed_epochs[NameOf(i)] =
+        instance.limiter->ConfirmedEpoch(kWorkspace);
+    if (inputs.listed.count(NameOf(i)) > 0) names.push_back(NameOf(i));
   }
-  std::size_t holders = this->run.instances <= kSmallFleet
-                            ? this->run.instances
-                            : kHoldersInLargeFleet;
-  if (this->run.way == SharingWay::kOneOwner) holders = 1;
-  for (const std::string& name : RendezvousOwners(kWorkspace, names, holders)) {
-    view.candidates.push_back(OwnerCandidate{name, view.responding[name]});
+  std::size_t owner_count = this->run.instances <= kSmallFleetInstances
+                                ? this->run.instances
+                                : kLargeFleetOwners;
+  if (this->run.mode == SharingMode::kOneOwner) owner_count = 1;
+  for (const std::string& name :
+       RendezvousOwners(kWorkspace, names, owner_count)) {
+    inputs.candidates.push_back(OwnerCandidate{name, inputs.responding[name]});
   }
-  view.reclaimable = this->gone.UpdateReclaimable(this->allotment, view);
+  inputs.reclaimable =
+      this->terminated_owners.UpdateReclaimable(this->allotment, inputs);
   const std::optional<Allotment> next =
-      PlanNextAllotment(this->allotment, view);
+      PlanNextAllotment(this->allotment, inputs);
   if (!next.has_value()) return;
   this->allotment = *next;
-  for (std::size_t i = 0; i < this->nodes.size(); ++i) {
+  for (std::size_t i = 0; i < this->instances.size(); ++i) {
     const Allotment& copy = this->allotment;
-    this->At(this->manual.Now() + 10 * this->Delay(), [=, this] {
-      this->At(this->Awake(i), [=, this] {
-        if (this->nodes[i].alive && this->Reaches(i, i)) {
-          this->nodes[i].book->ApplyAllotment(copy);
-        }
-      });
-    });
+    this->Schedule(this->manual.Now() + 10 * this->DrawNetworkDelay(),
+                   [=, this] {
+                     this->Schedule(this->WakeTime(i), [=, this] {
+                       if (this->instances[i].alive && this->CanReach(i, i)) {
+                         this->instances[i].limiter->ApplyAllotment(copy);
+                       }
+                     });
+                   });
   }
 }
 
-void LimitsFleet::Gossip() {
-  const bool small = this->nodes.size() <= kSmallFleet;
-  this->At(this->manual.Now() + (small ? kGossipEvery : kLargeGossipEvery),
-           [this] { this->Gossip(); });
-  for (std::size_t from = 0; from < this->nodes.size(); ++from) {
-    const Node& sender = this->nodes[from];
+void LimitsFleet::ExchangeBalances() {
+  const bool small = this->instances.size() <= kSmallFleetInstances;
+  this->Schedule(
+      this->manual.Now() + (small ? kGossipPeriod : kLargeFleetGossipPeriod),
+      [this] { this->ExchangeBalances(); });
+  for (std::size_t from = 0; from < this->instances.size(); ++from) {
+    const Instance& sender = this->instances[from];
     if (!sender.alive || sender.paused_until > this->manual.Now()) continue;
     const auto to =
-        absl::Uniform<std::size_t>(this->random, 0, this->nodes.size());
-    if (to == from || !this->Reaches(from, to)) continue;
-    for (const WorkspaceBalance& balance : sender.book->Balances(16)) {
-      this->nodes[to].book->ReceiveBalance(NameOf(from), balance);
+        absl::Uniform<std::size_t>(this->random, 0, this->instances.size());
+    if (to == from || !this->CanReach(from, to)) continue;
+    for (const WorkspaceBalance& balance : sender.limiter->Balances(16)) {
+      this->instances[to].limiter->ReceiveBalance(NameOf(from), balance);
     }
-    for (const WorkspaceBalance& balance : this->nodes[to].book->Balances(16)) {
-      sender.book->ReceiveBalance(NameOf(to), balance);
+    for (const WorkspaceBalance& balance :
+         this->instances[to].limiter->Balances(16)) {
+      sender.limiter->ReceiveBalance(NameOf(to), balance);
     }
     // A cut instance catches up with the allotment when it is back.
-    if (this->allotment.epoch > 0) sender.book->ApplyAllotment(this->allotment);
+    if (this->allotment.epoch > 0)
+      sender.limiter->ApplyAllotment(this->allotment);
   }
 }
 
-void LimitsFleet::Apply(const Fault& fault) {
-  Node& node = this->nodes[fault.instance % this->nodes.size()];
-  const std::size_t index = fault.instance % this->nodes.size();
+void LimitsFleet::InjectFault(const Fault& fault) {
+  Instance& instance = this->instances[fault.instance % this->instances.size()];
+  const std::size_t index = fault.instance % this->instances.size();
   const Instant now = this->manual.Now();
   switch (fault.kind) {
     case FaultKind::kKill: {
-      node.alive = false;
-      std::set<std::string> listed = this->lists.back().second;
+      instance.alive = false;
+      std::set<std::string> listed = this->list_history.back().second;
       listed.erase(NameOf(index));
-      this->lists.emplace_back(now, listed);
+      this->list_history.emplace_back(now, listed);
       break;
     }
     case FaultKind::kPause:
-      node.paused_until = now + fault.length;
+      instance.paused_until = now + fault.length;
       break;
     case FaultKind::kRestart: {
       this->Restart(index);
-      std::set<std::string> listed = this->lists.back().second;
+      std::set<std::string> listed = this->list_history.back().second;
       listed.insert(NameOf(index));
-      this->lists.emplace_back(now, listed);
+      this->list_history.emplace_back(now, listed);
       break;
     }
-    case FaultKind::kCut:
-      node.cut_until = now + fault.length;
+    case FaultKind::kPartition:
+      instance.partitioned_until = now + fault.length;
       break;
   }
 }
 
 LimitsResult LimitsFleet::Run() {
-  this->Keep();
-  this->Gossip();
-  this->At(kWarmUp, [this] { this->Arrive(); });
+  this->UpdateAllotment();
+  this->ExchangeBalances();
+  this->Schedule(kWarmUp, [this] { this->GenerateRequest(); });
   for (const Fault& fault : this->run.faults) {
-    this->At(kWarmUp + fault.at, [this, fault] { this->Apply(fault); });
+    this->Schedule(kWarmUp + fault.at,
+                   [this, fault] { this->InjectFault(fault); });
   }
-  if (this->run.arrival == Arrival::kMoving) {
+  if (this->run.arrival == ArrivalPattern::kMoving) {
     for (Instant at = kWarmUp; at < kWarmUp + this->run.length;
-         at += kMoveEvery) {
-      this->At(at, [this] {
-        this->favourite =
-            absl::Uniform<std::size_t>(this->random, 0, this->nodes.size());
+         at += kPreferredInstancePeriod) {
+      this->Schedule(at, [this] {
+        this->preferred_instance =
+            absl::Uniform<std::size_t>(this->random, 0, this->instances.size());
       });
     }
   }
   const Instant end = kWarmUp + this->run.length;
-  while (!this->queue.empty() && this->queue.begin()->first < end) {
-    const auto next = this->queue.begin();
+  while (!this->events.empty() && this->events.begin()->first < end) {
+    const auto next = this->events.begin();
     const std::function<void()> action = std::move(next->second);
     this->manual.Advance(next->first - this->manual.Now());
-    this->queue.erase(next);
+    this->events.erase(next);
     action();
   }
   this->result.overshoot = LargestOvershoot(this->result.history, kWorkspace,
--- a/measure/model/limits_fleet.h
+++ b/measure/model/limits_fleet.h
@@ -18,17 +18,17 @@
 namespace dragonflyglade {
 
 /// Where requests arrive.
-enum class Arrival { kEven, kSkewed, kMoving };
+enum class ArrivalPattern { kEven, kSkewed, kMoving };
 
 /// Which way of sharing is measured.
-enum class SharingWay {
+enum class SharingMode {
   kBorrowing,    ///< the real one
   kStaticSplit,  ///< equal shares, no loans
   kOneOwner,     ///< one holder lends to all others
 };
 
 /// Something that happens to an instance of the model.
-enum class FaultKind { kKill, kPause, kRestart, kCut };
+enum class FaultKind { kKill, kPause, kRestart, kPartition };
 struct Fault {
   FaultKind kind = FaultKind::kKill;
   Instant at;
@@ -42,8 +42,8 @@
 /// What a run is made of.
 struct LimitsRun {
   std::size_t instances = 6;
-  Arrival arrival = Arrival::kEven;
-  SharingWay way = SharingWay::kBorrowing;
+  ArrivalPattern arrival = ArrivalPattern::kEven;
+  SharingMode mode = SharingMode::kBorrowing;
   double rate = 20'000;
   double burst = 40'000;
   double cost = 1'200;
@@ -53,15 +53,15 @@
   double message_loss = 0;
   /// Part of the cost that turns out not to be used by requests of the last
   /// phase before a pause; given back after up to two seconds.
-  double unused = 0;
+  double unused_fraction = 0;
   /// Whether unused tokens are given back without looking at the past.
   bool naive_refund = false;
   /// Requests come in three of every four phases.
-  absl::Duration phase = absl::Seconds(4);
+  absl::Duration phase_length = absl::Seconds(4);
   /// Requests come faster than the rate by this factor.
-  double pressure = 1;
+  double load_factor = 1;
   absl::Duration list_lag = absl::Seconds(10);
-  bool kv_out = false;
+  bool kv_unavailable = false;
   std::uint64_t seed = 1;
 };
 
@@ -71,7 +71,7 @@
   int refused = 0;
   double overshoot = 0;  ///< tokens above burst + rate * t; negative if none
   std::int64_t messages = 0;
-  int dead_holder_refusals = 0;
+  int terminated_owner_refusals = 0;
   std::vector<HistoryEvent> history;
 };
 
@@ -84,44 +84,44 @@
   LimitsResult Run();
 
  private:
-  struct Node {
+  struct Instance {
     std::int64_t incarnation = 1;
-    std::unique_ptr<DistributedRateLimiter> book;
+    std::unique_ptr<DistributedRateLimiter> limiter;
     bool alive = true;
     Instant paused_until;
-    Instant cut_until;
+    Instant partitioned_until;
   };
 
-  void At(Instant when, std::function<void()> action);
-  int Phase() const;
-  void Arrive();
-  void Step(std::size_t node, std::int64_t incarnation,
-            std::shared_ptr<Admission> admission);
-  void Borrow(std::size_t node, std::int64_t incarnation,
+  void Schedule(Instant when, std::function<void()> action);
+  int CurrentPhase() const;
+  void GenerateRequest();
+  void ContinueAdmission(std::size_t instance, std::int64_t incarnation,
+                         std::shared_ptr<Admission> admission);
+  void Borrow(std::size_t instance, std::int64_t incarnation,
               const std::shared_ptr<Admission>& admission,
               const BorrowFromPeer& step);
-  void GiveBack(std::size_t node, const OverRate& over);
-  void Keep();
-  void Gossip();
-  void Apply(const Fault& fault);
-  void Restart(std::size_t node);
-  bool Reaches(std::size_t from, std::size_t to) const;
-  Instant Awake(std::size_t node) const;
-  std::size_t Choose();
-  absl::Duration Delay();
+  void ReturnLoans(std::size_t instance, const OverRate& over);
+  void UpdateAllotment();
+  void ExchangeBalances();
+  void InjectFault(const Fault& fault);
+  void Restart(std::size_t instance);
+  bool CanReach(std::size_t from, std::size_t to) const;
+  Instant WakeTime(std::size_t instance) const;
+  std::size_t ChooseInstance();
+  absl::Duration DrawNetworkDelay();
   std::size_t IndexOf(const std::string& name) const;
 
   const LimitsRun run;
   ManualClock manual;
   Clock clock;
   std::mt19937_64 random;
-  std::multimap<Instant, std::function<void()>> queue;
-  std::vector<Node> nodes;
+  std::multimap<Instant, std::function<void()>> events;
+  std::vector<Instance> instances;
   Allotment allotment;
-  TerminatedOwners gone;
-  std::vector<std::pair<Instant, std::set<std::string>>> lists;
-  TokenBucket ideal;
-  std::size_t favourite = 0;
+  TerminatedOwners terminated_owners;
+  std::vector<std::pair<Instant, std::set<std::string>>> list_history;
+  TokenBucket reference_bucket;
+  std::size_t preferred_instance = 0;
   LimitsResult result;
 };
 
--- a/measure/model/membership_fleet.h
+++ b/measure/model/membership_fleet.h
@@ -30,7 +30,7 @@
   /// From the death until every instance judged it dead.
   absl::Duration death_known_after = absl::InfiniteDuration();
   /// From a piece of news at one instance until all had it.
-  absl::Duration news_everywhere_after = absl::InfiniteDuration();
+  absl::Duration update_everywhere_after = absl::InfiniteDuration();
   double messages_per_second = 0;  ///< sent by an instance
   double updates_per_message = 0;
 };
@@ -44,24 +44,24 @@
   MembershipResult Run();
 
  private:
-  struct Node {
+  struct Instance {
     std::unique_ptr<Membership> membership;
     bool alive = true;
-    bool has_news = false;
+    bool has_update = false;
   };
 
-  void Round(std::size_t node);
+  void ProbeRound(std::size_t instance);
   bool Exchange(std::size_t from, std::size_t to);
-  bool Arrives();
-  void Judge();
+  bool IsDelivered();
+  void RecordVerdicts();
 
   const MembershipRun run;
   ManualClock manual;
   std::mt19937_64 random;
-  std::vector<Node> nodes;
+  std::vector<Instance> instances;
   std::int64_t messages = 0;
   std::int64_t updates = 0;
-  std::map<std::pair<std::size_t, std::size_t>, bool> judged_dead;
+  std::map<std::pair<std::size_t, std::size_t>, bool> considered_dead;
   MembershipResult result;
 };
 
--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -11,15 +11,15 @@
 namespace dragonflyglade {
 namespace {
 
-constexpr absl::Duration kPlanEvery = absl::Seconds(1);
-constexpr absl::Duration kSettle = absl::Seconds(8);
+constexpr absl::Duration kPlanPeriod = absl::Seconds(1);
+constexpr absl::Duration kSettleTime = absl::Seconds(8);
 constexpr absl::Duration kLoadTime = absl::Seconds(3);
-constexpr absl::Duration kQuick = absl::Milliseconds(20);
+constexpr absl::Duration kShortOperationTime = absl::Milliseconds(20);
 constexpr absl::Duration kReportLag = absl::Seconds(1);
 constexpr absl::Duration kLongestPause = absl::Seconds(30);
 constexpr double kHalf = 0.5;
 // Demand of models falls off like this power of their rank.
-constexpr double kSkew = 0.8;
+constexpr double kDemandExponent = 0.8;
 
 std::string ModelName(int model) { return fmt::format("m{}", model); }
 
@@ -36,57 +36,58 @@
     TargetLedger ledger;
     ledger.target = name;
     ledger.capacity = run.capacity;
-    this->store[name] = Stored{ledger, 0};
+    this->store[name] = StoredLedger{ledger, 0};
   }
   double total = 0;
   for (int i = 0; i < run.models; ++i) {
-    this->phases.push_back(absl::Uniform(this->random, 0.0, 2 * M_PI));
-    this->weights.push_back(std::pow(i + 1, -kSkew));
-    total += this->weights.back();
+    this->demand_phases.push_back(absl::Uniform(this->random, 0.0, 2 * M_PI));
+    this->demand_weights.push_back(std::pow(i + 1, -kDemandExponent));
+    total += this->demand_weights.back();
   }
-  for (double& weight : this->weights) weight /= total;
+  for (double& weight : this->demand_weights) weight /= total;
   this->planners.resize(static_cast<std::size_t>(run.planners));
   for (Planner& planner : this->planners) {
     planner.planner = std::make_unique<PlacementPlanner>(run.plan, this->clock);
-    planner.fence = ++this->revision;
+    planner.token = ++this->revision;
   }
 }
 
-void PlacementFleet::At(Instant when, std::function<void()> action) {
-  this->queue.emplace(std::max(when, this->manual.Now()), std::move(action));
+void PlacementFleet::Schedule(Instant when, std::function<void()> action) {
+  this->events.emplace(std::max(when, this->manual.Now()), std::move(action));
 }
 
-bool PlacementFleet::Chance(double part) {
-  return part > 0 && absl::Bernoulli(this->random, part);
+bool PlacementFleet::DrawChance(double probability) {
+  return probability > 0 && absl::Bernoulli(this->random, probability);
 }
 
-bool PlacementFleet::KvOut() const {
-  const double part = absl::FDivDuration(this->manual.Now(), this->run.length);
-  return this->run.kv_out_midway && part > 0.4 && part < 0.6;
+bool PlacementFleet::IsKvUnavailable() const {
+  const double progress =
+      absl::FDivDuration(this->manual.Now(), this->run.length);
+  return this->run.kv_out_midway && progress > 0.4 && progress < 0.6;
 }
 
 std::string PlacementFleet::BootId(const Target& target) const {
-  return fmt::format("{}-{}", target.name, target.boot);
+  return fmt::format("{}-{}", target.name, target.boot_number);
 }
 
 // Up and down by the swing within an hour, each model in its own phase.
-double PlacementFleet::Demand(int model) const {
-  const double turn =
+double PlacementFleet::DemandOf(int model) const {
+  const double angle =
       2 * M_PI * absl::FDivDuration(this->manual.Now(), absl::Hours(2)) +
-      this->phases[static_cast<std::size_t>(model)];
-  const double factor = std::pow(this->run.swing, kHalf * std::sin(turn));
+      this->demand_phases[static_cast<std::size_t>(model)];
+  const double factor = std::pow(this->run.swing, kHalf * std::sin(angle));
   return this->run.tokens_per_second *
-         this->weights[static_cast<std::size_t>(model)] * factor;
+         this->demand_weights[static_cast<std::size_t>(model)] * factor;
 }
 
-PlannerInput PlacementFleet::InputFor(Planner& planner,
-                                      std::map<std::string, Stored>& picture) {
+PlannerInput PlacementFleet::MakePlannerInput(
+    Planner& planner, std::map<std::string, StoredLedger>& snapshot) {
   PlannerInput input;
   for (int i = 0; i < this->run.models; ++i) {
     input.models.push_back(
         PlannerModel{ModelName(i), "1", this->run.model_bytes, 1});
     input.demand[ModelName(i)] =
-        this->run.static_placement ? 0 : this->Demand(i);
+        this->run.static_placement ? 0 : this->DemandOf(i);
   }
   for (int i = 0; i < this->run.adapters; ++i) {
     input.adapters.push_back(PlannerAdapter{fmt::format("a{}", i),
@@ -94,8 +95,8 @@
                                             this->run.adapter_bytes});
   }
   const Instant now = this->manual.Now();
-  for (auto& [name, stored] : picture) {
-    auto& [orders, since] = planner.seen[name];
+  for (auto& [name, stored] : snapshot) {
+    auto& [orders, since] = planner.observed[name];
     if (since == Instant() || orders != stored.ledger.orders) {
       orders = stored.ledger.orders;
       since = now;
@@ -111,11 +112,11 @@
       ApplyResidencyReport(stored.ledger, BootId(target), resident,
                            made_at > since);
     }
-    if (EncodeLedger(stored.ledger) != before) this->Write(stored, {});
+    if (EncodeLedger(stored.ledger) != before) this->WriteLedger(stored, {});
     stored = this->store.at(name);
     PlannerTarget planned;
     planned.ledger = stored.ledger;
-    if (made_at > since + kSettle) planned.resident = resident;
+    if (made_at > since + kSettleTime) planned.resident = resident;
     input.targets.push_back(std::move(planned));
   }
   input.open_model_loads = planner.open_model_loads;
@@ -125,31 +126,32 @@
 
 void PlacementFleet::PlanRound(std::size_t index) {
   Planner& planner = this->planners[index];
-  this->At(this->manual.Now() + kPlanEvery,
-           [=, this] { this->PlanRound(index); });
-  if (planner.paused_until > this->manual.Now() || this->KvOut()) return;
-  std::map<std::string, Stored> picture = this->store;
+  this->Schedule(this->manual.Now() + kPlanPeriod,
+                 [=, this] { this->PlanRound(index); });
+  if (planner.paused_until > this->manual.Now() || this->IsKvUnavailable())
+    return;
+  std::map<std::string, StoredLedger> snapshot = this->store;
   const std::vector<PlanStep> steps =
-      planner.planner->Plan(this->InputFor(planner, picture));
+      planner.planner->Plan(this->MakePlannerInput(planner, snapshot));
   // A planner may pause between its picture and what it does about it.
   Instant when = this->manual.Now();
-  if (this->Chance(this->run.pauses)) {
+  if (this->DrawChance(this->run.pauses)) {
     planner.paused_until =
         when + absl::Uniform(this->random, 0.0, 1.0) * kLongestPause;
     when = planner.paused_until;
   }
   for (const PlanStep& step : steps) {
-    this->At(when, [=, this] { this->Act(index, step, picture); });
+    this->Schedule(when, [=, this] { this->ApplyStep(index, step, snapshot); });
   }
 }
 
-bool PlacementFleet::Write(
-    Stored stored,
-    const std::vector<std::pair<std::string, std::int64_t>>& also) {
-  if (this->KvOut()) return false;
-  Stored& current = this->store.at(stored.ledger.target);
+bool PlacementFleet::WriteLedger(
+    StoredLedger stored,
+    const std::vector<std::pair<std::string, std::int64_t>>& preconditions) {
+  if (this->IsKvUnavailable()) return false;
+  StoredLedger& current = this->store.at(stored.ledger.target);
   if (current.revision != stored.revision) return false;
-  for (const auto& [name, expected] : also) {
+  for (const auto& [name, expected] : preconditions) {
     if (this->store.at(name).revision != expected) return false;
   }
   ++this->result.kv_writes;
@@ -158,50 +160,51 @@
   return true;
 }
 
-void PlacementFleet::Act(std::size_t index, const PlanStep& step,
-                         std::map<std::string, Stored> picture) {
-  const std::int64_t fence = this->planners[index].fence;
+void PlacementFleet::ApplyStep(std::size_t index, const PlanStep& step,
+                               std::map<std::string, StoredLedger> snapshot) {
+  const std::int64_t token = this->planners[index].token;
   // Steps of one round follow each other, so each sees the one before; a
   // paused planner acts on its old picture and fails the comparison.
   const auto fresh = [&](const std::string& target) {
-    Stored stored = picture.at(target);
-    const Stored& current = this->store.at(target);
-    if (current.ledger.fencing_token == fence) stored = current;
+    StoredLedger stored = snapshot.at(target);
+    const StoredLedger& current = this->store.at(target);
+    if (current.ledger.fencing_token == token) stored = current;
     return stored;
   };
   if (const auto* load = std::get_if<PlanLoad>(&step)) {
-    Stored stored = fresh(load->target);
-    if (!BeginLoad(stored.ledger, load->spec, fence).Ok()) return;
+    StoredLedger stored = fresh(load->target);
+    if (!BeginLoad(stored.ledger, load->spec, token).Ok()) return;
     const std::string id = FindCopy(stored.ledger, load->spec.name)->order_id;
-    if (!this->Write(stored, {})) return;
-    this->Send(index, load->target, true, load->spec, id, fence);
+    if (!this->WriteLedger(stored, {})) return;
+    this->SendOrder(index, load->target, true, load->spec, id, token);
   } else if (const auto* reload = std::get_if<PlanReload>(&step)) {
-    Stored stored = fresh(reload->target);
-    if (!RepeatLoad(stored.ledger, reload->spec.name, fence).Ok()) return;
+    StoredLedger stored = fresh(reload->target);
+    if (!RepeatLoad(stored.ledger, reload->spec.name, token).Ok()) return;
     const std::string id = FindCopy(stored.ledger, reload->spec.name)->order_id;
-    if (!this->Write(stored, {})) return;
-    this->Send(index, reload->target, true, reload->spec, id, fence);
+    if (!this->WriteLedger(stored, {})) return;
+    this->SendOrder(index, reload->target, true, reload->spec, id, token);
   } else {
     const auto& unload = std::get<PlanUnload>(step);
-    Stored stored = fresh(unload.target);
-    if (!BeginUnload(stored.ledger, unload.name, fence).Ok()) return;
+    StoredLedger stored = fresh(unload.target);
+    if (!BeginUnload(stored.ledger, unload.name, token).Ok()) return;
     const std::string id = FindCopy(stored.ledger, unload.name)->order_id;
-    std::vector<std::pair<std::string, std::int64_t>> also;
+    std::vector<std::pair<std::string, std::int64_t>> preconditions;
     if (!unload.retained_copy_target.empty()) {
-      also.emplace_back(unload.retained_copy_target,
-                        picture.at(unload.retained_copy_target).revision);
+      preconditions.emplace_back(
+          unload.retained_copy_target,
+          snapshot.at(unload.retained_copy_target).revision);
     }
-    if (!this->Write(stored, also)) return;
+    if (!this->WriteLedger(stored, preconditions)) return;
     CopySpec spec;
     spec.name = unload.name;
-    this->Send(index, unload.target, false, spec, id, fence);
+    this->SendOrder(index, unload.target, false, spec, id, token);
   }
 }
 
-bool PlacementFleet::Execute(Target& target, bool is_load, const CopySpec& spec,
-                             std::int64_t fence) {
-  if (this->run.fenced && fence < target.highest_fence) return false;
-  target.highest_fence = std::max(target.highest_fence, fence);
+bool PlacementFleet::ExecuteOrder(Target& target, bool is_load,
+                                  const CopySpec& spec, std::int64_t token) {
+  if (this->run.fenced && token < target.highest_token) return false;
+  target.highest_token = std::max(target.highest_token, token);
   if (!is_load) {
     target.memory.erase(spec.name);
     return true;
@@ -216,50 +219,54 @@
   return true;
 }
 
-void PlacementFleet::Send(std::size_t index, const std::string& name,
-                          bool is_load, const CopySpec& spec,
-                          const std::string& order_id, std::int64_t fence) {
+void PlacementFleet::SendOrder(std::size_t index, const std::string& name,
+                               bool is_load, const CopySpec& spec,
+                               const std::string& order_id,
+                               std::int64_t token) {
   const bool is_model = spec.base.empty();
   if (is_load && is_model) ++this->result.moves;
-  const bool is_late = this->Chance(this->run.late);
-  const bool is_lost = is_late || this->Chance(this->run.lost);
-  const bool is_doubled = is_late && this->Chance(kHalf);
-  const absl::Duration takes = is_load && is_model ? kLoadTime : kQuick;
-  const auto late = [this] {
-    return absl::Uniform(this->random, 0.0, 1.0) * this->run.latest;
+  const bool is_late = this->DrawChance(this->run.late);
+  const bool is_lost = is_late || this->DrawChance(this->run.lost);
+  const bool is_doubled = is_late && this->DrawChance(kHalf);
+  const absl::Duration duration =
+      is_load && is_model ? kLoadTime : kShortOperationTime;
+  const auto draw_delay = [this] {
+    return absl::Uniform(this->random, 0.0, 1.0) * this->run.max_order_delay;
   };
-  const int boot = this->targets.at(name).boot;
-  int& open = is_model ? this->planners[index].open_model_loads
-                       : this->planners[index].open_adapter_loads;
-  if (is_load) ++open;
+  const int boot_number = this->targets.at(name).boot_number;
+  int& open_loads_of_kind = is_model ? this->planners[index].open_model_loads
+                                     : this->planners[index].open_adapter_loads;
+  if (is_load) ++open_loads_of_kind;
   if (is_doubled) {
-    this->At(this->manual.Now() + late(), [=, this] {
+    this->Schedule(this->manual.Now() + draw_delay(), [=, this] {
       Target& target = this->targets.at(name);
-      if (target.boot == boot) this->Execute(target, is_load, spec, fence);
+      if (target.boot_number == boot_number)
+        this->ExecuteOrder(target, is_load, spec, token);
     });
   }
-  const absl::Duration wait = is_late ? late() : absl::ZeroDuration();
-  this->At(this->manual.Now() + wait + takes, [=, this] {
+  const absl::Duration wait = is_late ? draw_delay() : absl::ZeroDuration();
+  this->Schedule(this->manual.Now() + wait + duration, [=, this] {
     Target& target = this->targets.at(name);
     // An order to a process that has ended goes nowhere.
-    const bool arrives = target.boot == boot;
-    const bool done = arrives && this->Execute(target, is_load, spec, fence);
+    const bool arrives = target.boot_number == boot_number;
+    const bool done =
+        arrives && this->ExecuteOrder(target, is_load, spec, token);
     if (!arrives || is_lost) return;
-    this->Settle(
+    this->RecordOutcome(
         name, is_load,
-        OrderOutcome{order_id, spec.name, fence, done, BootId(target)});
+        OrderOutcome{order_id, spec.name, token, done, BootId(target)});
   });
   if (is_load) {
-    this->At(this->manual.Now() + takes, [=, this] {
+    this->Schedule(this->manual.Now() + duration, [=, this] {
       Planner& planner = this->planners[index];
       --(is_model ? planner.open_model_loads : planner.open_adapter_loads);
     });
   }
 }
 
-void PlacementFleet::Settle(const std::string& name, bool is_load,
-                            const OrderOutcome& outcome) {
-  Stored stored = this->store.at(name);
+void PlacementFleet::RecordOutcome(const std::string& name, bool is_load,
+                                   const OrderOutcome& outcome) {
+  StoredLedger stored = this->store.at(name);
   if (is_load) {
     FinishLoad(stored.ledger, outcome, this->run.fenced);
   } else {
@@ -270,16 +277,17 @@
     }
     FinishUnload(stored.ledger, outcome, this->run.fenced);
   }
-  this->Write(stored, {});
+  this->WriteLedger(stored, {});
 }
 
-void PlacementFleet::Second() {
-  this->At(this->manual.Now() + absl::Seconds(1), [this] { this->Second(); });
+void PlacementFleet::SampleSecond() {
+  this->Schedule(this->manual.Now() + absl::Seconds(1),
+                 [this] { this->SampleSecond(); });
   for (auto& [name, target] : this->targets) {
-    if (!this->Chance(this->run.restarts)) continue;
-    ++target.boot;
+    if (!this->DrawChance(this->run.restarts)) continue;
+    ++target.boot_number;
     target.memory.clear();
-    target.highest_fence = 0;
+    target.highest_token = 0;
   }
   // A target's tokens a second are shared among the models it holds by what
   // they are asked for.
@@ -288,10 +296,10 @@
     for (const auto& [copy, bytes] : target.memory) ++copies[copy];
   }
   for (int i = 0; i < this->run.models; ++i) {
-    const double demand = this->Demand(i);
+    const double demand = this->DemandOf(i);
     const int count = copies[ModelName(i)];
-    this->demanded += demand;
-    this->served +=
+    this->demanded_tokens += demand;
+    this->served_tokens +=
         std::min(demand, count * this->run.plan.copy_tokens_per_second);
     ++this->model_seconds;
     if (count > 0) ++this->reachable_seconds;
@@ -300,19 +308,20 @@
 
 PlacementResult PlacementFleet::Run() {
   for (std::size_t i = 0; i < this->planners.size(); ++i) {
-    this->At(this->manual.Now() + kQuick * (i + 1),
-             [=, this] { this->PlanRound(i); });
+    this->Schedule(this->manual.Now() + kShortOperationTime * (i + 1),
+                   [=, this] { this->PlanRound(i); });
   }
-  this->At(absl::Seconds(60), [this] { this->Second(); });
-  while (!this->queue.empty() &&
-         this->queue.begin()->first < this->run.length) {
-    const auto next = this->queue.begin();
+  this->Schedule(absl::Seconds(60), [this] { this->SampleSecond(); });
+  while (!this->events.empty() &&
+         this->events.begin()->first < this->run.length) {
+    const auto next = this->events.begin();
     const std::function<void()> action = std::move(next->second);
     this->manual.Advance(next->first - this->manual.Now());
-    this->queue.erase(next);
+    this->events.erase(next);
     action();
   }
-  this->result.attained = this->served / std::max(1.0, this->demanded);
+  this->result.attained =
+      this->served_tokens / std::max(1.0, this->demanded_tokens);
   this->result.reachable = static_cast<double>(this->reachable_seconds) /
                            std::max(1, this->model_seconds);
   return this->result;
--- a/measure/model/placement_fleet.h
+++ b/measure/model/placement_fleet.h
@@ -31,7 +31,7 @@
   /// Part of the orders whose answer is lost, and that are carried out late.
   double lost = 0;
   double late = 0;
-  absl::Duration latest = absl::Seconds(60);
+  absl::Duration max_order_delay = absl::Seconds(60);
   /// Chance in each second that a target restarts, and that a planner pauses.
   double restarts = 0;
   double pauses = 0;
@@ -67,57 +67,58 @@
  private:
   struct Target {
     std::string name;
-    int boot = 1;
-    std::int64_t highest_fence = 0;
+    int boot_number = 1;
+    std::int64_t highest_token = 0;
     std::map<std::string, std::int64_t> memory;
   };
-  struct Stored {
+  struct StoredLedger {
     TargetLedger ledger;
     std::int64_t revision = 0;
   };
   struct Planner {
     std::unique_ptr<PlacementPlanner> planner;
-    std::int64_t fence = 0;
+    std::int64_t token = 0;
     Instant paused_until;
-    std::map<std::string, std::pair<std::int64_t, Instant>> seen;
+    std::map<std::string, std::pair<std::int64_t, Instant>> observed;
     int open_model_loads = 0;
     int open_adapter_loads = 0;
   };
 
-  void At(Instant when, std::function<void()> action);
+  void Schedule(Instant when, std::function<void()> action);
   void PlanRound(std::size_t planner);
-  void Act(std::size_t planner, const PlanStep& step,
-           std::map<std::string, Stored> picture);
-  bool Write(Stored stored,
-             const std::vector<std::pair<std::string, std::int64_t>>& also);
-  void Send(std::size_t planner, const std::string& target, bool is_load,
-            const CopySpec& spec, const std::string& order_id,
-            std::int64_t fence);
-  bool Execute(Target& target, bool is_load, const CopySpec& spec,
-               std::int64_t fence);
-  void Settle(const std::string& target, bool is_load,
-              const OrderOutcome& outcome);
-  void Second();
-  double Demand(int model) const;
-  bool KvOut() const;
-  bool Chance(double part);
+  void ApplyStep(std::size_t planner, const PlanStep& step,
+                 std::map<std::string, StoredLedger> snapshot);
+  bool WriteLedger(
+      StoredLedger stored,
+      const std::vector<std::pair<std::string, std::int64_t>>& preconditions);
+  void SendOrder(std::size_t planner, const std::string& target, bool is_load,
+                 const CopySpec& spec, const std::string& order_id,
+                 std::int64_t token);
+  bool ExecuteOrder(Target& target, bool is_load, const CopySpec& spec,
+                    std::int64_t token);
+  void RecordOutcome(const std::string& target, bool is_load,
+                     const OrderOutcome& outcome);
+  void SampleSecond();
+  double DemandOf(int model) const;
+  bool IsKvUnavailable() const;
+  bool DrawChance(double probability);
   std::string BootId(const Target& target) const;
-  PlannerInput InputFor(Planner& planner,
-                        std::map<std::string, Stored>& picture);
+  PlannerInput MakePlannerInput(Planner& planner,
+                                std::map<std::string, StoredLedger>& snapshot);
 
   const PlacementRun run;
   ManualClock manual;
   Clock clock;
   std::mt19937_64 random;
-  std::multimap<Instant, std::function<void()>> queue;
+  std::multimap<Instant, std::function<void()>> events;
   std::map<std::string, Target> targets;
-  std::map<std::string, Stored> store;
+  std::map<std::string, StoredLedger> store;
   std::int64_t revision = 1;
   std::vector<Planner> planners;
-  std::vector<double> phases;
-  std::vector<double> weights;
-  double demanded = 0;
-  double served = 0;
+  std::vector<double> demand_phases;
+  std::vector<double> demand_weights;
+  double demanded_tokens = 0;
+  double served_tokens = 0;
   int model_seconds = 0;
   int reachable_seconds = 0;
   PlacementResult result;
--- a/measure/model/serving_fleet.cc
+++ b/measure/model/serving_fleet.cc
@@ -13,27 +13,27 @@
 
 constexpr const char* kPool = "p";
 constexpr const char* kModel = "m";
-constexpr int kBatch = 8;
+constexpr int kTargetSlots = 8;
 constexpr double kPrefillTokensPerSecond = 6000;
-constexpr double kTokensPerSecond = 50;
-constexpr double kPromptTokens = 1200;
-constexpr double kOutputTokens = 100;
-constexpr double kHitPart = 0.1;
-constexpr double kRateRoom = 1.1;
+constexpr double kDecodeTokensPerSecond = 50;
+constexpr double kMeanPromptTokens = 1200;
+constexpr double kMeanOutputTokens = 100;
+constexpr double kCachedPrefillFraction = 0.1;
+constexpr double kRateHeadroom = 1.1;
 constexpr double kBurstSeconds = 5;
-constexpr double kSlowness = 4;
+constexpr double kSlowFactor = 4;
 constexpr std::size_t kCachedPrefixes = 12;
-constexpr int kMostAttempts = 3;
-constexpr absl::Duration kSilence = absl::Seconds(10);
-constexpr absl::Duration kReportEvery = absl::Milliseconds(500);
-constexpr absl::Duration kRecheckEvery = absl::Milliseconds(100);
-constexpr absl::Duration kFaultAt = absl::Seconds(30);
-constexpr std::array<absl::Duration, kRequestClasses> kDeadlines = {
+constexpr int kMaxAttempts = 3;
+constexpr absl::Duration kUnresponsiveTimeout = absl::Seconds(10);
+constexpr absl::Duration kReportPeriod = absl::Milliseconds(500);
+constexpr absl::Duration kDispatchPeriod = absl::Milliseconds(100);
+constexpr absl::Duration kFaultTime = absl::Seconds(30);
+constexpr std::array<absl::Duration, kRequestClasses> kFirstTokenDeadlines = {
     absl::Milliseconds(560), absl::Milliseconds(560), absl::Seconds(30)};
 
-double SecondsAtTarget() {
-  return kPromptTokens / kPrefillTokensPerSecond +
-         kOutputTokens / kTokensPerSecond;
+double MeanServiceSeconds() {
+  return kMeanPromptTokens / kPrefillTokensPerSecond +
+         kMeanOutputTokens / kDecodeTokensPerSecond;
 }
 
 }  // namespace
@@ -71,41 +71,41 @@
                                 i % 2 == 0 ? "a" : "b", kPool, false});
   }
   const double capacity =
-      static_cast<double>(run.targets) * kBatch / SecondsAtTarget();
-  for (const double part : run.workspaces) {
+      static_cast<double>(run.targets) * kTargetSlots / MeanServiceSeconds();
+  for (const double fraction : run.workspace_fractions) {
     TokenBucket rate(this->manual.Now());
-    const double per_second = kRateRoom * capacity * run.load * part;
+    const double per_second = kRateHeadroom * capacity * run.load * fraction;
     rate.Configure(per_second, per_second * kBurstSeconds, this->manual.Now());
     rate.Deposit(per_second * kBurstSeconds, this->manual.Now());
     this->rates.push_back(rate);
   }
-  this->entries.resize(run.instances);
+  this->instances.resize(run.instances);
   for (std::size_t i = 0; i < run.instances; ++i) {
-    Entry& entry = this->entries[i];
+    Instance& state = this->instances[i];
     TargetOptions options;
-    entry.book =
+    state.registry =
         std::make_unique<TargetRegistry>(options, this->clock, run.seed + i);
-    entry.book->ApplyTargetList(1, list);
-    entry.book->SetInstanceCount(static_cast<int>(run.instances));
+    state.registry->ApplyTargetList(1, list);
+    state.registry->SetInstanceCount(static_cast<int>(run.instances));
     // Waiting in the order of arrival is a fair queue with one line.
-    entry.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
-    entry.retries = std::make_unique<RetryBudget>(0.1, 10);
+    state.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
+    state.retries = std::make_unique<RetryBudget>(0.1, 10);
   }
 }
 
-void ServingFleet::At(Instant when, std::function<void()> action) {
+void ServingFleet::Schedule(Instant when, std::function<void()> action) {
   this->events.emplace(std::max(when, this->manual.Now()), std::move(action));
 }
 
-void ServingFleet::Arrive(std::size_t workspace) {
-  const double capacity =
-      static_cast<double>(this->run.targets) * kBatch / SecondsAtTarget();
-  const double part = this->run.workspaces[workspace] *
-                      (workspace == 0 ? this->run.pressure : 1);
-  const double rate = capacity * this->run.load * part;
-  this->At(
+void ServingFleet::GenerateRequest(std::size_t workspace) {
+  const double capacity = static_cast<double>(this->run.targets) *
+                          kTargetSlots / MeanServiceSeconds();
+  const double fraction = this->run.workspace_fractions[workspace] *
+                          (workspace == 0 ? this->run.excess_factor : 1);
+  const double rate = capacity * this->run.load * fraction;
+  this->Schedule(
       this->manual.Now() + absl::Seconds(absl::Exponential(this->random, rate)),
-      [=, this] { this->Arrive(workspace); });
+      [=, this] { this->GenerateRequest(workspace); });
   if (this->run.limited &&
       !this->rates[workspace].Withdraw(1, this->manual.Now())) {
     ++this->result.over_rate;
@@ -115,13 +115,13 @@
   request->id = this->next_id++;
   request->workspace = fmt::format("w{}", workspace);
   const double kind = absl::Uniform(this->random, 0.0, 1.0);
-  if (kind < this->run.urgent_part) {
+  if (kind < this->run.urgent_fraction) {
     request->request_class = RequestClass::kUrgent;
-  } else if (kind < this->run.urgent_part + this->run.batch_part) {
+  } else if (kind < this->run.urgent_fraction + this->run.batch_fraction) {
     request->request_class = RequestClass::kBatch;
   }
-  request->prompt = kPromptTokens * absl::Uniform(this->random, 0.5, 1.5);
-  request->output = kOutputTokens * absl::Uniform(this->random, 0.5, 1.5);
+  request->prompt = kMeanPromptTokens * absl::Uniform(this->random, 0.5, 1.5);
+  request->output = kMeanOutputTokens * absl::Uniform(this->random, 0.5, 1.5);
   request->prefix =
       1 + absl::Uniform<std::uint64_t>(
               this->random, 0, static_cast<std::uint64_t>(this->run.prefixes));
@@ -130,56 +130,56 @@
   ++this->result.by_workspace[request->workspace].second;
   ++this->result.by_class[static_cast<int>(request->request_class)].second;
   const auto instance =
-      absl::Uniform<std::size_t>(this->random, 0, this->entries.size());
-  this->entries[instance].retries->RecordRequest();
+      absl::Uniform<std::size_t>(this->random, 0, this->instances.size());
+  this->instances[instance].retries->RecordRequest();
   this->Enqueue(instance, request);
 }
 
 void ServingFleet::Enqueue(std::size_t instance, const RequestPtr& request) {
-  Entry& entry = this->entries[instance];
-  const bool fair = this->run.queue == QueueWay::kFair;
-  entry.waiting[request->id] = request;
-  entry.queue->Push(QueueEntry{
+  Instance& state = this->instances[instance];
+  const bool fair = this->run.queue == QueuePolicy::kFair;
+  state.waiting[request->id] = request;
+  state.queue->Push(QueueEntry{
       request->id, fair ? request->workspace : "all",
       fair ? request->request_class : RequestClass::kChat,
       request->prompt + request->output, kModel, this->manual.Now()});
-  this->Serve(instance);
+  this->DispatchWaiting(instance);
 }
 
-void ServingFleet::Serve(std::size_t instance) {
-  Entry& entry = this->entries[instance];
-  const auto can_place = [&](const QueueEntry& waiting) {
-    return this->TryPlace(instance, entry.waiting.at(waiting.id));
+void ServingFleet::DispatchWaiting(std::size_t instance) {
+  Instance& state = this->instances[instance];
+  const auto can_dispatch = [&](const QueueEntry& waiting) {
+    return this->TryDispatch(instance, state.waiting.at(waiting.id));
   };
   while (true) {
-    const auto placed =
-        entry.queue->PopFirstDispatchable(this->manual.Now(), can_place);
-    if (!placed.has_value()) return;
-    entry.waiting.erase(placed->id);
+    const auto dispatched =
+        state.queue->PopFirstDispatchable(this->manual.Now(), can_dispatch);
+    if (!dispatched.has_value()) return;
+    state.waiting.erase(dispatched->id);
   }
 }
 
-std::string ServingFleet::ChooseSimply(std::size_t instance,
-                                       const Request& request) {
-  Entry& entry = this->entries[instance];
+std::string ServingFleet::ChooseBaselineTarget(std::size_t instance,
+                                               const Request& request) {
+  Instance& state = this->instances[instance];
   std::vector<std::string> usable;
   for (const auto& [name, target] : this->targets) {
     if (request.avoid.count(name) > 0) continue;
-    if (entry.own[name] < TargetOptions{}.max_in_flight) {
+    if (state.in_flight[name] < TargetOptions{}.max_in_flight) {
       usable.push_back(name);
     }
   }
   if (usable.empty()) return {};
-  if (this->run.routing == RoutingWay::kRoundRobin) {
-    return usable[entry.turn++ % usable.size()];
+  if (this->run.routing == RoutingPolicy::kRoundRobin) {
+    return usable[state.next_target_index++ % usable.size()];
   }
-  if (this->run.routing == RoutingWay::kTwoChoices) {
+  if (this->run.routing == RoutingPolicy::kTwoChoices) {
     const auto pick = [&] {
       return usable[absl::Uniform<std::size_t>(this->random, 0, usable.size())];
     };
     const std::string a = pick();
     const std::string b = pick();
-    return entry.own[a] <= entry.own[b] ? a : b;
+    return state.in_flight[a] <= state.in_flight[b] ? a : b;
   }
   std::string best;
   double least = 0;
@@ -193,53 +193,58 @@
   return best;
 }
 
-bool ServingFleet::TryPlace(std::size_t instance, const RequestPtr& request) {
-  Entry& entry = this->entries[instance];
-  if (this->run.routing != RoutingWay::kBook) {
-    const std::string name = this->ChooseSimply(instance, *request);
+bool ServingFleet::TryDispatch(std::size_t instance,
+                               const RequestPtr& request) {
+  Instance& state = this->instances[instance];
+  if (this->run.routing != RoutingPolicy::kRegistry) {
+    const std::string name = this->ChooseBaselineTarget(instance, *request);
     if (name.empty()) return false;
-    ++entry.own[name];
-    this->Send(instance, request, TargetReservation{name, kPool, "", 0, 0});
+    ++state.in_flight[name];
+    this->SendToTarget(instance, request,
+                       TargetReservation{name, kPool, "", 0, 0});
     return true;
   }
-  TargetRequirements need;
-  need.pool = kPool;
-  need.model = kModel;
-  need.zone = instance % 2 == 0 ? "a" : "b";
-  need.prefix = request->prefix;
-  need.tokens = request->prompt + request->output;
-  need.avoid = request->avoid;
-  const auto place = entry.book->ReserveTarget(need);
-  if (!std::holds_alternative<TargetReservation>(place)) return false;
-  this->Send(instance, request, std::get<TargetReservation>(place));
+  TargetRequirements requirements;
+  requirements.pool = kPool;
+  requirements.model = kModel;
+  requirements.zone = instance % 2 == 0 ? "a" : "b";
+  requirements.prefix = request->prefix;
+  requirements.tokens = request->prompt + request->output;
+  requirements.avoid = request->avoid;
+  const auto reservation = state.registry->ReserveTarget(requirements);
+  if (!std::holds_alternative<TargetReservation>(reservation)) return false;
+  this->SendToTarget(instance, request,
+                     std::get<TargetReservation>(reservation));
   return true;
 }
 
-void ServingFleet::Send(std::size_t instance, const RequestPtr& request,
-                        const TargetReservation& place) {
-  Target& target = this->targets.at(place.target);
+void ServingFleet::SendToTarget(std::size_t instance, const RequestPtr& request,
+                                const TargetReservation& reservation) {
+  Target& target = this->targets.at(reservation.target);
   ++this->result.attempts;
   ++request->attempts;
   if (target.refusing) {
-    this->At(this->manual.Now() + absl::Milliseconds(1),
-             [=, this] { this->Fail(instance, request, place); });
+    this->Schedule(this->manual.Now() + absl::Milliseconds(1), [=, this] {
+      this->FailAttempt(instance, request, reservation);
+    });
     return;
   }
-  if (target.silent) {
-    this->At(this->manual.Now() + kSilence,
-             [=, this] { this->Fail(instance, request, place); });
+  if (target.unresponsive) {
+    this->Schedule(this->manual.Now() + kUnresponsiveTimeout, [=, this] {
+      this->FailAttempt(instance, request, reservation);
+    });
     return;
   }
   target.queued_tokens += request->prompt + request->output;
-  Waiting waiting;
+  QueuedRequest waiting;
   waiting.request = request;
   waiting.instance = instance;
-  waiting.place = place;
+  waiting.reservation = reservation;
   target.queue[static_cast<int>(request->request_class)].push_back(waiting);
-  this->Start(target);
+  this->StartQueued(target);
 }
 
-bool ServingFleet::Hit(Target& target, std::uint64_t prefix) {
+bool ServingFleet::UsePrefixCache(Target& target, std::uint64_t prefix) {
   if (target.prefixes.count(prefix) > 0) return true;
   target.prefixes.insert(prefix);
   target.prefix_order.push_back(prefix);
@@ -250,23 +255,26 @@
   return false;
 }
 
-void ServingFleet::Start(Target& target) {
-  while (target.running < kBatch) {
-    auto line = target.queue.begin();
-    while (line != target.queue.end() && line->second.empty()) ++line;
-    if (line == target.queue.end()) return;
-    const Waiting waiting = line->second.front();
-    line->second.pop_front();
+void ServingFleet::StartQueued(Target& target) {
+  while (target.running < kTargetSlots) {
+    auto class_queue = target.queue.begin();
+    while (class_queue != target.queue.end() && class_queue->second.empty())
+      ++class_queue;
+    if (class_queue == target.queue.end()) return;
+    const QueuedRequest waiting = class_queue->second.front();
+    class_queue->second.pop_front();
     ++target.running;
     Request& request = *waiting.request;
-    const bool hit = this->Hit(target, request.prefix);
+    const bool hit = this->UsePrefixCache(target, request.prefix);
     if (hit) ++this->result.prefix_hits;
     const double prefill = request.prompt / kPrefillTokensPerSecond *
-                           (hit ? kHitPart : 1) * target.slowness;
-    const double decode = request.output / kTokensPerSecond * target.slowness;
+                           (hit ? kCachedPrefillFraction : 1) *
+                           target.slow_factor;
+    const double decode =
+        request.output / kDecodeTokensPerSecond * target.slow_factor;
     const Instant first = this->manual.Now() + absl::Seconds(prefill);
     const auto kind = static_cast<std::size_t>(request.request_class);
-    if (first - request.arrived <= kDeadlines.at(kind)) {
+    if (first - request.arrived <= kFirstTokenDeadlines.at(kind)) {
       ++this->result.in_time;
       ++this->result.by_workspace[request.workspace].first;
       ++this->result.by_class[static_cast<int>(kind)].first;
@@ -276,37 +284,39 @@
           std::max(this->result.longest_batch_wait, first - request.arrived);
     }
     const std::string name = target.name;
-    this->At(first + absl::Seconds(decode), [=, this] {
+    this->Schedule(first + absl::Seconds(decode), [=, this] {
       Target& at = this->targets.at(name);
       --at.running;
       at.queued_tokens -= waiting.request->prompt + waiting.request->output;
-      if (this->run.routing == RoutingWay::kBook) {
-        this->entries[waiting.instance].book->RecordCachedPrefix(
+      if (this->run.routing == RoutingPolicy::kRegistry) {
+        this->instances[waiting.instance].registry->RecordCachedPrefix(
             kPool, name, waiting.request->prefix);
       }
-      this->Finish(waiting.instance, waiting.place, RequestOutcome::kSucceeded);
-      this->Start(at);
+      this->FinishAttempt(waiting.instance, waiting.reservation,
+                          RequestOutcome::kSucceeded);
+      this->StartQueued(at);
     });
   }
 }
 
-void ServingFleet::Finish(std::size_t instance, const TargetReservation& place,
-                          RequestOutcome outcome) {
-  Entry& entry = this->entries[instance];
-  if (this->run.routing == RoutingWay::kBook) {
-    entry.book->ReleaseTarget(place, outcome);
+void ServingFleet::FinishAttempt(std::size_t instance,
+                                 const TargetReservation& reservation,
+                                 RequestOutcome outcome) {
+  Instance& state = this->instances[instance];
+  if (this->run.routing == RoutingPolicy::kRegistry) {
+    state.registry->ReleaseTarget(reservation, outcome);
   } else {
-    --entry.own[place.target];
+    --state.in_flight[reservation.target];
   }
-  this->Serve(instance);
+  this->DispatchWaiting(instance);
 }
 
-void ServingFleet::Fail(std::size_t instance, const RequestPtr& request,
-                        const TargetReservation& place) {
-  request->avoid.insert(place.target);
-  const bool again = request->attempts < kMostAttempts &&
-                     this->entries[instance].retries->TryConsumeRetry();
-  this->Finish(instance, place, RequestOutcome::kTargetFault);
+void ServingFleet::FailAttempt(std::size_t instance, const RequestPtr& request,
+                               const TargetReservation& reservation) {
+  request->avoid.insert(reservation.target);
+  const bool again = request->attempts < kMaxAttempts &&
+                     this->instances[instance].retries->TryConsumeRetry();
+  this->FinishAttempt(instance, reservation, RequestOutcome::kTargetFault);
   if (again) {
     this->Enqueue(instance, request);
   } else {
@@ -315,56 +325,61 @@
 }
 
 // Each instance learns what the targets said a lag ago.
-void ServingFleet::Report() {
+void ServingFleet::PublishReports() {
   const Instant now = this->manual.Now();
-  this->At(now + kReportEvery, [this] { this->Report(); });
+  this->Schedule(now + kReportPeriod, [this] { this->PublishReports(); });
   for (auto& [name, target] : this->targets) {
-    if (target.silent || target.refusing) continue;
-    int held = target.running;
-    for (const auto& [priority, line] : target.queue) {
-      held += static_cast<int>(line.size());
+    if (target.unresponsive || target.refusing) continue;
+    int requests = target.running;
+    for (const auto& [priority, class_queue] : target.queue) {
+      requests += static_cast<int>(class_queue.size());
     }
-    target.reports.push_back(Reported{now, target.queued_tokens, held});
+    target.reports.push_back(
+        ReportSnapshot{now, target.queued_tokens, requests});
     while (target.reports.size() > 1 &&
            target.reports[1].at <= now - this->run.report_lag) {
       target.reports.pop_front();
     }
     LoadReport report;
     report.queued_tokens = target.reports.front().tokens;
-    report.running = target.reports.front().held;
-    report.slots = kBatch;
+    report.running = target.reports.front().requests;
+    report.slots = kTargetSlots;
     report.boot_id = "1";
     report.resident = {kModel};
     report.lag = now - target.reports.front().at;
-    for (Entry& entry : this->entries) {
-      entry.book->ApplyLoadReport(kPool, name, report);
+    for (Instance& state : this->instances) {
+      state.registry->ApplyLoadReport(kPool, name, report);
     }
   }
 }
 
-void ServingFleet::Recheck() {
-  this->At(this->manual.Now() + kRecheckEvery, [this] { this->Recheck(); });
-  for (std::size_t i = 0; i < this->entries.size(); ++i) this->Serve(i);
+void ServingFleet::DispatchAll() {
+  this->Schedule(this->manual.Now() + kDispatchPeriod,
+                 [this] { this->DispatchAll(); });
+  for (std::size_t i = 0; i < this->instances.size(); ++i)
+    this->DispatchWaiting(i);
 }
 
 ServingResult ServingFleet::Run() {
   const Instant start = this->manual.Now();
-  this->Report();
-  this->Recheck();
-  for (std::size_t i = 0; i < this->run.workspaces.size(); ++i) {
-    this->Arrive(i);
+  this->PublishReports();
+  this->DispatchAll();
+  for (std::size_t i = 0; i < this->run.workspace_fractions.size(); ++i) {
+    this->GenerateRequest(i);
   }
-  this->At(start + kFaultAt, [this] {
+  this->Schedule(start + kFaultTime, [this] {
     std::size_t number = 0;
     for (auto& [name, target] : this->targets) {
       const bool is_first = number++ == 0;
       const bool in_third = number <= this->targets.size() / 3;
-      if (this->run.fault == TargetFault::kThirdGone) {
+      if (this->run.fault == TargetFault::kThirdRefusing) {
         target.refusing = in_third;
       }
       if (!is_first) continue;
-      if (this->run.fault == TargetFault::kSlow) target.slowness = kSlowness;
-      if (this->run.fault == TargetFault::kSilent) target.silent = true;
+      if (this->run.fault == TargetFault::kSlow)
+        target.slow_factor = kSlowFactor;
+      if (this->run.fault == TargetFault::kUnresponsive)
+        target.unresponsive = true;
       if (this->run.fault == TargetFault::kRefusing) target.refusing = true;
     }
   });
--- a/measure/model/serving_fleet.h
+++ b/measure/model/serving_fleet.h
@@ -20,40 +20,46 @@
 namespace dragonflyglade {
 
 /// How a target is chosen.
-enum class RoutingWay {
-  kBook,           ///< the real one
+enum class RoutingPolicy {
+  kRegistry,       ///< the real one
   kRoundRobin,     ///< each instance in turn
   kTwoChoices,     ///< the less busy of two, by the own requests only
   kLeastReported,  ///< whoever reported the least
 };
 
 /// How waiting requests are ordered.
-enum class QueueWay {
+enum class QueuePolicy {
   kFair,  ///< the real one
   kFifo,  ///< as they came
 };
 
 /// What is wrong with one of the targets.
-enum class TargetFault { kNone, kSlow, kSilent, kRefusing, kThirdGone };
+enum class TargetFault {
+  kNone,
+  kSlow,
+  kUnresponsive,
+  kRefusing,
+  kThirdRefusing
+};
 
 /// What a run is made of.
 struct ServingRun {
   std::size_t instances = 6;
   std::size_t targets = 20;
-  RoutingWay routing = RoutingWay::kBook;
-  QueueWay queue = QueueWay::kFair;
+  RoutingPolicy routing = RoutingPolicy::kRegistry;
+  QueuePolicy queue = QueuePolicy::kFair;
   TargetFault fault = TargetFault::kNone;
   absl::Duration report_lag = absl::Seconds(1);
   double load = 0.8;  ///< of what the targets can serve
   /// Each workspace's part of the load, before the pressure.
-  std::vector<double> workspaces = {0.4, 0.3, 0.1, 0.1, 0.1};
+  std::vector<double> workspace_fractions = {0.4, 0.3, 0.1, 0.1, 0.1};
   /// By how much the first workspace exceeds its part.
-  double pressure = 1;
+  double excess_factor = 1;
   /// Whether workspaces are held to their rates, a tenth above their parts.
   bool limited = true;
-  double batch_part = 0.2;   ///< of the requests
-  double urgent_part = 0.1;  ///< of the requests
-  int prefixes = 60;         ///< different prompt beginnings
+  double batch_fraction = 0.2;   ///< of the requests
+  double urgent_fraction = 0.1;  ///< of the requests
+  int prefixes = 60;             ///< different prompt beginnings
   absl::Duration length = absl::Seconds(120);
   std::uint64_t seed = 1;
 };
@@ -97,61 +103,62 @@
     int attempts = 0;
   };
   using RequestPtr = std::shared_ptr<Request>;
-  struct Waiting {
+  struct QueuedRequest {
     RequestPtr request;
     std::size_t instance = 0;
-    TargetReservation place;
+    TargetReservation reservation;
   };
-  struct Reported {
+  struct ReportSnapshot {
     Instant at;
     double tokens = 0;
-    int held = 0;
+    int requests = 0;
   };
   struct Target {
     std::string name;
-    double slowness = 1;
-    bool silent = false;
+    double slow_factor = 1;
+    bool unresponsive = false;
     bool refusing = false;
     int running = 0;
     double queued_tokens = 0;
     // Honours priorities.
-    std::map<int, std::deque<Waiting>> queue;
+    std::map<int, std::deque<QueuedRequest>> queue;
     std::set<std::uint64_t> prefixes;
     std::deque<std::uint64_t> prefix_order;
-    std::deque<Reported> reports;
+    std::deque<ReportSnapshot> reports;
   };
-  struct Entry {
-    std::unique_ptr<TargetRegistry> book;
+  struct Instance {
+    std::unique_ptr<TargetRegistry> registry;
     std::unique_ptr<FairQueue> queue;
     std::unique_ptr<RetryBudget> retries;
     std::map<std::uint64_t, RequestPtr> waiting;
-    std::map<std::string, int> own;  ///< requests at each target
-    std::size_t turn = 0;
+    std::map<std::string, int> in_flight;  ///< requests at each target
+    std::size_t next_target_index = 0;
   };
 
-  void At(Instant when, std::function<void()> action);
-  void Arrive(std::size_t workspace);
+  void Schedule(Instant when, std::function<void()> action);
+  void GenerateRequest(std::size_t workspace);
   void Enqueue(std::size_t instance, const RequestPtr& request);
-  void Serve(std::size_t instance);
-  bool TryPlace(std::size_t instance, const RequestPtr& request);
-  std::string ChooseSimply(std::size_t instance, const Request& request);
-  void Send(std::size_t instance, const RequestPtr& request,
-            const TargetReservation& place);
-  void Start(Target& target);
-  void Finish(std::size_t instance, const TargetReservation& place,
-              RequestOutcome outcome);
-  void Fail(std::size_t instance, const RequestPtr& request,
-            const TargetReservation& place);
-  void Report();
-  void Recheck();
-  bool Hit(Target& target, std::uint64_t prefix);
+  void DispatchWaiting(std::size_t instance);
+  bool TryDispatch(std::size_t instance, const RequestPtr& request);
+  std::string ChooseBaselineTarget(std::size_t instance,
+                                   const Request& request);
+  void SendToTarget(std::size_t instance, const RequestPtr& request,
+                    const TargetReservation& reservation);
+  void StartQueued(Target& target);
+  void FinishAttempt(std::size_t instance, const TargetReservation& reservation,
+                     RequestOutcome outcome);
+  void FailAttempt(std::size_t instance, const RequestPtr& request,
+                   const TargetReservation& reservation);
+  void PublishReports();
+  void DispatchAll();
+  bool UsePrefixCache(Target& target, std::uint64_t prefix);
 
   const ServingRun run;
   ManualClock manual;
   Clock clock;
   std::mt19937_64 random;
   std::multimap<Instant, std::function<void()>> events;
-  std::vector<Entry> entries;
+  std::vector<Instance> instances;
   std::map<std::string, Target> targets;
   std::vector<TokenBucket> rates;
   std::uint64_t next_id = 1;
--- a/tests/unit/unit-history.cc
+++ b/tests/unit/unit-history.cc
@@ -7,15 +7,15 @@
 namespace dragonflyglade {
 namespace {
 
-AdmittedEvent At(double seconds, double tokens) {
+AdmittedEvent AdmittedAt(double seconds, double tokens) {
   return AdmittedEvent{absl::Seconds(seconds), "w", tokens};
 }
 
 struct RuleCase {
   const char* name;
   std::function<Violations(const std::vector<HistoryEvent>&)> rule;
-  std::vector<HistoryEvent> good;
-  std::vector<HistoryEvent> broken;
+  std::vector<HistoryEvent> valid;
+  std::vector<HistoryEvent> invalid;
 };
 
 Violations Windows(const std::vector<HistoryEvent>& events) {
@@ -26,16 +26,18 @@
   static const auto& cases = *new std::vector<RuleCase>{
       {"a burst, then the rate",
        Windows,
-       {At(0, 100), At(1, 10), At(3, 20)},
-       {At(0, 100), At(1, 11)}},
+       {AdmittedAt(0, 100), AdmittedAt(1, 10), AdmittedAt(3, 20)},
+       {AdmittedAt(0, 100), AdmittedAt(1, 11)}},
       {"a window that begins late",
        Windows,
-       {At(0, 1), At(50, 100)},
-       {At(0, 1), At(50, 60), At(50.5, 60)}},
+       {AdmittedAt(0, 1), AdmittedAt(50, 100)},
+       {AdmittedAt(0, 1), AdmittedAt(50, 60), AdmittedAt(50.5, 60)}},
       {"unused tokens lessen their own window",
        Windows,
-       {At(0, 100), UnusedEvent{absl::Seconds(0), "w", 50}, At(0, 50)},
-       {At(0, 100), UnusedEvent{absl::Seconds(0), "w", 50}, At(20, 150)}},
+       {AdmittedAt(0, 100), UnusedEvent{absl::Seconds(0), "w", 50},
+        AdmittedAt(0, 50)},
+       {AdmittedAt(0, 100), UnusedEvent{absl::Seconds(0), "w", 50},
+        AdmittedAt(20, 150)}},
       {"at most once",
        CheckAtMostOnce,
        {RanEvent{"a"}, RanEvent{"b"}},
@@ -63,14 +65,14 @@
 
 class HistoryTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(HistoryTest);
-  CPPUNIT_TEST(EachRuleTellsGoodFromBroken);
+  CPPUNIT_TEST(EachRuleAcceptsValidAndRejectsInvalidHistories);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void EachRuleTellsGoodFromBroken() {
+  void EachRuleAcceptsValidAndRejectsInvalidHistories() {
     for (const RuleCase& item : Cases()) {
-      CPPUNIT_ASSERT_MESSAGE(item.name, item.rule(item.good).empty());
-      CPPUNIT_ASSERT_MESSAGE(item.name, !item.rule(item.broken).empty());
+      CPPUNIT_ASSERT_MESSAGE(item.name, item.rule(item.valid).empty());
+      CPPUNIT_ASSERT_MESSAGE(item.name, !item.rule(item.invalid).empty());
     }
   }
 };
--- a/tests/unit/unit-limits.cc
+++ b/tests/unit/unit-limits.cc
@@ -13,34 +13,34 @@
 struct FleetCase {
   const char* name;
   std::size_t instances;
-  Arrival arrival;
+  ArrivalPattern arrival;
   std::vector<Fault> faults;
-  double most_refused;  ///< part of the requests inside the rate
+  double max_refused_fraction;  ///< part of the requests inside the rate
 };
 
 // Random faults, losses and refunds against a pressure above the rate.
 LimitsRun RandomRun() {
   LimitsRun run;
   run.instances = *rc::gen::inRange<std::size_t>(2, 9);
-  run.arrival =
-      *rc::gen::element(Arrival::kEven, Arrival::kSkewed, Arrival::kMoving);
+  run.arrival = *rc::gen::element(
+      ArrivalPattern::kEven, ArrivalPattern::kSkewed, ArrivalPattern::kMoving);
   run.seed = *rc::gen::arbitrary<std::uint64_t>();
   run.length = absl::Seconds(20);
-  run.pressure = *rc::gen::element(0.5, 1.0, 4.0);
+  run.load_factor = *rc::gen::element(0.5, 1.0, 4.0);
   run.message_loss = *rc::gen::element(0.0, 0.05, 0.3);
-  run.unused = *rc::gen::element(0.0, 0.5, 0.95);
+  run.unused_fraction = *rc::gen::element(0.0, 0.5, 0.95);
   if (*rc::gen::arbitrary<bool>()) {
     // A burst that fills up long before unused tokens come back.
     run.burst = 4'000;
     run.cost = 600;
-    run.phase = absl::Milliseconds(*rc::gen::inRange(50, 1000));
+    run.phase_length = absl::Milliseconds(*rc::gen::inRange(50, 1000));
   }
   run.list_lag = absl::Seconds(*rc::gen::inRange(0, 12));
   const int faults = *rc::gen::inRange(0, 7);
   for (int i = 0; i < faults; ++i) {
     Fault fault;
     fault.kind = *rc::gen::element(FaultKind::kKill, FaultKind::kPause,
-                                   FaultKind::kRestart, FaultKind::kCut);
+                                   FaultKind::kRestart, FaultKind::kPartition);
     fault.at = absl::Milliseconds(*rc::gen::inRange(0, 20'000));
     fault.instance = *rc::gen::inRange<std::size_t>(0, 9);
     fault.length = absl::Milliseconds(*rc::gen::inRange(1, 9'000));
@@ -51,21 +51,21 @@
 
 class LimitsTest : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(LimitsTest);
-  CPPUNIT_TEST(RefusesLittleInsideTheRate);
-  CPPUNIT_TEST(NeverGivesMoreThanRateAndBurst);
-  CPPUNIT_TEST(APlainRefundWouldGiveMore);
+  CPPUNIT_TEST(RefusesFewRequestsWithinTheRate);
+  CPPUNIT_TEST(NeverAdmitsMoreThanRateAndBurst);
+  CPPUNIT_TEST(NaiveRefundExceedsTheBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RefusesLittleInsideTheRate() {
+  void RefusesFewRequestsWithinTheRate() {
     // A holder that dies takes its share with it until the list drops it,
     // ten seconds later: a sixth of the rate for a sixth of the run.
     const Fault kill{FaultKind::kKill, absl::Seconds(20), OwnerIndex(6), {}};
     const std::vector<FleetCase> cases = {
-        {"even", 6, Arrival::kEven, {}, 0.001},
-        {"skewed", 6, Arrival::kSkewed, {}, 0.001},
-        {"moving", 6, Arrival::kMoving, {}, 0.001},
-        {"a holder dies", 6, Arrival::kSkewed, {kill}, 1.0 / 6 / 6},
+        {"even", 6, ArrivalPattern::kEven, {}, 0.001},
+        {"skewed", 6, ArrivalPattern::kSkewed, {}, 0.001},
+        {"moving", 6, ArrivalPattern::kMoving, {}, 0.001},
+        {"a holder dies", 6, ArrivalPattern::kSkewed, {kill}, 1.0 / 6 / 6},
     };
     for (const FleetCase& item : cases) {
       LimitsRun run;
@@ -75,7 +75,8 @@
       const LimitsResult result = LimitsFleet(run).Run();
       CPPUNIT_ASSERT_MESSAGE(item.name, result.offered > 500);
       CPPUNIT_ASSERT_MESSAGE(
-          item.name, result.refused <= item.most_refused * result.offered);
+          item.name,
+          result.refused <= item.max_refused_fraction * result.offered);
       CPPUNIT_ASSERT_MESSAGE(item.name, result.overshoot <= 0);
     }
   }
@@ -83,7 +84,7 @@
   // Instances die, pause, restart and are cut off at random, messages are
   // lost and unused tokens come back late. In every window the callers of the
   // workspace together get no more than burst + rate * t.
-  void NeverGivesMoreThanRateAndBurst() {
+  void NeverAdmitsMoreThanRateAndBurst() {
     int runs = 0;
     const bool holds = rc::check("no window above the bound", [&runs] {
       if (++runs > kRandomRuns) return;
@@ -95,16 +96,16 @@
 
   // The same fleet with refunds that ignore what has overflowed since the
   // charge: the checker must find windows above the bound.
-  void APlainRefundWouldGiveMore() {
+  void NaiveRefundExceedsTheBound() {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       LimitsRun run;
       run.seed = seed;
-      run.unused = 0.95;
+      run.unused_fraction = 0.95;
       run.burst = 4'000;
       run.cost = 600;
-      run.pressure = 4;
-      run.phase = absl::Milliseconds(500);
+      run.load_factor = 4;
+      run.phase_length = absl::Milliseconds(500);
       run.instances = 1;
       run.naive_refund = true;
       worst = std::max(worst, LimitsFleet(run).Run().overshoot);
