--- a/examples/embed/embed.cc
+++ b/examples/embed/embed.cc
@@ -1,6 +1,7 @@
-// Three threads share one rate: each holds a third of it and borrows from the
-// others when its own third runs short. Prints how many requests were admitted
-// and exits 0 if they stayed within burst + rate * time.
+// Three threads share the rate of one workspace. Each has a rate limiter that
+// owns a third of the rate and borrows from the others when its own tokens are
+// used up. Prints the number of admitted requests and exits with 0 if at least
+// one was admitted and their tokens stayed within burst + rate * time.
 
 #include <dragonflyglade/decision/allotment.h>
 #include <dragonflyglade/decision/clock.h>
@@ -41,7 +42,9 @@
 
 using Limiters = std::map<std::string, std::unique_ptr<DistributedRateLimiter>>;
 
-// Takes one request's tokens; a loan is a call to the other book.
+// Charges one request to the rate, and returns whether it is admitted. A loan
+// is a direct call to the other thread's limiter; across processes it would be
+// a network call.
 bool Admit(Limiters& limiters, DistributedRateLimiter& own) {
   Admission admission =
       own.BeginAdmission(kWorkspace, kRequestTokens, kMaxWait);
--- a/measure/history/history.cc
+++ b/measure/history/history.cc
@@ -10,7 +10,7 @@
 namespace dragonflyglade {
 namespace {
 
-// Rounding of sums of doubles over a long history.
+// Allows for rounding errors of floating-point sums over a long history.
 constexpr double kToleranceTokens = 1e-3;
 
 template <typename T>
@@ -34,10 +34,11 @@
   return this->events;
 }
 
-// A window is worst when it begins and ends at admissions. With S(i) the sum
-// before the i-th and t(i) its time, a window from i to j is above the bound
-// by S(j+1) - S(i) - rate * (t(j) - t(i)) - burst, so one pass that keeps the
-// least of S(i) - rate * t(i) finds the largest.
+// The largest overshoot occurs in a window that begins and ends at an
+// admission. Let S(i) be the sum of the charges before the i-th and t(i) its
+// time. A window from i to j exceeds the bound by S(j+1) - S(i) - rate * (t(j)
+// - t(i)) - burst, so a single pass that tracks the minimum of S(i) - rate *
+// t(i) finds the maximum.
 double LargestOvershoot(const std::vector<HistoryEvent>& events,
                         const std::string& workspace, double rate,
                         double burst) {
@@ -52,7 +53,8 @@
       charges.emplace_back(event.admitted_at, -event.tokens);
     }
   }
-  // At one instant the give-backs come first: they lessen that admission.
+  // At equal times, refunds (negative charges) sort before admissions. The loop
+  // below adds all charges of one time before it evaluates the window.
   std::sort(charges.begin(), charges.end());
   double largest = -burst;
   double sum = 0;
--- a/measure/history/history.h
+++ b/measure/history/history.h
@@ -11,49 +11,49 @@
 
 namespace dragonflyglade {
 
-/// A request was admitted for a workspace at some instance.
+/// An instance admitted a request of a workspace.
 struct AdmittedEvent {
   Instant at;
   std::string workspace;
   double tokens = 0;
 };
-/// Tokens of an admission turned out not to be used.
+/// A request used fewer tokens than it was charged at admission.
 struct UnusedEvent {
-  Instant admitted_at;
+  Instant admitted_at;  ///< time of the admission, not of the refund
   std::string workspace;
   double tokens = 0;
 };
-/// A call that may not be repeated ran at a target.
+/// A call that must not run twice ran at a target.
 struct RanEvent {
   std::string call;
 };
-/// A caller was told that its call certainly did not run.
+/// A caller received a response that says that its call did not run.
 struct ToldNotRunEvent {
   std::string call;
 };
-/// An instance had a record in force.
+/// An instance used this revision of a configuration record.
 struct InForceEvent {
   std::string instance;
   std::string key;
   std::int64_t revision = 0;
 };
-/// A caller got an answer.
+/// A caller received a response.
 struct AnswerEvent {
-  std::string expected;  ///< the only right answer
+  std::string expected;  ///< the only correct response
   std::string received;
 };
-/// A target had this much in memory.
+/// Memory use of a target at one time.
 struct MemoryEvent {
   std::string target;
-  std::int64_t used = 0;
-  std::int64_t capacity = 0;
+  std::int64_t used = 0;      ///< bytes
+  std::int64_t capacity = 0;  ///< bytes
 };
 
 using HistoryEvent =
     std::variant<AdmittedEvent, UnusedEvent, RanEvent, ToldNotRunEvent,
                  InForceEvent, AnswerEvent, MemoryEvent>;
 
-/// What happened, in the order in which it was recorded. Thread-safe.
+/// Log of events in the order in which they were recorded. Thread-safe.
 class History {
  public:
   void Add(HistoryEvent event);
@@ -64,25 +64,30 @@
   std::vector<HistoryEvent> events ABSL_GUARDED_BY(mutex);
 };
 
-/// What a rule found; empty if the history keeps it.
+/// Descriptions of the violations that a check found; empty if there are none.
 using Violations = std::vector<std::string>;
 
-/// No window of any length t holds more than burst + rate * t tokens, net of
-/// what was not used.
+/// Checks that in every time window of length t, admitted tokens minus unused
+/// ones are at most burst + rate * t.
+/// @param rate in tokens per second
+/// @param burst in tokens
 Violations CheckRateWindows(const std::vector<HistoryEvent>& events,
                             const std::string& workspace, double rate,
                             double burst);
-/// The most by which any window was above burst + rate * t; negative if none.
+/// Returns the largest number of tokens by which any time window of length t
+/// exceeds burst + rate * t; negative if no window does.
 double LargestOvershoot(const std::vector<HistoryEvent>& events,
                         const std::string& workspace, double rate,
                         double burst);
-/// No call ran twice, and none ran whose caller was told "not run".
+/// Checks that no call ran twice, and that no call ran whose caller was told
+/// that it did not run.
 Violations CheckAtMostOnce(const std::vector<HistoryEvent>& events);
-/// No instance had an older revision in force after a newer one.
+/// Checks that no instance used an older revision of a record after a newer
+/// one.
 Violations CheckConfigNeverBack(const std::vector<HistoryEvent>& events);
-/// Each caller got the whole answer to its own request.
+/// Checks that each caller received the complete response to its own request.
 Violations CheckOwnAnswers(const std::vector<HistoryEvent>& events);
-/// No target held more than its memory.
+/// Checks that no target used more memory than it has.
 Violations CheckMemory(const std::vector<HistoryEvent>& events);
 
 }  // namespace dragonflyglade
--- a/measure/main.cc
+++ b/measure/main.cc
@@ -1,4 +1,5 @@
-// Measures the decisions on a virtual clock, against their baselines.
+// Benchmark program: simulates the decision classes on a virtual clock,
+// compares them with baseline algorithms, and prints one result a line.
 
 #include <fmt/format.h>
 
@@ -19,7 +20,9 @@
 
 constexpr int kUsageErrorExitCode = 2;
 
-// An option's value that the topic does not know would measure nothing.
+// Rejects an option value that the topic does not support. Without this check
+// the value would filter out every run, and the program would print nothing and
+// exit with success.
 bool IsKnown(const char* option, const std::string& value,
              const std::vector<std::string>& known) {
   if (value.empty()) return true;
--- a/measure/measure_capacity.cc
+++ b/measure/measure_capacity.cc
@@ -21,7 +21,7 @@
 
 constexpr const char* kPool = "p";
 
-// Processor time of this process so far, in seconds.
+// CPU time (user and system) that this process has used so far.
 double CpuSeconds() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
@@ -40,7 +40,7 @@
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE));
 }
 
-// Processor time of one call, from many.
+// Prints the mean CPU time of one call.
 void PrintCost(const std::string& name, int calls,
                const std::function<void(int)>& call) {
   const double start = CpuSeconds();
@@ -218,7 +218,8 @@
 }  // namespace
 
 void MeasureCapacity(const MeasureOptions&) {
-  // Before anything else has left free memory behind.
+  // Runs first: memory that other benchmarks have freed would be reused here
+  // and make the growth of the resident set too small.
   MeasureAdmission();
   MeasureConfiguration();
   MeasureTargets();
--- a/measure/measure_config.cc
+++ b/measure/measure_config.cc
@@ -10,13 +10,15 @@
 constexpr double kSecondsPerDay = 86'400;
 constexpr int kRelays = 2;
 constexpr double kRereadsPerSecond = 1;
-// One watch counts as a call for as long as it waits.
+// A watch is one long-polling call that is always open; it counts as one call
+// per second.
 constexpr double kCallsPerRelayAndSecond = 1 + kRereadsPerSecond;
 
 }  // namespace
 
-// How long news takes to be everywhere, and what following the configuration
-// costs the key-value service, against everybody watching it.
+// Measures how long a configuration change takes to reach all instances, and
+// computes the call rate at the key-value service when only relay instances
+// watch it and when every instance does.
 void MeasureConfig(const MeasureOptions& options) {
   std::vector<std::size_t> sizes = {6, 40, 400};
   if (options.instances != 0) sizes = {options.instances};
--- a/measure/measure_limits.cc
+++ b/measure/measure_limits.cc
@@ -32,7 +32,8 @@
   bool kv_unavailable = false;
 };
 
-// The holder that dies or pauses is one that skewed traffic does not go to.
+// The share owner that is killed or paused is not the instance that receives
+// skewed traffic.
 std::vector<Scenario> Scenarios(std::size_t instances) {
   const std::size_t last = OwnerIndex(instances);
   return {
--- a/measure/measure_membership.cc
+++ b/measure/measure_membership.cc
@@ -85,7 +85,7 @@
   request.workspace = "gallery-arusha";
   request.tokens = 1200;
   request.longest_wait_us = 250'000;
-  // The call's own header: name, sequence number, type.
+  // Thrift message header: method name, sequence number and message type.
   constexpr double kCallHeaderBytes = 14;
   PrintFigure("limits.borrow.request", EncodedBytes(request) + kCallHeaderBytes,
               "bytes");
--- a/measure/measure_once.cc
+++ b/measure/measure_once.cc
@@ -14,7 +14,7 @@
 constexpr int kPayouts = 20'000;
 constexpr int kMaxAttempts = 6;
 
-// Where an entry dies while it serves one try.
+// The point at which an instance crashes while it serves one attempt.
 enum class CrashPoint { kNone, kBeforeClaim, kAfterClaim, kAfterDispatch };
 
 struct Counts {
@@ -25,8 +25,9 @@
   int kv_calls = 0;
 };
 
-// Payouts whose callers try again until they are told, entries that die at
-// each step, and a key-value service that loses answers.
+// Simulates payouts that must not run twice. Callers retry until a response
+// confirms the payout or their attempts are used up, instances crash at each
+// step, and responses of the key-value service and the target are lost.
 class PayoutRun {
  public:
   PayoutRun(std::uint64_t seed, double loss, bool claims)
@@ -61,7 +62,8 @@
     return static_cast<CrashPoint>(absl::Uniform(this->random, 1, 4));
   }
 
-  // One write; an answer may be lost after it took effect.
+  // Creates a claim record. The response may be lost after the write took
+  // effect; the outcome is then unknown to the instance.
   ClaimWriteResult Create(const std::string& key, const Claim& claim) {
     ++this->counts.kv_calls;
     const auto found = this->store.find(key);
@@ -76,7 +78,7 @@
                : result;
   }
 
-  // True when the caller knows that its payout ran.
+  // Returns true if the caller receives confirmation that its payout ran.
   bool Attempt(const std::string& key) {
     const CrashPoint crash = this->DrawCrashPoint();
     if (crash == CrashPoint::kBeforeClaim) return false;
@@ -100,7 +102,7 @@
       this->store[key] = SerializeClaim(claim);
       ++this->counts.kv_calls;
     }
-    // The caller's own connection may break as well.
+    // The response can also be lost between the instance and the caller.
     return !this->DrawChance(this->loss);
   }
 
--- a/measure/measure_placement.cc
+++ b/measure/measure_placement.cc
@@ -40,8 +40,8 @@
   PrintFigure(name + ".overcommitted", std::max(0, result.worst_over), "bytes");
 }
 
-// One planning round at the size that decides, split over pools as the role
-// is, and once as a single pool.
+// Prints the wall-clock duration of one planning round. The planner runs once
+// per pool; the callers measure one pool and the whole fleet as a single pool.
 void PrintPlannerTime(int targets, int models) {
   ManualClock manual;
   manual.Advance(absl::Hours(1));
--- a/measure/measure_residency.cc
+++ b/measure/measure_residency.cc
@@ -11,13 +11,14 @@
 namespace dragonflyglade {
 namespace {
 
-// A fleet of engines with all its models placed.
+// Size of a fleet of engines.
 struct FleetSize {
   int engines = 0;
   int models = 0;
-  int adapters = 0;  ///< asked for now
+  int adapters = 0;  ///< with current demand
 };
 
+// Fleet whose engines already hold all models.
 struct PlacedFleet {
   std::vector<DemandedModel> models;
   std::vector<DemandedAdapter> adapters;
--- a/measure/measure_routing.cc
+++ b/measure/measure_routing.cc
@@ -29,7 +29,8 @@
                                   {"one_refusing", TargetFault::kRefusing},
                                   {"third_gone", TargetFault::kThirdRefusing}};
 
-// The sum over a few seeds.
+// Sums the results of kSeeds runs with consecutive seeds. The longest batch
+// wait is the maximum over the runs.
 ServingResult RunSeeds(const MeasureOptions& options, ServingRun run) {
   ServingResult total;
   for (int i = 0; i < kSeeds; ++i) {
--- a/measure/model/limits_fleet.cc
+++ b/measure/model/limits_fleet.cc
@@ -21,11 +21,12 @@
 constexpr absl::Duration kPreferredInstancePeriod = absl::Seconds(10);
 constexpr std::size_t kSmallFleetInstances = 8;
 constexpr std::size_t kLargeFleetOwners = 4;
-// Three phases with requests, then one without.
+// Three phases with requests are followed by an idle one.
 constexpr int kPhaseCount = 4;
 constexpr int kLastBusyPhase = 2;
 constexpr int kIdlePhase = 3;
-// Time before the first request, in which shares are given out and filled.
+// Time before the first request, in which shares are assigned and their buckets
+// fill.
 constexpr absl::Duration kWarmUp = absl::Seconds(6);
 
 std::string NameOf(std::size_t instance) {
@@ -49,7 +50,8 @@
                         this->clock),
       reference_bucket(Instant()) {
   this->allotment.workspace = kWorkspace;
-  // Skewed traffic goes to an instance that lives.
+  // Skewed traffic goes to an instance that the fault scenarios, which kill or
+  // pause the owner, do not stop.
   this->preferred_instance = (OwnerIndex(run.instances) + 1) % run.instances;
   this->instances.resize(run.instances);
   for (std::size_t i = 0; i < run.instances; ++i) this->Restart(i);
@@ -61,17 +63,16 @@
 }
 
 void LimitsFleet::Restart(std::size_t instance) {
-  Instance& current = this->instances[instance];
-  if (current.limiter != nullptr) ++current.incarnation;
-  current.alive = true;
-  current.paused_until = Instant();
-  current.limiter = std::make_unique<DistributedRateLimiter>(
-      NameOf(instance), current.incarnation, RateLimiterOptions{}, this->clock);
-  current.limiter->SetRate(kWorkspace,
-                           RateLimit{this->run.rate, this->run.burst});
-  // The configuration, allotment included, comes from the service or a peer.
-  if (this->allotment.epoch > 0)
-    current.limiter->ApplyAllotment(this->allotment);
+  Instance& self = this->instances[instance];
+  if (self.limiter != nullptr) ++self.incarnation;
+  self.alive = true;
+  self.paused_until = Instant();
+  self.limiter = std::make_unique<DistributedRateLimiter>(
+      NameOf(instance), self.incarnation, RateLimiterOptions{}, this->clock);
+  self.limiter->SetRate(kWorkspace, RateLimit{this->run.rate, this->run.burst});
+  // A restarted instance reads the configuration, which includes the allotment,
+  // from the key-value service or a peer.
+  if (this->allotment.epoch > 0) self.limiter->ApplyAllotment(this->allotment);
 }
 
 void LimitsFleet::Schedule(Instant when, std::function<void()> action) {
@@ -128,37 +129,39 @@
                                         std::max(1.0, this->run.load_factor));
   this->Schedule(now + absl::Seconds(absl::Exponential(this->random, 1 / mean)),
                  [this] { this->GenerateRequest(); });
-  // On and off, so that bursts come after silence as well.
+  // The idle phase lets buckets fill, so that bursts after it are simulated
+  // too.
   if (this->CurrentPhase() == kIdlePhase) return;
   if (!this->reference_bucket.Withdraw(this->run.cost, now)) return;
   ++this->result.offered;
   const std::size_t instance = this->ChooseInstance();
-  Instance& current = this->instances[instance];
-  if (!current.alive) return;
-  auto admission = std::make_shared<Admission>(current.limiter->BeginAdmission(
+  Instance& self = this->instances[instance];
+  if (!self.alive) return;
+  auto admission = std::make_shared<Admission>(self.limiter->BeginAdmission(
       kWorkspace, this->run.cost, this->run.max_wait));
-  this->ContinueAdmission(instance, current.incarnation, admission);
+  this->ContinueAdmission(instance, self.incarnation, admission);
 }
 
 void LimitsFleet::ContinueAdmission(std::size_t instance,
                                     std::int64_t incarnation,
                                     std::shared_ptr<Admission> admission) {
-  Instance& current = this->instances[instance];
-  // A request of a dead process is lost with it.
-  if (!current.alive || current.incarnation != incarnation) return;
-  if (current.paused_until > this->manual.Now()) {
-    this->Schedule(current.paused_until, [=, this] {
+  Instance& self = this->instances[instance];
+  // A request is lost when the process that holds it terminates.
+  if (!self.alive || self.incarnation != incarnation) return;
+  if (self.paused_until > this->manual.Now()) {
+    this->Schedule(self.paused_until, [=, this] {
       this->ContinueAdmission(instance, incarnation, admission);
     });
     return;
   }
-  const AdmissionStep step = current.limiter->Next(*admission);
+  const AdmissionStep step = self.limiter->Next(*admission);
   if (std::holds_alternative<Admitted>(step)) {
     const Instant now = this->manual.Now();
     this->result.history.emplace_back(
         AdmittedEvent{now, kWorkspace, this->run.cost});
-    // What comes before a pause is hardly used, what comes after it wholly:
-    // the worst order for late refunds.
+    // Requests before the idle phase are refunded in part, those after it are
+    // not refunded. This is the worst order for late refunds: the bucket may
+    // have filled up in the idle phase before the refund arrives.
     if (this->run.unused_fraction == 0 ||
         this->CurrentPhase() != kLastBusyPhase)
       return;
@@ -170,7 +173,8 @@
       if (!later.alive || later.incarnation != incarnation) return;
       this->result.history.emplace_back(UnusedEvent{now, kWorkspace, unused});
       Admission refunded = *admission;
-      // A plain refund is one that claims to have been charged just now.
+      // The naive refund moves the charge to the present time, so that the
+      // limiter does not see the overflow since the real charge.
       if (this->run.naive_refund) refunded.charged = this->manual.Now();
       later.limiter->RefundUnused(refunded, this->run.cost - unused);
     });
@@ -197,9 +201,9 @@
     const std::int64_t incarnation = this->instances[lender].incarnation;
     this->Schedule(this->manual.Now() + this->DrawNetworkDelay(), [=, this] {
       this->Schedule(this->WakeTime(lender), [=, this] {
-        Instance& current = this->instances[lender];
-        if (!current.alive || current.incarnation != incarnation) return;
-        current.limiter->ReceiveReturn(kWorkspace, loan.tokens, loan.stamp);
+        Instance& self = this->instances[lender];
+        if (!self.alive || self.incarnation != incarnation) return;
+        self.limiter->ReceiveReturn(kWorkspace, loan.tokens, loan.stamp);
       });
     });
   }
@@ -220,12 +224,12 @@
   const auto finish = [=, this](const std::optional<Loan>& loan) {
     if (*completed) return;
     *completed = true;
-    Instance& current = this->instances[instance];
-    if (!current.alive || current.incarnation != incarnation) return;
-    current.limiter->CompleteLoan(*admission, step.peer, loan);
+    Instance& self = this->instances[instance];
+    if (!self.alive || self.incarnation != incarnation) return;
+    self.limiter->CompleteLoan(*admission, step.peer, loan);
     this->ContinueAdmission(instance, incarnation, admission);
   };
-  // The timer of a paused process fires when it wakes.
+  // The timer of a paused process fires when the process resumes.
   this->Schedule(sent + kBorrowTimeout, [=, this] {
     this->Schedule(this->WakeTime(instance), [=] { finish(std::nullopt); });
   });
@@ -248,8 +252,8 @@
   });
 }
 
-// What the real keeper does, with the service's compare-and-swap reduced to
-// one variable.
+// Plans the next allotment with the production code. A member variable stands
+// in for the record that production updates by compare-and-swap.
 void LimitsFleet::UpdateAllotment() {
   this->Schedule(this->manual.Now() + kAllotmentPeriod,
                  [this] { this->UpdateAllotment(); });
@@ -319,7 +323,8 @@
          this->instances[to].limiter->Balances(16)) {
       sender.limiter->ReceiveBalance(NameOf(to), balance);
     }
-    // A cut instance catches up with the allotment when it is back.
+    // An instance that missed an allotment during a network partition receives
+    // it with the first exchange after the partition.
     if (this->allotment.epoch > 0)
       sender.limiter->ApplyAllotment(this->allotment);
   }
--- a/measure/model/limits_fleet.h
+++ b/measure/model/limits_fleet.h
@@ -17,57 +17,66 @@
 
 namespace dragonflyglade {
 
-/// Where requests arrive.
-enum class ArrivalPattern { kEven, kSkewed, kMoving };
+/// Distribution of the requests over the instances.
+enum class ArrivalPattern {
+  kEven,    ///< uniformly at random
+  kSkewed,  ///< all to one instance while it runs
+  kMoving,  ///< all to one instance, which changes at random
+};
 
-/// Which way of sharing is measured.
+/// How instances share the rate of a workspace.
 enum class SharingMode {
-  kBorrowing,    ///< the real one
+  kBorrowing,    ///< the production algorithm
   kStaticSplit,  ///< equal shares, no loans
-  kOneOwner,     ///< one holder lends to all others
+  kOneOwner,     ///< one owner of the whole rate lends to all others
 };
 
-/// Something that happens to an instance of the model.
+/// A fault that is injected into one simulated instance.
 enum class FaultKind { kKill, kPause, kRestart, kPartition };
 struct Fault {
   FaultKind kind = FaultKind::kKill;
-  Instant at;
-  std::size_t instance = 0;
-  absl::Duration length;  ///< of a pause or cut
+  Instant at;                ///< from the end of the warm-up
+  std::size_t instance = 0;  ///< index, modulo the number of instances
+  absl::Duration length;     ///< duration of a pause or network partition
 };
 
-/// The instance that owns the workspace when there is one owner.
+/// Returns the index of the instance that owns the whole rate when there is
+/// one owner.
 std::size_t OwnerIndex(std::size_t instances);
 
-/// What a run is made of.
+/// Parameters of a simulation run. Rates are in tokens per second; burst and
+/// cost are in tokens.
 struct LimitsRun {
   std::size_t instances = 6;
   ArrivalPattern arrival = ArrivalPattern::kEven;
   SharingMode mode = SharingMode::kBorrowing;
   double rate = 20'000;
   double burst = 40'000;
-  double cost = 1'200;
+  double cost = 1'200;  ///< of each request
   absl::Duration length = absl::Seconds(60);
   absl::Duration max_wait = absl::Milliseconds(250);
   std::vector<Fault> faults;
   double message_loss = 0;
-  /// Part of the cost that turns out not to be used by requests of the last
-  /// phase before a pause; given back after up to two seconds.
+  /// Fraction of the cost that requests admitted in the last phase before the
+  /// idle phase do not use; refunded after up to two seconds.
   double unused_fraction = 0;
-  /// Whether unused tokens are given back without looking at the past.
+  /// Baseline that refunds unused tokens as if they had been charged just now,
+  /// which ignores the bucket's overflow since the charge.
   bool naive_refund = false;
-  /// Requests come in three of every four phases.
+  /// Requests arrive in three of every four phases; the fourth is idle.
   absl::Duration phase_length = absl::Seconds(4);
-  /// Requests come faster than the rate by this factor.
+  /// Offered load as a multiple of the rate.
   double load_factor = 1;
+  /// Delay until a change of the instance list becomes visible.
   absl::Duration list_lag = absl::Seconds(10);
+  /// Makes the key-value service unavailable from the end of the warm-up.
   bool kv_unavailable = false;
   std::uint64_t seed = 1;
 };
 
-/// What a run showed.
+/// Results of a simulation run.
 struct LimitsResult {
-  int offered = 0;  ///< requests inside the rate
+  int offered = 0;  ///< requests within burst + load_factor * rate * t
   int refused = 0;
   double overshoot = 0;  ///< tokens above burst + rate * t; negative if none
   std::int64_t messages = 0;
@@ -75,8 +84,9 @@
   std::vector<HistoryEvent> history;
 };
 
-/// A fleet of share books on a virtual clock, with a network that delays and
-/// loses messages, a list that lags, and an allotment that one keeper tends.
+/// Simulates the distributed rate limiters of a fleet on a virtual clock. The
+/// network delays and loses messages, the instance list lags behind, and one
+/// process updates the allotment of the workspace's shares.
 class LimitsFleet {
  public:
   explicit LimitsFleet(const LimitsRun& run);
--- a/measure/model/membership_fleet.cc
+++ b/measure/model/membership_fleet.cc
@@ -46,8 +46,8 @@
   return !absl::Bernoulli(this->random, this->run.message_loss);
 }
 
-// A request and its answer, each of which may be lost. True if the sender got
-// the answer.
+// Sends a request and its response, each of which may be lost. Returns true if
+// the sender received the response.
 bool MembershipFleet::Exchange(std::size_t from, std::size_t to) {
   Instance& sender = this->instances[from];
   Instance& receiver = this->instances[to];
@@ -70,7 +70,7 @@
   const auto next = own.membership->NextToProbe();
   if (!next.has_value()) return;
   const std::size_t target = std::stoul(next->info.name.substr(1));
-  // The real exchange repeats on a new connection.
+  // The production code retries a failed exchange once on a new connection.
   if (this->Exchange(instance, target) || this->Exchange(instance, target))
     return;
   for (const MemberStatus& helper :
@@ -112,7 +112,8 @@
   }
 }
 
-// Rounds of different instances are spread over the period.
+// Instances run their probe rounds one after another, evenly spaced over the
+// probe period.
 MembershipResult MembershipFleet::Run() {
   const absl::Duration step = this->instances[0].membership->Period() /
                               static_cast<double>(this->instances.size());
@@ -129,7 +130,7 @@
     }
     const bool had_update = this->instances[instance].has_update;
     if (this->instances[instance].alive) this->ProbeRound(instance);
-    // Whoever hears of something new passes it on at once.
+    // An instance that learns of an update forwards it immediately.
     if (!had_update && this->instances[instance].has_update) {
       for (const MemberStatus& other :
            this->instances[instance].membership->SampleAlive(kUpdateFanout,
--- a/measure/model/membership_fleet.h
+++ b/measure/model/membership_fleet.h
@@ -14,29 +14,29 @@
 
 namespace dragonflyglade {
 
-/// What a run is made of.
+/// Parameters of a simulation run.
 struct MembershipRun {
   std::size_t instances = 6;
-  double message_loss = 0;
+  double message_loss = 0;  ///< probability that a message is lost
   absl::Duration length = absl::Minutes(2);
-  /// When one instance dies without notice.
+  /// When one instance is killed without leaving the group.
   absl::Duration kill_at = absl::Seconds(60);
   std::uint64_t seed = 1;
 };
 
-/// What a run showed.
+/// Results of a simulation run.
 struct MembershipResult {
-  int false_deaths = 0;  ///< judgements "dead" of a living instance
-  /// From the death until every instance judged it dead.
+  int false_deaths = 0;  ///< running instances declared dead, per observer
+  /// From the kill until every running instance has declared it dead.
   absl::Duration death_known_after = absl::InfiniteDuration();
-  /// From a piece of news at one instance until all had it.
+  /// From an update at one instance until all running instances have it.
   absl::Duration update_everywhere_after = absl::InfiniteDuration();
-  double messages_per_second = 0;  ///< sent by an instance
+  double messages_per_second = 0;  ///< sent per instance
   double updates_per_message = 0;
 };
 
-/// Membership objects that exchange heartbeats over a lossy network on a
-/// virtual clock.
+/// Simulates the membership protocol of a fleet on a virtual clock. Instances
+/// exchange heartbeats over a network that loses messages.
 class MembershipFleet {
  public:
   explicit MembershipFleet(const MembershipRun& run);
--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -18,7 +18,8 @@
 constexpr absl::Duration kReportLag = absl::Seconds(1);
 constexpr absl::Duration kLongestPause = absl::Seconds(30);
 constexpr double kHalf = 0.5;
-// Demand of models falls off like this power of their rank.
+// The demand of a model is proportional to its rank to the power of minus this
+// exponent.
 constexpr double kDemandExponent = 0.8;
 
 std::string ModelName(int model) { return fmt::format("m{}", model); }
@@ -70,7 +71,8 @@
   return fmt::format("{}-{}", target.name, target.boot_number);
 }
 
-// Up and down by the swing within an hour, each model in its own phase.
+// Demand follows a sine wave with a period of two hours on a logarithmic scale.
+// Each model has a random phase.
 double PlacementFleet::DemandOf(int model) const {
   const double angle =
       2 * M_PI * absl::FDivDuration(this->manual.Now(), absl::Hours(2)) +
@@ -102,8 +104,8 @@
       since = now;
     }
     const Target& target = this->targets.at(name);
-    // The report was made a lag ago, of the memory at that time; what changed
-    // since is not in it, so it only counts once the lag has passed as well.
+    // A report is kReportLag old. Before that time has passed since the last
+    // order, the report may predate the order's effect and is not applied.
     std::set<std::string> resident;
     for (const auto& [copy, bytes] : target.memory) resident.insert(copy);
     const Instant made_at = now - kReportLag;
@@ -133,7 +135,7 @@
   std::map<std::string, StoredLedger> snapshot = this->store;
   const std::vector<PlanStep> steps =
       planner.planner->Plan(this->MakePlannerInput(planner, snapshot));
-  // A planner may pause between its picture and what it does about it.
+  // A planner may pause between reading the ledgers and acting on its plan.
   Instant when = this->manual.Now();
   if (this->DrawChance(this->run.pauses)) {
     planner.paused_until =
@@ -163,8 +165,9 @@
 void PlacementFleet::ApplyStep(std::size_t index, const PlanStep& step,
                                std::map<std::string, StoredLedger> snapshot) {
   const std::int64_t token = this->planners[index].token;
-  // Steps of one round follow each other, so each sees the one before; a
-  // paused planner acts on its old picture and fails the comparison.
+  // Steps of one round run in sequence, and each sees the writes of the one
+  // before. A planner that paused uses its old snapshot, and its write fails on
+  // the revision check if another planner has written in the meantime.
   const auto fresh = [&](const std::string& target) {
     StoredLedger stored = snapshot.at(target);
     const StoredLedger& current = this->store.at(target);
@@ -247,7 +250,7 @@
   const absl::Duration wait = is_late ? draw_delay() : absl::ZeroDuration();
   this->Schedule(this->manual.Now() + wait + duration, [=, this] {
     Target& target = this->targets.at(name);
-    // An order to a process that has ended goes nowhere.
+    // An order to a process that has terminated has no effect.
     const bool arrives = target.boot_number == boot_number;
     const bool done =
         arrives && this->ExecuteOrder(target, is_load, spec, token);
@@ -280,17 +283,16 @@
   this->WriteLedger(stored, {});
 }
 
-void PlacementFleet::SampleSecond() {
+void PlacementFleet::SimulateSecond() {
   this->Schedule(this->manual.Now() + absl::Seconds(1),
-                 [this] { this->SampleSecond(); });
+                 [this] { this->SimulateSecond(); });
   for (auto& [name, target] : this->targets) {
     if (!this->DrawChance(this->run.restarts)) continue;
     ++target.boot_number;
     target.memory.clear();
     target.highest_token = 0;
   }
-  // A target's tokens a second are shared among the models it holds by what
-  // they are asked for.
+  // Each copy of a model serves up to copy_tokens_per_second of its demand.
   std::map<std::string, int> copies;
   for (const auto& [name, target] : this->targets) {
     for (const auto& [copy, bytes] : target.memory) ++copies[copy];
@@ -311,7 +313,7 @@
     this->Schedule(this->manual.Now() + kShortOperationTime * (i + 1),
                    [=, this] { this->PlanRound(i); });
   }
-  this->Schedule(absl::Seconds(60), [this] { this->SampleSecond(); });
+  this->Schedule(absl::Seconds(60), [this] { this->SimulateSecond(); });
   while (!this->events.empty() &&
          this->events.begin()->first < this->run.length) {
     const auto next = this->events.begin();
--- a/measure/model/placement_fleet.h
+++ b/measure/model/placement_fleet.h
@@ -17,47 +17,56 @@
 
 namespace dragonflyglade {
 
-/// What a run is made of.
+/// Parameters of a simulation run. Probabilities are from 0 to 1; sizes are in
+/// bytes.
 struct PlacementRun {
   int targets = 6;
   int models = 12;
   int adapters = 6;
-  int planners = 1;
-  bool fenced = false;
-  std::int64_t capacity = 1000;
+  int planners = 1;              ///< that run at the same time
+  bool fenced = false;           ///< whether targets check fencing tokens
+  std::int64_t capacity = 1000;  ///< memory of a target
   std::int64_t model_bytes = 220;
   std::int64_t adapter_bytes = 10;
   absl::Duration length = absl::Minutes(10);
-  /// Part of the orders whose answer is lost, and that are carried out late.
+  /// Probability that the response to an order is lost.
   double lost = 0;
+  /// Probability that an order is executed late. Its response is lost as well,
+  /// and half of the late orders are executed twice.
   double late = 0;
   absl::Duration max_order_delay = absl::Seconds(60);
-  /// Chance in each second that a target restarts, and that a planner pauses.
+  /// Probability per second that a target restarts.
   double restarts = 0;
+  /// Probability per planning round that a planner pauses.
   double pauses = 0;
+  /// Makes the key-value service unavailable for the middle fifth of the run.
   bool kv_out_midway = false;
-  /// Demand of each model moves up and down by this factor within an hour.
+  /// Ratio of the highest to the lowest demand of each model. Demand moves from
+  /// one to the other within an hour.
   double swing = 1;
   double tokens_per_second = 6000;  ///< of all models together
+  /// Baseline: the planner sees no demand.
   bool static_placement = false;
   PlannerOptions plan;
-  /// A planner that gives bytes back as soon as an unload is confirmed.
+  /// Faulty planner that releases a copy's memory as soon as an unload is
+  /// confirmed, although an earlier load may still be executed.
   bool forget_open_loads = false;
   std::uint64_t seed = 1;
 };
 
-/// What a run showed.
+/// Results of a simulation run.
 struct PlacementResult {
   int moves = 0;         ///< loads of models
-  double attained = 0;   ///< part of the demand that found a copy with room
-  double reachable = 0;  ///< part of model-seconds with a copy
+  double attained = 0;   ///< fraction of the demand that the copies could serve
+  double reachable = 0;  ///< fraction of model-seconds with at least one copy
   std::int64_t kv_writes = 0;
-  int worst_over = 0;  ///< bytes above a target's memory; 0 if never
+  int worst_over = 0;  ///< most bytes above a target's memory; 0 if never
   std::vector<HistoryEvent> history;
 };
 
-/// Targets with finite memory, planners that may race and pause, and orders
-/// that are lost, late or doubled, on a virtual clock.
+/// Simulates model placement on a virtual clock: targets with limited memory,
+/// planners that may run concurrently and pause, and orders that are delayed or
+/// duplicated or whose responses are lost.
 class PlacementFleet {
  public:
   explicit PlacementFleet(const PlacementRun& run);
@@ -98,7 +107,7 @@
                     std::int64_t token);
   void RecordOutcome(const std::string& target, bool is_load,
                      const OrderOutcome& outcome);
-  void SampleSecond();
+  void SimulateSecond();
   double DemandOf(int model) const;
   bool IsKvUnavailable() const;
   bool DrawChance(double probability);
--- a/measure/model/serving_fleet.cc
+++ b/measure/model/serving_fleet.cc
@@ -87,7 +87,7 @@
         std::make_unique<TargetRegistry>(options, this->clock, run.seed + i);
     state.registry->ApplyTargetList(1, list);
     state.registry->SetInstanceCount(static_cast<int>(run.instances));
-    // Waiting in the order of arrival is a fair queue with one line.
+    // A FairQueue with one workspace and one class is a FIFO queue.
     state.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
     state.retries = std::make_unique<RetryBudget>(0.1, 10);
   }
@@ -324,7 +324,7 @@
   }
 }
 
-// Each instance learns what the targets said a lag ago.
+// Gives each instance the targets' load as it was report_lag ago.
 void ServingFleet::PublishReports() {
   const Instant now = this->manual.Now();
   this->Schedule(now + kReportPeriod, [this] { this->PublishReports(); });
--- a/measure/model/serving_fleet.h
+++ b/measure/model/serving_fleet.h
@@ -19,30 +19,31 @@
 
 namespace dragonflyglade {
 
-/// How a target is chosen.
+/// How an instance chooses a target.
 enum class RoutingPolicy {
-  kRegistry,       ///< the real one
-  kRoundRobin,     ///< each instance in turn
-  kTwoChoices,     ///< the less busy of two, by the own requests only
-  kLeastReported,  ///< whoever reported the least
+  kRegistry,       ///< the production policy
+  kRoundRobin,     ///< each instance cycles through the targets
+  kTwoChoices,     ///< of two random targets, the one with fewer of the
+                   ///< instance's own requests
+  kLeastReported,  ///< the target that reported the fewest queued tokens
 };
 
 /// How waiting requests are ordered.
 enum class QueuePolicy {
-  kFair,  ///< the real one
-  kFifo,  ///< as they came
+  kFair,  ///< the production queue
+  kFifo,  ///< in order of arrival
 };
 
-/// What is wrong with one of the targets.
+/// Fault that is injected into the targets during a run.
 enum class TargetFault {
   kNone,
-  kSlow,
-  kUnresponsive,
-  kRefusing,
-  kThirdRefusing
+  kSlow,           ///< one target is slow
+  kUnresponsive,   ///< one target accepts requests and never responds
+  kRefusing,       ///< one target refuses requests
+  kThirdRefusing,  ///< a third of the targets refuse requests
 };
 
-/// What a run is made of.
+/// Parameters of a simulation run.
 struct ServingRun {
   std::size_t instances = 6;
   std::size_t targets = 20;
@@ -50,40 +51,45 @@
   QueuePolicy queue = QueuePolicy::kFair;
   TargetFault fault = TargetFault::kNone;
   absl::Duration report_lag = absl::Seconds(1);
-  double load = 0.8;  ///< of what the targets can serve
-  /// Each workspace's part of the load, before the pressure.
+  double load = 0.8;  ///< fraction of the targets' capacity
+  /// Each workspace's fraction of the load, before excess_factor.
   std::vector<double> workspace_fractions = {0.4, 0.3, 0.1, 0.1, 0.1};
-  /// By how much the first workspace exceeds its part.
+  /// Factor by which the first workspace exceeds its fraction.
   double excess_factor = 1;
-  /// Whether workspaces are held to their rates, a tenth above their parts.
+  /// Whether rate limits apply. A workspace's limit is 10% above its fraction
+  /// of the load.
   bool limited = true;
   double batch_fraction = 0.2;   ///< of the requests
   double urgent_fraction = 0.1;  ///< of the requests
-  int prefixes = 60;             ///< different prompt beginnings
+  int prefixes = 60;             ///< number of distinct prompt prefixes
   absl::Duration length = absl::Seconds(120);
   std::uint64_t seed = 1;
 };
 
-/// What a run showed.
+/// Results of a simulation run.
 struct ServingResult {
-  int requests = 0;  ///< admitted
-  int over_rate = 0;
-  int in_time = 0;  ///< first token inside the class's deadline
-  int lost = 0;     ///< never answered
+  int requests = 0;   ///< admitted
+  int over_rate = 0;  ///< refused by the rate limit
+  int in_time = 0;    ///< first token within the class's deadline
+  int lost = 0;       ///< given up without a response
   int attempts = 0;
   int prefix_hits = 0;
-  std::map<std::string, std::pair<int, int>> by_workspace;  ///< in time, all
+  /// Requests in time and all requests, by workspace.
+  std::map<std::string, std::pair<int, int>> by_workspace;
+  /// The same by request class.
   std::map<int, std::pair<int, int>> by_class;
   absl::Duration longest_batch_wait;
 
+  /// Fraction of the requests whose first token came in time.
   double Attained() const;
   double Attained(const std::string& workspace) const;
-  /// The worst workspace's attainment over the best's.
+  /// Ratio of the lowest to the highest Attained() of a workspace.
   double WorstOverBest() const;
 };
 
-/// Instances that choose targets without knowing each other's load, targets
-/// that batch, and reports that lag, on a virtual clock.
+/// Simulates request routing on a virtual clock. Instances choose targets
+/// without knowing each other's requests, targets run requests in batches, and
+/// load reports arrive late.
 class ServingFleet {
  public:
   explicit ServingFleet(const ServingRun& run);
@@ -120,7 +126,7 @@
     bool refusing = false;
     int running = 0;
     double queued_tokens = 0;
-    // Honours priorities.
+    // By request class. Lower values are served first, as priorities.
     std::map<int, std::deque<QueuedRequest>> queue;
     std::set<std::uint64_t> prefixes;
     std::deque<std::uint64_t> prefix_order;
@@ -131,7 +137,7 @@
     std::unique_ptr<FairQueue> queue;
     std::unique_ptr<RetryBudget> retries;
     std::map<std::uint64_t, RequestPtr> waiting;
-    std::map<std::string, int> in_flight;  ///< requests at each target
+    std::map<std::string, int> in_flight;  ///< own requests at each target
     std::size_t next_target_index = 0;
   };
 
--- a/measure/topics.h
+++ b/measure/topics.h
@@ -10,39 +10,47 @@
 
 namespace dragonflyglade {
 
-/// What was asked for on the command line.
+/// Command-line options of the benchmark program.
 struct MeasureOptions {
   std::uint64_t seed = 1;
-  std::size_t instances = 0;
-  std::string skew;
-  std::string baseline;
+  std::size_t instances = 0;  ///< number of instances; 0: the topic's own sizes
+  std::string skew;           ///< arrival pattern; empty: all
+  std::string baseline;       ///< algorithm to run; empty: all
 };
 
-/// Prints one figure as "name value unit".
+/// Prints one result to standard output as "name value unit".
 void PrintFigure(std::string_view name, double value, std::string_view unit);
 
-/// What can be measured, and the values that its options take.
+/// One benchmark and the option values that it supports.
 struct MeasureTopic {
   std::function<void(const MeasureOptions&)> run;
-  std::vector<std::string> skews;
-  std::vector<std::string> baselines;
+  std::vector<std::string> skews;      ///< values of --skew
+  std::vector<std::string> baselines;  ///< values of --baseline
 };
 
-/// All topics by name.
+/// All benchmarks by their name on the command line.
 const std::map<std::string, MeasureTopic>& MeasureTopics();
 
+/// Distributed rate limiting: wrongly refused requests, overshoot and messages.
 void MeasureLimits(const MeasureOptions& options);
-/// The bytes of a loan's messages, by the real codec.
+/// Size of the request and response of a token loan in the peer protocol.
 void MeasureLimitsBytes();
+/// Time to spread a configuration change, and calls to the key-value service.
 void MeasureConfig(const MeasureOptions& options);
+/// Failure detection: false positives, detection time, messages and bytes.
 void MeasureMembership(const MeasureOptions& options);
+/// Routing policies under target faults and delayed load reports.
 void MeasureRouting(const MeasureOptions& options);
+/// Fair queueing against FIFO when one workspace sends too much.
 void MeasureFairness(const MeasureOptions& options);
+/// Duration of one round of the residency planner.
 void MeasureResidency(const MeasureOptions& options);
+/// Placement with and without hysteresis and faults, and the planner's
+/// duration.
 void MeasurePlacement(const MeasureOptions& options);
-/// Processor time and memory of single decisions.
+/// CPU time and memory of single decisions.
 void MeasureCapacity(const MeasureOptions& options);
-/// Calls that may not be repeated, with and without claims.
+/// Calls that must not run twice, with claims and with plain retries.
 void MeasureOnce(const MeasureOptions& options);
 
 }  // namespace dragonflyglade
--- a/tests/unit/unit-limits.cc
+++ b/tests/unit/unit-limits.cc
@@ -15,10 +15,11 @@
   std::size_t instances;
   ArrivalPattern arrival;
   std::vector<Fault> faults;
-  double max_refused_fraction;  ///< part of the requests inside the rate
+  double max_refused_fraction;  ///< of the requests within the rate
 };
 
-// Random faults, losses and refunds against a pressure above the rate.
+// Draws random faults, message loss and refunds, with a load of half to four
+// times the rate.
 LimitsRun RandomRun() {
   LimitsRun run;
   run.instances = *rc::gen::inRange<std::size_t>(2, 9);
@@ -30,7 +31,7 @@
   run.message_loss = *rc::gen::element(0.0, 0.05, 0.3);
   run.unused_fraction = *rc::gen::element(0.0, 0.5, 0.95);
   if (*rc::gen::arbitrary<bool>()) {
-    // A burst that fills up long before unused tokens come back.
+    // A small burst: the bucket is full long before unused tokens are refunded.
     run.burst = 4'000;
     run.cost = 600;
     run.phase_length = absl::Milliseconds(*rc::gen::inRange(50, 1000));
@@ -58,8 +59,8 @@
 
  public:
   void RefusesFewRequestsWithinTheRate() {
-    // A holder that dies takes its share with it until the list drops it,
-    // ten seconds later: a sixth of the rate for a sixth of the run.
+    // The share of a terminated owner is unusable until the instance list
+    // drops the owner 10 s later: a sixth of the rate for a sixth of the run.
     const Fault kill{FaultKind::kKill, absl::Seconds(20), OwnerIndex(6), {}};
     const std::vector<FleetCase> cases = {
         {"even", 6, ArrivalPattern::kEven, {}, 0.001},
@@ -81,9 +82,10 @@
     }
   }
 
-  // Instances die, pause, restart and are cut off at random, messages are
-  // lost and unused tokens come back late. In every window the callers of the
-  // workspace together get no more than burst + rate * t.
+  // Guards against admitting more than burst + rate * t of a workspace's tokens
+  // in any time window of length t. Instances are killed, paused, restarted and
+  // partitioned at random, messages are lost, and refunds of unused tokens
+  // arrive late.
   void NeverAdmitsMoreThanRateAndBurst() {
     int runs = 0;
     const bool holds = rc::check("no window above the bound", [&runs] {
@@ -94,8 +96,8 @@
     CPPUNIT_ASSERT(holds);
   }
 
-  // The same fleet with refunds that ignore what has overflowed since the
-  // charge: the checker must find windows above the bound.
+  // Guards against a check that detects nothing: a refund that ignores the
+  // bucket's overflow since the charge must exceed the bound.
   void NaiveRefundExceedsTheBound() {
     double worst = 0;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
