--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,6 @@
-# One word a job. Each target installs what it needs, so that it works on a
-# fresh Debian 12 machine.
+# Shortcuts for common tasks. Each target that needs packages installs them
+# first, so that it works on a fresh Debian 12 machine. KEEP=1 leaves the demo's
+# processes running.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 KEEP ?= 0
