--- a/measure/model/limits_fleet.h
+++ b/measure/model/limits_fleet.h
@@ -21,7 +21,7 @@
 enum class ArrivalPattern {
   kEven,    ///< uniformly at random
   kSkewed,  ///< all to one instance while it runs
-  kMoving,  ///< all to one instance, which changes at random
+  kMoving   ///< all to one instance, which changes at random
 };
 
 /// How instances share the rate of a workspace.
--- a/measure/model/serving_fleet.cc
+++ b/measure/model/serving_fleet.cc
@@ -87,7 +87,8 @@
         std::make_unique<TargetRegistry>(options, this->clock, run.seed + i);
     state.registry->ApplyTargetList(1, list);
     state.registry->SetInstanceCount(static_cast<int>(run.instances));
-    // A FairQueue with one workspace and one class is a FIFO queue.
+    // For QueuePolicy::kFifo, Enqueue gives all requests the same workspace and
+    // class, which makes the FairQueue a FIFO queue.
     state.queue = std::make_unique<FairQueue>(absl::Seconds(5), 8);
     state.retries = std::make_unique<RetryBudget>(0.1, 10);
   }
--- a/measure/model/serving_fleet.h
+++ b/measure/model/serving_fleet.h
@@ -37,10 +37,10 @@
 /// Fault that is injected into the targets during a run.
 enum class TargetFault {
   kNone,
-  kSlow,           ///< one target is slow
-  kUnresponsive,   ///< one target accepts requests and never responds
-  kRefusing,       ///< one target refuses requests
-  kThirdRefusing,  ///< a third of the targets refuse requests
+  kSlow,          ///< one target is slow
+  kUnresponsive,  ///< one target accepts requests and never responds
+  kRefusing,      ///< one target refuses requests
+  kThirdRefusing  ///< a third of the targets refuse requests
 };
 
 /// Parameters of a simulation run.
