--- a/measure/model/limits_fleet.h
+++ b/measure/model/limits_fleet.h
@@ -17,66 +17,76 @@
 
 namespace dragonflyglade {
 
-/// Where requests arrive.
-enum class Arrival { kEven, kSkewed, kMoving };
+/// Distribution of the requests over the instances.
+enum class ArrivalPattern {
+  kEven,    ///< uniformly at random
+  kSkewed,  ///< all to one instance while it runs
+  kMoving   ///< all to one instance, which changes at random
+};
 
-/// Which way of sharing is measured.
-enum class SharingWay {
-  kBorrowing,    ///< the real one
+/// How instances share the rate of a workspace.
+enum class SharingMode {
+  kBorrowing,    ///< the production algorithm
   kStaticSplit,  ///< equal shares, no loans
-  kOneOwner,     ///< one holder lends to all others
+  kOneOwner,     ///< one owner of the whole rate lends to all others
 };
 
-/// Something that happens to an instance of the model.
-enum class FaultKind { kKill, kPause, kRestart, kCut };
+/// A fault that is injected into one simulated instance.
+enum class FaultKind { kKill, kPause, kRestart, kPartition };
 struct Fault {
   FaultKind kind = FaultKind::kKill;
-  Instant at;
-  std::size_t instance = 0;
-  absl::Duration length;  ///< of a pause or cut
+  Instant at;                ///< from the end of the warm-up
+  std::size_t instance = 0;  ///< index, modulo the number of instances
+  absl::Duration length;     ///< duration of a pause or network partition
 };
 
-/// The instance that owns the workspace when there is one owner.
+/// Returns the index of the instance that owns the whole rate when there is
+/// one owner.
 std::size_t OwnerIndex(std::size_t instances);
 
-/// What a run is made of.
+/// Parameters of a simulation run. Rates are in tokens per second; burst and
+/// cost are in tokens.
 struct LimitsRun {
   std::size_t instances = 6;
-  Arrival arrival = Arrival::kEven;
-  SharingWay way = SharingWay::kBorrowing;
+  ArrivalPattern arrival = ArrivalPattern::kEven;
+  SharingMode mode = SharingMode::kBorrowing;
   double rate = 20'000;
   double burst = 40'000;
-  double cost = 1'200;
+  double cost = 1'200;  ///< of each request
   absl::Duration length = absl::Seconds(60);
   absl::Duration max_wait = absl::Milliseconds(250);
   std::vector<Fault> faults;
   double message_loss = 0;
-  /// Part of the cost that turns out not to be used by requests of the last
-  /// phase before a pause; given back after up to two seconds.
-  double unused = 0;
-  /// Whether unused tokens are given back without looking at the past.
+  /// Fraction of the cost that requests admitted in the last phase before the
+  /// idle phase do not use; refunded after up to two seconds.
+  double unused_fraction = 0;
+  /// Baseline that refunds unused tokens as if they had been charged just now,
+  /// which ignores the bucket's overflow since the charge.
   bool naive_refund = false;
-  /// Requests come in three of every four phases.
-  absl::Duration phase = absl::Seconds(4);
-  /// Requests come faster than the rate by this factor.
-  double pressure = 1;
+  /// Requests arrive in three of every four phases; the fourth is idle.
+  absl::Duration phase_length = absl::Seconds(4);
+  /// Offered load as a multiple of the rate.
+  double load_factor = 1;
+  /// Delay until a change of the instance list becomes visible.
   absl::Duration list_lag = absl::Seconds(10);
-  bool kv_out = false;
+  /// Makes the key-value service unavailable from the end of the warm-up.
+  bool kv_unavailable = false;
   std::uint64_t seed = 1;
 };
 
-/// What a run showed.
+/// Results of a simulation run.
 struct LimitsResult {
-  int offered = 0;  ///< requests inside the rate
+  int offered = 0;  ///< requests within burst + load_factor * rate * t
   int refused = 0;
   double overshoot = 0;  ///< tokens above burst + rate * t; negative if none
   std::int64_t messages = 0;
-  int dead_holder_refusals = 0;
+  int terminated_owner_refusals = 0;
   std::vector<HistoryEvent> history;
 };
 
-/// A fleet of share books on a virtual clock, with a network that delays and
-/// loses messages, a list that lags, and an allotment that one keeper tends.
+/// Simulates the distributed rate limiters of a fleet on a virtual clock. The
+/// network delays and loses messages, the instance list lags behind, and one
+/// process updates the allotment of the workspace's shares.
 class LimitsFleet {
  public:
   explicit LimitsFleet(const LimitsRun& run);
@@ -84,44 +94,44 @@
   LimitsResult Run();
 
  private:
-  struct Node {
+  struct Instance {
     std::int64_t incarnation = 1;
-    std::unique_ptr<DistributedRateLimiter> book;
+    std::unique_ptr<DistributedRateLimiter> limiter;
     bool alive = true;
     Instant paused_until;
-    Instant cut_until;
+    Instant partitioned_until;
   };
 
-  void At(Instant when, std::function<void()> action);
-  int Phase() const;
-  void Arrive();
-  void Step(std::size_t node, std::int64_t incarnation,
-            std::shared_ptr<Admission> admission);
-  void Borrow(std::size_t node, std::int64_t incarnation,
+  void Schedule(Instant when, std::function<void()> action);
+  int CurrentPhase() const;
+  void GenerateRequest();
+  void ContinueAdmission(std::size_t instance, std::int64_t incarnation,
+                         std::shared_ptr<Admission> admission);
+  void Borrow(std::size_t instance, std::int64_t incarnation,
               const std::shared_ptr<Admission>& admission,
               const BorrowFromPeer& step);
-  void GiveBack(std::size_t node, const OverRate& over);
-  void Keep();
-  void Gossip();
-  void Apply(const Fault& fault);
-  void Restart(std::size_t node);
-  bool Reaches(std::size_t from, std::size_t to) const;
-  Instant Awake(std::size_t node) const;
-  std::size_t Choose();
-  absl::Duration Delay();
+  void ReturnLoans(std::size_t instance, const OverRate& over);
+  void UpdateAllotment();
+  void ExchangeBalances();
+  void InjectFault(const Fault& fault);
+  void Restart(std::size_t instance);
+  bool CanReach(std::size_t from, std::size_t to) const;
+  Instant WakeTime(std::size_t instance) const;
+  std::size_t ChooseInstance();
+  absl::Duration DrawNetworkDelay();
   std::size_t IndexOf(const std::string& name) const;
 
   const LimitsRun run;
   ManualClock manual;
   Clock clock;
   std::mt19937_64 random;
-  std::multimap<Instant, std::function<void()>> queue;
-  std::vector<Node> nodes;
+  std::multimap<Instant, std::function<void()>> events;
+  std::vector<Instance> instances;
   Allotment allotment;
-  TerminatedOwners gone;
-  std::vector<std::pair<Instant, std::set<std::string>>> lists;
-  TokenBucket ideal;
-  std::size_t favourite = 0;
+  TerminatedOwners terminated_owners;
+  std::vector<std::pair<Instant, std::set<std::string>>> list_history;
+  TokenBucket reference_bucket;
+  std::size_t preferred_instance = 0;
   LimitsResult result;
 };
 
