--- a/measure/model/placement_fleet.cc
+++ b/measure/model/placement_fleet.cc
@@ -169,15 +169,9 @@
   // before. A planner that paused uses its old snapshot, and its write fails on
   // the revision check if another planner has written in the meantime.
   const auto fresh = [&](const std::string& target) {
-<<<<<<< HEAD
-    Stored stored = picture.at(target);
-    const Stored& current = this->store.at(target);
-    if (current.ledger.fence_token == fence) stored = current;
-=======
     StoredLedger stored = snapshot.at(target);
     const StoredLedger& current = this->store.at(target);
     if (current.ledger.fence_token == token) stored = current;
->>>>>>> part8
     return stored;
   };
   if (const auto* load = std::get_if<PlanLoad>(&step)) {
