--- a/dragonflyglade/gateway/fleet_state.cc
+++ b/dragonflyglade/gateway/fleet_state.cc
@@ -191,7 +191,7 @@
     this->leader.reset();
     this->leader_revision = revision;
     this->choice.reset();
-    this->log.Write("duty", "no holder", {{"revision", revision}});
+    this->log.Write("duty", "no leader", {{"revision", revision}});
   }
   this->changed.Notify();
 }
--- a/dragonflyglade/gateway/loop_lag_monitor.cc
+++ b/dragonflyglade/gateway/loop_lag_monitor.cc
@@ -25,7 +25,7 @@
     const absl::Duration lag = this->clock.Now() - due;
     this->metrics.Observe("loop_late_seconds", "", absl::ToDoubleSeconds(lag));
     if (lag < kMinLoggedLag) continue;
-    this->log.Write("process", "held up", {{"late_ms", lag}});
+    this->log.Write("process", "event loop late", {{"late_ms", lag}});
   }
 }
 
--- a/dragonflyglade/gateway/loop_lag_monitor.h
+++ b/dragonflyglade/gateway/loop_lag_monitor.h
@@ -12,7 +12,7 @@
 
 /// Measures the lag of the event loop, which a long handler or a lack of CPU
 /// time causes. Observes it in the metric `loop_late_seconds`, and logs a high
-/// lag as `process` `held up`.
+/// lag as `process` `event loop late`.
 class LoopLagMonitor {
  public:
   LoopLagMonitor(boost::asio::io_context& context, Metrics& metrics,
--- a/dragonflyglade/gateway/placement_controller.cc
+++ b/dragonflyglade/gateway/placement_controller.cc
@@ -107,7 +107,8 @@
   if (found == this->engines.end()) return;
   Engine& engine = *found->second;
   if (!this->IsTerminated(engine)) {
-    this->log.Write("placement", "refusing", {{"target", engine.id}});
+    this->log.Write("placement", "target refuses connections",
+                    {{"target", engine.id}});
     this->RequestPlan();
   }
   engine.connection_refused_at = this->clock.Now();
--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -63,7 +63,7 @@
     this->quotas.SetPriorSpending(SpendingByWorkspace(*record),
                                   WasInstanceListed(*record, this->self.name));
   }
-  this->log.Write("quota", recent ? "spending read" : "record too old",
+  this->log.Write("quota", recent ? "spend record read" : "record too old",
                   {{"age_ms", now - record->written}});
 }
 
--- a/dragonflyglade/gateway/store_relay.cc
+++ b/dragonflyglade/gateway/store_relay.cc
@@ -155,7 +155,8 @@
       this->QueryNextRelay();
     if (this->sync_state.HasLiveRelay() == this->had_live_relay) continue;
     this->had_live_relay = this->sync_state.HasLiveRelay();
-    this->log.Write("store", this->had_live_relay ? "led" : "not led",
+    this->log.Write("store",
+                    this->had_live_relay ? "relay live" : "no live relay",
                     {{"known_through", this->sync_state.KnownThrough()},
                      {"behind", this->sync_state.IsBehind()}});
   }
--- a/dragonflyglade/gateway/store_watcher.cc
+++ b/dragonflyglade/gateway/store_watcher.cc
@@ -71,7 +71,7 @@
       history_kept = co_await this->Watch();
       this->fleet.RemoveExpiredTargets();
     }
-    this->log.Write("store", "listing anew",
+    this->log.Write("store", "listing all keys again",
                     {{"revision", this->revision},
                      {"lacks_details", this->details_incomplete}});
   }
