--- a/dragonflyglade/gateway/quota_admission.cc
+++ b/dragonflyglade/gateway/quota_admission.cc
@@ -63,7 +63,8 @@
     this->quotas.SetPriorSpending(SpendingByWorkspace(*record),
                                   WasInstanceListed(*record, this->self.name));
   }
-  this->log.Write("quota", recent ? "spend record read" : "record too old",
+  this->log.Write("quota",
+                  recent ? "spend record read" : "spend record not used",
                   {{"age_ms", now - record->written}});
 }
 
@@ -108,7 +109,7 @@
   } else {
     verdict = this->AdmitWithoutLeader(workspace, limit, tokens);
   }
-  this->log.Write("quota", verdict.admitted ? "granted" : "short",
+  this->log.Write("quota", verdict.admitted ? "granted" : "request refused",
                   {{"id", std::string(request_id)},
                    {"workspace", workspace},
                    {"tokens", tokens},
--- a/dragonflyglade/gateway/registration.cc
+++ b/dragonflyglade/gateway/registration.cc
@@ -149,7 +149,7 @@
 void Registration::CheckLeadership() {
   if (!this->leader_lease.IsLeader() || this->HoldsLeaderEntry()) return;
   if (this->fleet.LeaderRevision() <= this->leader_lease.FencingToken()) return;
-  this->log.Write("duty", "lost to another",
+  this->log.Write("duty", "leadership lost",
                   {{"fence", this->leader_lease.FencingToken()},
                    {"revision", this->fleet.LeaderRevision()}});
   this->leader_lease.OnLeaseLost();
--- a/dragonflyglade/gateway/spend_recorder.cc
+++ b/dragonflyglade/gateway/spend_recorder.cc
@@ -73,7 +73,8 @@
       record.Ok() && IsRecent(record.Value(), this->time_of_day());
   if (usable && this->leader_lease.IsLeader())
     this->aggregator.MergeSpendRecord(record.Value());
-  this->log.Write("quota", usable ? "spending taken over" : "record too old",
+  this->log.Write("quota",
+                  usable ? "spend record usable" : "spend record not used",
                   {{"revision", item->revision},
                    {"age_ms", age},
                    {"fence", this->leader_lease.FencingToken()}});
